--- a/Makefile
+++ b/Makefile
@@ -2,12 +2,14 @@
 BIN := $(CURDIR)/.bin
 LINT := $(BIN)/golangci-lint
 LINT_VERSION := v2.12.2
+GOPLS := $(BIN)/gopls
+GOPLS_VERSION := v0.23.0
 
 # The tests of KNOWN-RED.txt fail for faults that are open; unit prints the file and passes over just these.
 KNOWN_RED := $(shell sed -n 's/^test: *//p' KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
 SKIP = $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 
-.PHONY: all build test fmt vet lint unit demo bench capacity soak clean
+.PHONY: all build test fmt vet lint tools unit demo bench capacity soak clean
 
 all: build
 
@@ -31,6 +33,13 @@
 	@mkdir -p $(BIN)
 	GOBIN=$(BIN) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 
+# tools installs gopls too, which renames identifiers in all modules: gopls rename -w FILE:LINE:COL NAME.
+tools: $(LINT) $(GOPLS)
+
+$(GOPLS):
+	@mkdir -p $(BIN)
+	GOBIN=$(BIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 unit:
 	@if [ -f KNOWN-RED.txt ]; then echo "known red, not run:"; cat KNOWN-RED.txt; fi
 	@for m in $(filter-out sessions,$(MODULES)); do (cd $$m && go test -race $(SKIP) ./...) || exit 1; done
