--- a/entry/internal/eject/doc.go
+++ b/entry/internal/eject/doc.go
@@ -1,2 +1,3 @@
-// Package eject decides when a replica gets no ordinary tries, and when it is tried again.
+// Package eject implements outlier ejection: it takes slow or failing replicas out of rotation and probes them until
+// they recover.
 package eject
--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// doubt is how many slow or failed tries in a row make a replica doubtful: one happens to every replica on
-	// an ordinary day. With second tries after the 98.5th percentile, two in a row happen to one try in some
-	// thousand; a single try that follows at once clears those.
+	// doubt is the number of consecutive slow or failed attempts that take a replica out of rotation. Single ones are
+	// normal on every replica. With second attempts sent after the 98.5th percentile, about one attempt in some
+	// thousand is the second in a row; one probe, sent at once, brings such a replica back.
 	doubt = 2
-	// verdict is how many make it ejected; the single try after a doubt is the third.
+	// verdict is the number of consecutive slow or failed attempts that eject a replica; the third one is the probe
+	// sent after the first two.
 	verdict = 3
-	// firstTrial is how long after a failed single try a replica gets its next.
+	// firstTrial is the time between the first probe and the second.
 	firstTrial = time.Second
-	// longestTrial bounds the time between single tries, which doubles from firstTrial.
+	// longestTrial caps the time between probes, which doubles from firstTrial.
 	longestTrial = 16 * time.Second
-	// slowFactor is how many times longer than its neighbours a try takes to count as slow.
+	// slowFactor is the multiple of the usual duration from which an attempt counts as slow.
 	slowFactor = 4
-	// slowFloor is the difference below which no try counts as slow, about two round trips between zones.
+	// slowFloor is the excess over the usual duration, about two round trips between zones, up to which no attempt
+	// counts as slow.
 	slowFloor = 3 * time.Millisecond
 )
 
-// State says whether a replica gets ordinary tries; its zero value says yes.
+// State holds the ejection state of a replica. The zero value is in rotation.
 //
-// It answers a replica that is much slower than the others or fails every try. Without it the replica gets
-// its turn again and again, and each turn is a late or missing shard on somebody's page. It also answers a
-// replica that has just appeared, whose caches are cold. A replica that is out gets single tries, sent
-// beside an ordinary one, so that no page waits for what they find; the first good one brings it back. The
-// first comes at once, so that a doubt costs a healthy replica nothing.
+// It protects requests from a replica that is much slower than the others or fails every attempt: each attempt sent to
+// it by regular load balancing would be a late or missing shard of a response. A new replica, whose caches are cold,
+// starts out of rotation too. A replica that is out of rotation gets only probes, each sent in parallel with a regular
+// attempt, so that no response waits for them. The first successful probe brings the replica back. The first probe is
+// due at once, so that two slow attempts in a row cost a healthy replica nothing.
 type State struct {
-	// trialAt is when the next single try is due, in nanoseconds since 1970; zero means that the replica is in.
+	// trialAt is the time of the next probe in Unix nanoseconds; zero means that the replica is in rotation.
 	trialAt atomic.Int64
 
 	mu      sync.Mutex
@@ -40,15 +42,15 @@
 	wait    time.Duration
 }
 
-// Slow reports whether a try that took so long was slow beside the usual time.
+// Slow reports whether an attempt that took the given time was slow compared with the usual duration.
 func Slow(took, usual time.Duration) bool {
 	return usual > 0 && took > slowFactor*usual && took > usual+slowFloor
 }
 
-// In reports whether the replica gets ordinary tries.
+// In reports whether the replica is in rotation, that is, gets regular attempts.
 func (s *State) In() bool { return s.trialAt.Load() == 0 }
 
-// Hold takes out a replica of which nothing is known yet; its first single try is due at once.
+// Hold takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
 func (s *State) Hold(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +58,7 @@
 	s.trialAt.Store(now.UnixNano())
 }
 
-// Trial reports whether a single try is due, and if so, that this caller is the one to send it.
+// Trial reports whether a probe is due. It returns true to one caller only, which has to send the probe.
 func (s *State) Trial(now time.Time) bool {
 	at := s.trialAt.Load()
 	if at == 0 || now.UnixNano() < at {
@@ -72,7 +74,8 @@
 	return true
 }
 
-// Strike counts a slow or failed try and reports whether the replica is ejected by it, rather than doubtful.
+// Strike counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the attempt
+// only took the replica out of rotation until the next probe.
 func (s *State) Strike(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +94,7 @@
 	return true
 }
 
-// Good counts a good try and reports whether it brought an ejected replica back.
+// Good counts a successful attempt and reports whether it restored an ejected replica.
 func (s *State) Good() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/internal/eject/eject_test.go
+++ b/entry/internal/eject/eject_test.go
@@ -9,9 +9,9 @@
 	"guavaspring.org/entry/internal/eject"
 )
 
-// A replica's disk is failing: it answers, twenty times slower than the others. Each page that it gets a
-// part in is late. It is taken out after a few tries, looked at by single tries that come less and less
-// often, and used again after the first good one.
+// Guards against a replica that keeps getting requests although it answers 20 times slower than the others, as with a
+// failing disk: every response that uses it is late. It must be ejected after a few attempts, probed at growing
+// intervals, and used again after the first successful probe.
 func TestSlowReplicaIsOutUntilAGoodTry(t *testing.T) {
 	var s eject.State
 	now := time.Unix(100, 0)
@@ -22,7 +22,7 @@
 	qt.Assert(t, s.Strike(now), qt.IsFalse)
 	qt.Assert(t, s.In(), qt.IsFalse)
 
-	// The doubt is cleared by a single try that comes at once, and nobody is told.
+	// The first probe is due at once and succeeds: the replica returns without having been ejected.
 	qt.Assert(t, s.Trial(now), qt.IsTrue)
 	qt.Assert(t, s.Trial(now), qt.IsFalse)
 	qt.Assert(t, s.Good(), qt.IsFalse)
