--- a/entry/internal/subset/doc.go
+++ b/entry/internal/subset/doc.go
@@ -1,2 +1,2 @@
-// Package subset decides which replicas of a service a host keeps to.
+// Package subset chooses the subset of a service's replicas that a host connects to.
 package subset
--- a/entry/internal/subset/subset.go
+++ b/entry/internal/subset/subset.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// mostNear and mostFar are how many replicas in its own zone, and in the others, a host keeps to. The far ones are
-	// for second tries and for the time in which a zone has none left.
+	// mostNear and mostFar are the numbers of replicas that a host uses in its own zone and in other zones. Those in
+	// other zones serve second attempts, and all attempts while the host's own zone has no replica left.
 	mostNear, mostFar = 5, 3
-	// mostAnywhere is how many a host keeps to whose zone has none.
+	// mostAnywhere is the number of replicas used by a host whose zone has none.
 	mostAnywhere = mostNear + mostFar
 )
 
-// Replica is one that a host may keep to.
+// Replica is a candidate for a host's subset.
 type Replica struct{ ID, Zone string }
 
-// Choose returns the places in replicas of those that a host with an id keeps to, which is one of some hosts; it
-// returns all of them where the host is none of these.
+// Choose returns the indexes in replicas of those that the host with ID self uses. It returns all indexes where self is
+// not in hosts.
 //
-// It answers a fleet in which a replica gets a request now and then from each of very many hosts. None of them knows
-// whether it is slow, each finds its connection closed since the last use, and opens one for each request, which costs
-// more than most of the work. A host that keeps to few replicas knows them, and its connections stay open.
+// Without subsetting, a replica of a large fleet gets an occasional request from each of very many hosts. No host sees
+// enough of its attempts to detect that it is slow, and each finds its connection closed since the last use and opens a
+// new one per request, which costs more than most of the work. A host that uses few replicas has enough samples of
+// each, and its connections stay open.
 //
-// Hosts choose without asking each other, and no replica is chosen by many more than another: hosts and replicas take
-// each other in the order of one hash of both, until a host has enough or a replica has its part. A host or replica that
-// comes or goes moves few of the others.
+// Hosts compute their subsets independently, and no replica is in many more subsets than another: host-replica pairs
+// are taken in the order of a hash of both IDs until a host has enough replicas or a replica has its share of hosts. A
+// host or replica that joins or leaves changes few of the other assignments.
 func Choose(self string, hosts []member.Host, replicas []Replica) []int {
 	i := slices.IndexFunc(hosts, func(h member.Host) bool { return h.ID == self })
 	if i < 0 {
@@ -59,7 +60,7 @@
 	return list
 }
 
-// without returns the hosts in whose zones there is no replica.
+// without returns the hosts whose zones have no replica.
 func without(hosts []member.Host, replicas []Replica) []member.Host {
 	zones := map[string]bool{}
 	for _, r := range replicas {
@@ -68,13 +69,14 @@
 	return slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return zones[h.Zone] })
 }
 
-// pair is a host and a replica, which rank each other alike.
+// pair is a host and a replica, given by their indexes, with the hash that orders all pairs.
 type pair struct {
 	rank          uint64
 	host, replica int
 }
 
-// match returns the replicas among some that a host is matched with, where each of the hosts gets a number of them.
+// match returns the replicas, given by their indexes in among, that are assigned to self where each of the hosts gets
+// the given number of them.
 func match(self string, hosts []member.Host, replicas []Replica, among []int, number int) []int {
 	if len(among) <= number {
 		return among
@@ -88,7 +90,7 @@
 	slices.SortFunc(pairs, func(a, b pair) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.host, b.host), cmp.Compare(a.replica, b.replica))
 	})
-	// Each replica may be chosen by its part of what all hosts choose, rounded up.
+	// Caps the hosts per replica at an even share of all assignments, rounded up.
 	part := (number*len(hosts) + len(among) - 1) / len(among)
 	has, chosen := make([]int, len(hosts)), make([]int, len(replicas))
 	var list []int
--- a/entry/internal/subset/subset_test.go
+++ b/entry/internal/subset/subset_test.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/entry/internal/subset"
 )
 
-// layout is a fleet: how many hosts and replicas of one service there are in each zone.
+// layout gives the numbers of hosts and of replicas of one service in each zone of a fleet.
 type layout struct {
 	name            string
 	hosts, replicas []int
@@ -42,7 +42,7 @@
 	return hosts, replicas
 }
 
-// chosen returns the ids of the replicas that each host keeps to.
+// chosen returns the IDs of the replicas in each host's subset, by host ID.
 func chosen(hosts []member.Host, replicas []subset.Replica) map[string][]string {
 	by := map[string][]string{}
 	for _, h := range hosts {
@@ -53,7 +53,7 @@
 	return by
 }
 
-// Guards against replicas that many hosts choose while others have nothing to do.
+// Guards against uneven subsetting: some replicas are in the subsets of many hosts while others get no requests.
 func TestReplicasAreChosenEvenly(t *testing.T) {
 	for _, l := range layouts {
 		hosts, replicas := l.make()
@@ -76,23 +76,24 @@
 				continue
 			}
 			mean := float64(sum) / float64(n)
-			qt.Check(t, float64(most) <= mean+1, qt.IsTrue, qt.Commentf("%s: zone %d: one replica by %d hosts, %.2f in the mean", l.name, zone, most, mean))
+			qt.Check(t, float64(most) <= mean+1, qt.IsTrue, qt.Commentf("%s: zone %d: a replica is used by %d hosts, %.2f on average", l.name, zone, most, mean))
 		}
 	}
 }
 
-// Guards against hosts that keep to so many replicas that each is used too rarely for its connection to stay open, and
-// to so few that a second try finds none.
+// Guards against subsets that are so large that each replica is used too rarely for its connection to stay open, or so
+// small that a second attempt finds no other replica.
 func TestEveryHostHasEnough(t *testing.T) {
 	for _, l := range layouts {
 		hosts, replicas := l.make()
 		for id, list := range chosen(hosts, replicas) {
-			qt.Check(t, len(list) >= min(3, len(replicas)) && len(list) <= 8, qt.IsTrue, qt.Commentf("%s: %s keeps to %d", l.name, id, len(list)))
+			qt.Check(t, len(list) >= min(3, len(replicas)) && len(list) <= 8, qt.IsTrue, qt.Commentf("%s: %s uses %d replicas", l.name, id, len(list)))
 		}
 	}
 }
 
-// Guards against a host or replica that comes or goes and moves all the others: each would open its connections anew.
+// Guards against a host or replica that joins or leaves and changes the subsets of all the others, which would have to
+// open new connections.
 func TestChangesMoveLittle(t *testing.T) {
 	for _, l := range layouts {
 		hosts, replicas := l.make()
@@ -117,13 +118,14 @@
 				}
 			}
 			moved := 1 - float64(kept)/float64(all)
-			t.Logf("%s: %s: %.3f of the choices moved", l.name, scene.name, moved)
-			qt.Check(t, moved <= 0.2, qt.IsTrue, qt.Commentf("%s: %s: %.2f moved", l.name, scene.name, moved))
+			t.Logf("%s: %s: %.3f of the assignments changed", l.name, scene.name, moved)
+			qt.Check(t, moved <= 0.2, qt.IsTrue, qt.Commentf("%s: %s: %.2f of the assignments changed", l.name, scene.name, moved))
 		}
 	}
 }
 
-// Guards against hosts that clients are not sent to and that would share what the others were promised.
+// Guards against hosts that callers are not directed to but that still take shares of the replicas from those that
+// serve.
 func TestOtherHostsUseAll(t *testing.T) {
 	hosts, replicas := layouts[2].make()
 	qt.Assert(t, len(subset.Choose("stranger", hosts, replicas)), qt.Equals, len(replicas))
