--- a/entry/internal/placement/doc.go
+++ b/entry/internal/placement/doc.go
@@ -1,3 +1,3 @@
-// Package placement decides which hosts clients are sent to, and what part of the bounds that hold for all hosts each
-// of them takes.
+// Package placement chooses the hosts that clients are directed to, and each host's share of the limits that apply to
+// all hosts together.
 package placement
--- a/entry/internal/placement/placement.go
+++ b/entry/internal/placement/placement.go
@@ -8,24 +8,22 @@
 )
 
 const (
-	// tier is the part of what the strongest host has, of cores and of its link, from which a host is as good as that
-	// one.
+	// tier is the fraction of the strongest host's cores and link rate from which a host counts as equally strong.
 	tier = 0.5
-	// leastServing is how many hosts clients are sent to at least, so that the loss of one is the loss of a fifth.
+	// leastServing is the minimum number of serving hosts; with 5, the loss of one host is the loss of a fifth.
 	leastServing = 5
-	// reserve is the part of the bounds that is left to the hosts that clients are not sent to: some clients keep old
-	// addresses.
+	// reserve is the fraction of the limits left to the hosts that don't serve, since some clients keep using old addresses.
 	reserve = 0.1
 )
 
-// strength returns how strong a host is beside the most cores and the fastest link that any host has, 0 to 1, by what
-// it has least of. What a query needs more of, cores or bits, differs between deployments and days. A host that is weak
-// in either is slow where that binds.
+// strength returns the strength of a host, 0 to 1, relative to the most cores and the fastest link of any host. It is
+// the lower of both ratios: whether queries are bound by cores or by the link differs between deployments and over
+// time, and a host that is weak in either is slow where that one is the bottleneck.
 func strength(h, most member.Host) float64 {
 	return min(part(h.Cores, most.Cores), part(h.LinkBits, most.LinkBits))
 }
 
-// part returns has as a part of most; where no host says what it has, all are alike.
+// part returns has as a fraction of most. It returns 1 where no host reports a value, so that all hosts are equal.
 func part(has, most float64) float64 {
 	if most <= 0 {
 		return 1
@@ -33,14 +31,15 @@
 	return has / most
 }
 
-// Serving returns the hosts that clients are sent to: the strongest, and weaker ones only where those are too few.
+// Serving returns the hosts that clients are directed to: the strongest ones, and weaker ones only where fewer than
+// leastServing are strong.
 //
-// It answers a fleet of a few strong hosts and many weak ones. Spread over all of them, each query waits for a slow
-// link, each host sees too little of a replica to know that it is slow, and the connections of a replica are shared
-// among ninety.
+// It is meant for fleets of a few strong hosts and many weak ones. Spread over all of them, each query would wait for a
+// slow link, each host would have too few samples of a replica to detect that it is slow, and the connections of a
+// replica would be divided among ninety hosts.
 func Serving(hosts []member.Host) []member.Host { return serving(hosts, false) }
 
-// serving returns the hosts that clients are sent to, or would be if those that are suspected are alive.
+// serving returns the hosts that clients are directed to. With suspected, suspect hosts are treated as alive.
 func serving(hosts []member.Host, suspected bool) []member.Host {
 	var alive []member.Host
 	var most member.Host
@@ -62,13 +61,13 @@
 	return list
 }
 
-// asGood reports whether a host has nearly as much of both as the strongest one.
+// asGood reports whether a host has nearly as many cores and as fast a link as the strongest one.
 func asGood(h, strongest member.Host) bool {
 	return h.Cores >= tier*strongest.Cores && h.LinkBits >= tier*strongest.LinkBits
 }
 
-// Share returns the part, 0 to 1, that the host with an id takes of what all hosts together may do, where there are at
-// least some number of hosts.
+// Share returns the fraction, 0 to 1, of the limits of all hosts together that the host with the given ID takes. The
+// limits are divided among at least the given number of hosts.
 func Share(hosts []member.Host, id string, least int) float64 {
 	serving := Serving(hosts)
 	serves := slices.ContainsFunc(serving, func(h member.Host) bool { return h.ID == id })
--- a/entry/internal/placement/placement_test.go
+++ b/entry/internal/placement/placement_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// A deployment grows by many weak hosts. Clients must be sent to the strong ones as long as those are enough to lose
-// one, and to the weak ones when the strong are gone.
+// Guards against a deployment that grows by many weak hosts and directs clients to them. Clients must go to the strong
+// hosts as long as there are enough to lose one, and to the weak hosts once the strong ones are gone.
 func TestServing(t *testing.T) {
 	tests := []struct{ strong, weak, want int }{{6, 65, 6}, {8, 82, 8}, {3, 65, 5}, {0, 65, 65}, {6, 0, 6}, {1, 0, 1}, {0, 0, 0}}
 	for _, test := range tests {
@@ -37,9 +37,9 @@
 	}
 }
 
-// A deployment has hosts with many cores and slow links beside some that have both. Its pages are large: on a slow link
-// the parts alone take longer than the objective, whatever the cores. And where nobody knows what the hosts have, all
-// are alike.
+// Guards against hosts that are chosen for their many cores although their links are slow: responses are large, and on
+// a slow link the transfer of the shards' records alone exceeds the latency objective. Where no host reports its cores
+// and link rate, all hosts are equal.
 func TestStrongInBothServe(t *testing.T) {
 	var hosts []member.Host
 	for i := range 6 {
@@ -57,7 +57,7 @@
 	qt.Check(t, placement.Serving(hosts), qt.HasLen, len(hosts))
 }
 
-// Whatever the fleet, hosts that agree on who is a member must not take more than there is.
+// Guards against shares that exceed the limit in total, for hosts that agree on the member list.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := fleet(rapid.IntRange(0, 10).Draw(t, "strong"), rapid.IntRange(0, 100).Draw(t, "weak"))
--- a/entry/internal/placement/watched.go
+++ b/entry/internal/placement/watched.go
@@ -6,13 +6,13 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// watchedBy is how many hosts look after each host that clients are sent to: enough that some are left when a zone of
-// three is lost, and few enough that what a host does for it stays the same in any fleet.
+// watchedBy is the number of hosts that monitor each serving host: enough that some are left after the loss of one of
+// three zones, and few enough that a host's cost for it doesn't grow with the fleet.
 const watchedBy = 4
 
-// Watched returns the hosts that the host with an id looks after: the next ones in the order of the hosts that clients
-// are sent to, if it is one of them, so that each is looked after by as many. Those that are suspected are among them,
-// which keep their place and are found again.
+// Watched returns the hosts that the host with the given ID monitors: its successors in the ring of serving hosts, if
+// it is one of them, so that each host is monitored by equally many. Suspect hosts keep their place in the ring, so
+// that their recovery is detected.
 func Watched(hosts []member.Host, id string) []member.Host {
 	ring := member.Ranked(serving(hosts, true), "watched")
 	own := slices.IndexFunc(ring, func(h member.Host) bool { return h.ID == id })
--- a/entry/internal/placement/watched_test.go
+++ b/entry/internal/placement/watched_test.go
@@ -9,9 +9,9 @@
 	"guavaspring.org/entry/internal/placement"
 )
 
-// Clients are sent to six hosts of a fleet, or to all of a thousand. Each of these must be looked after by four others
-// whatever the fleet's size, and a weak host by none; one that is suspected must go on being looked after, or it would
-// stay out once it is back.
+// Guards against hosts that nobody monitors. Clients are directed to six hosts of a fleet, or to all of a thousand.
+// Each of these must be monitored by four others whatever the size of the fleet, and a weak host by none. A suspect
+// host must stay monitored, or it would not be used again after its recovery.
 func TestWatched(t *testing.T) {
 	tests := []struct{ strong, weak, watched int }{{6, 65, 4}, {1000, 0, 4}, {3, 65, 4}, {0, 3, 2}, {1, 0, 0}}
 	for _, test := range tests {
