--- a/entry/internal/homes/doc.go
+++ b/entry/internal/homes/doc.go
@@ -1,2 +1,3 @@
-// Package homes decides in which regions a request may run and which hosts its clients are sent to.
+// Package homes enforces data residency: it decides in which regions a request may run and which hosts its clients are
+// directed to.
 package homes
--- a/entry/internal/homes/homes.go
+++ b/entry/internal/homes/homes.go
@@ -7,15 +7,16 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// Allow reports whether a request may run in a region; one without homes may run anywhere.
+// Allow reports whether a request with the given home regions may run in a region. A request without homes may run
+// anywhere.
 //
-// Homes are where the data of a request has to stay. No load and no failure is a reason to leave them: where they have
-// nothing left that serves, the request is refused.
+// Homes are the regions that the data of a request must stay in. This rule holds under overload and failure too: where
+// no serving host is left in the homes, the request is refused.
 func Allow(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Of returns the regions in which every one of some routes that has homes has one, and false where none has any.
+// Of returns the home regions that are common to all of the routes that have any, and false where no route has homes.
 func Of(routes []*route.Route) ([]string, bool) {
 	var common []string
 	found := false
@@ -32,8 +33,9 @@
 	return common, found
 }
 
-// Common returns the regions in which alone a request may run of a route and a customer, either of which may have homes;
-// it reports false where both have some and none in common. The customer may be nil.
+// Common returns the only regions in which a request may run, given the homes of its route and its customer. It returns
+// false where both have homes but none in common. A route or customer without homes adds no restriction, and the
+// customer may be nil.
 func Common(r *route.Route, c *route.Customer) ([]string, bool) {
 	switch {
 	case c == nil || len(c.Homes) == 0:
@@ -50,8 +52,9 @@
 	return both, len(both) > 0
 }
 
-// Nearest returns the hosts of some to which a client in a region is sent: those in its own region, which may see what
-// it sends wherever the homes are; where there are none, those in the homes, and any only where the name has no homes.
+// Nearest returns the hosts that a client in a region is directed to: those in its own region, which may process its
+// requests whatever the homes; if there are none, those in the homes; and if bound is false, that is without homes, all
+// hosts.
 func Nearest(hosts []member.Host, region string, homes []string, bound bool) []member.Host {
 	in := func(regions ...string) []member.Host {
 		var list []member.Host
--- a/entry/internal/homes/homes_test.go
+++ b/entry/internal/homes/homes_test.go
@@ -10,9 +10,8 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// A client asks where to connect. What it will send may be seen in its own region and in the homes of its requests, and
-// nowhere else, also when its own region has no host left and the homes are far; without homes any host is better than
-// none.
+// Guards against clients that are directed to a host outside their own region and the homes of their requests, also
+// where their own region has no hosts left and the homes are far away. Without homes, any host may be returned.
 func TestNearest(t *testing.T) {
 	hosts := []member.Host{{ID: "e1", Region: "east"}, {ID: "w1", Region: "west"}, {ID: "w2", Region: "west"}, {ID: "n1", Region: "north"}}
 	tests := []struct {
@@ -37,8 +36,8 @@
 	}
 }
 
-// Two routes of a name have homes, and a third has none. A client may send on any of them, so that it is sent where
-// both may be seen.
+// Guards against clients that are directed to a region that only some of the routes of a host name allow. Two routes
+// have homes, a third has none. Clients may use any of them, so that only the regions common to both are left.
 func TestHomesOfAName(t *testing.T) {
 	table := route.NewTable(route.Config{Routes: []route.Route{
 		{Host: "a", Homes: []string{"east", "west"}}, {Host: "a", Homes: []string{"west", "north"}}, {Host: "a"}, {Host: "b"},
@@ -52,7 +51,7 @@
 	qt.Assert(t, homes.Allow([]string{"west"}, "east"), qt.IsFalse)
 }
 
-// Guards against a customer's data that leaves its homes since the route has none, or others.
+// Guards against customer data that leaves the customer's homes because the route has other homes or none.
 func TestCommonHomes(t *testing.T) {
 	tests := []struct {
 		route, customer, want []string
