--- a/entry/internal/crossing/bench_test.go
+++ b/entry/internal/crossing/bench_test.go
@@ -6,8 +6,8 @@
 	"guavaspring.org/entry/internal/crossing"
 )
 
-// Each request over shards decides about its groups: 10 µs for 90 shards in five zones on one core of a busy
-// machine. No request did so before.
+// BenchmarkGroups measures the grouping that runs for each request over shards: 10 µs for 90 shards in five zones on
+// one core of a busy machine.
 func BenchmarkGroups(b *testing.B) {
 	zones := []string{"a", "b", "c", "d", "e"}
 	shards := spread(90, 3, zones, "a")
--- a/entry/internal/crossing/crossing.go
+++ b/entry/internal/crossing/crossing.go
@@ -2,32 +2,33 @@
 
 import "slices"
 
-// leastShards is how many shards a host in another zone is asked for at least. Their parts come back as one page of the
-// greatest records, and the request goes there once: from eight shards on that is a quarter of the bytes or less, and
-// below it the wait for a second host, which may be slow or gone, buys little.
+// leastShards is the minimum number of shards of a subquery to a host in another zone. That host merges their results
+// into one list of the top records, and the request is sent once: from eight shards on this takes a quarter of the
+// bytes or less. With fewer shards the saving doesn't outweigh the wait for a second host, which may be slow or down.
 const leastShards = 8
 
-// Shard is what is known of one shard where a query comes.
+// Shard gives the locations of a shard's replicas.
 type Shard struct {
-	// Near says that a replica is in the host's own availability zone.
+	// Near is set where a replica is in the host's own availability zone.
 	Near bool
-	// Zones are the availability zones that hold a replica.
+	// Zones are the availability zones with a replica of the shard.
 	Zones []string
 }
 
-// Group is a part of a query that goes to one host in a zone.
+// Group is the part of a query that is sent to one host in a zone.
 type Group struct {
 	Zone string
-	// Shards are the places of its shards in the query, in rising order.
+	// Shards are the indexes of the group's shards in the query, in ascending order.
 	Shards []int
 }
 
-// Groups returns the parts of a query that are asked through a host in another zone, where zones have hosts that take
-// them and draw is a random number, 0 to 1. A shard that is in none is asked directly.
+// Groups returns the parts of a query that are sent through a host in another zone. The zones are those with a host
+// that accepts subqueries, and draw is a random number, 0 to 1. A shard in no group is queried directly.
 //
-// It answers queries over many shards each of which has its replicas in some of the zones: for those without a near one
-// whole parts cross the border. A host there gathers them in its own zone, at no more delay than the way there takes
-// anyway, and sends on the greatest records of all of them.
+// It saves traffic between zones for queries over many shards whose replicas are in some of the zones only: without a
+// replica in the own zone, the whole result of a shard crosses a zone border. A host in the other zone gathers the
+// results there, which adds no delay beyond that of the path between the zones, and returns only the top records of all
+// of them.
 func Groups(shards []Shard, zones []string, draw float64) []Group {
 	left := make([]int, 0, len(shards))
 	for i, s := range shards {
@@ -47,8 +48,8 @@
 	return groups
 }
 
-// largest returns the group of the zone that holds most of the shards left. Of zones that hold as many each one is
-// drawn as often, so that the replicas of all zones have their part of the work.
+// largest returns the group of the zone that has replicas of the most remaining shards. Ties are broken at random, so
+// that the replicas of all zones get their share of the load.
 func largest(shards []Shard, left []int, zones []string, draw float64) Group {
 	var best Group
 	first := min(int(draw*float64(len(zones))), max(0, len(zones)-1))
--- a/entry/internal/crossing/crossing_test.go
+++ b/entry/internal/crossing/crossing_test.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/entry/internal/crossing"
 )
 
-// spread returns shards whose replicas are in some of the zones, the next shard's in the zones after those.
+// spread returns shards with the given number of replicas each, placed round robin over the zones.
 func spread(n, replicas int, zones []string, own string) []crossing.Shard {
 	list := make([]crossing.Shard, n)
 	for i := range list {
@@ -24,9 +24,10 @@
 	return list
 }
 
-// A quilter's page over 90 shards comes to a host of five zones; each shard's replicas are in three. Two shards in five
-// are not in the host's zone, and one other host must bring them all; where a query is small or has a replica in each
-// zone, nothing may depend on a second host.
+// Guards against subqueries that are too many or too small. A query over 90 shards is sent to a host in one of five
+// zones, and each shard has replicas in three of them. The two in five shards without a replica in the host's zone must
+// all be gathered by one other host. A query over few shards, or with a replica of each shard in the own zone, must not
+// depend on a second host.
 func TestGroups(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
 	tests := []struct {
@@ -54,8 +55,8 @@
 	qt.Check(t, crossing.Groups(spread(90, 3, zones, "a"), nil, 0.3), qt.HasLen, 0)
 }
 
-// Whatever is known of shards and zones, a shard must be asked once: in one group, in a zone that holds it and has a
-// host, or directly.
+// Guards against shards that are queried twice or through the wrong zone: each shard must be in at most one group,
+// whose zone has a replica of it and a host that accepts subqueries, and is queried directly otherwise.
 func TestEachShardIsAskedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"a", "b", "c", "d"})
@@ -68,11 +69,11 @@
 		seen := map[int]bool{}
 		for _, g := range crossing.Groups(shards, hosts, rapid.Float64Range(0, 1).Draw(t, "draw")) {
 			if !slices.Contains(hosts, g.Zone) {
-				t.Fatalf("no host takes subqueries in %s", g.Zone)
+				t.Fatalf("group in zone %s, where no host accepts subqueries", g.Zone)
 			}
 			for _, i := range g.Shards {
 				if seen[i] || shards[i].Near || !slices.Contains(shards[i].Zones, g.Zone) {
-					t.Fatalf("shard %d of %s", i, fmt.Sprint(g))
+					t.Fatalf("shard %d is wrong or repeated in group %s", i, fmt.Sprint(g))
 				}
 				seen[i] = true
 			}
@@ -80,8 +81,9 @@
 	})
 }
 
-// The replicas of a shard run at equal speed, and each must get its part though no host asks them all. Of hosts in five
-// zones with as many clients, no replica may get half as much again as its third.
+// Guards against uneven load on the replicas of a shard, which are equally fast, although no host uses all of them.
+// With equally many clients on the hosts of five zones, no replica may get more than one and a half times its third of
+// the load.
 func TestReplicasShareTheWork(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
 	work := map[string]float64{}
--- a/entry/internal/crossing/doc.go
+++ b/entry/internal/crossing/doc.go
@@ -1,2 +1,2 @@
-// Package crossing decides which shards of a query are asked through a host in another availability zone.
+// Package crossing selects the shards of a query that are queried through a host in another availability zone.
 package crossing
