--- a/entry/internal/guarded/doc.go
+++ b/entry/internal/guarded/doc.go
@@ -1,2 +1,2 @@
-// Package guarded sends tries of requests unless those are known to crash replicas.
+// Package guarded sends request attempts through the quarantine, which blocks requests that crash replicas.
 package guarded
--- a/entry/internal/guarded/guarded.go
+++ b/entry/internal/guarded/guarded.go
@@ -9,16 +9,16 @@
 	"guavaspring.org/entry/internal/quarantine"
 )
 
-// Try is one try of one shard of a request.
+// Try is one attempt of one shard of a request.
 type Try struct {
-	// Fingerprint names the request by its content, Shard its part.
+	// Fingerprint identifies the request by its content; Shard is the index of the shard.
 	Fingerprint string
 	Shard       int
 	Replica     *endpoints.Replica
 	Call        endpoints.Call
 }
 
-// Send sends the try unless its request is known to crash replicas, and tells the quarantine how it ended.
+// Send sends the attempt unless its request is quarantined, and reports its outcome to the quarantine.
 func Send(ctx context.Context, q *quarantine.Quarantine, t Try) exchange.Result {
 	var res exchange.Result
 	err := q.Guard(ctx, t.Fingerprint, t.Shard, t.Replica.Process(), func() quarantine.Outcome {
@@ -31,8 +31,8 @@
 	return res
 }
 
-// outcome says what the end of a try tells of its request. A connection that broke is not enough: something between the
-// two ends may drop connections of replicas that live, under one request in three for some seconds.
+// outcome returns the quarantine outcome of an attempt. A broken connection alone doesn't count as a crash: a network
+// fault may drop connections to live replicas, in some cases under one request in three for some seconds.
 func outcome(res *exchange.Result) quarantine.Outcome {
 	switch {
 	case res.Kind == upstream.KindOK:
