--- a/entry/internal/quarantine/doc.go
+++ b/entry/internal/quarantine/doc.go
@@ -1,2 +1,2 @@
-// Package quarantine stops requests that crash the upstreams that run them.
+// Package quarantine blocks requests that crash the upstreams that run them.
 package quarantine
--- a/entry/internal/quarantine/model_test.go
+++ b/entry/internal/quarantine/model_test.go
@@ -22,12 +22,12 @@
 	modelSeed  = "20261202"
 	poison     = "poison"
 	work       = 40 * time.Millisecond
-	// fuse is how long the poison runs before it takes its replica down.
+	// fuse is the time from the start of the crashing request to the crash of its replica.
 	fuse   = 10 * time.Millisecond
 	spread = 300 * time.Millisecond
 )
 
-// site is one shard of three replicas, hosts that use it, and the rumors between them.
+// site simulates one shard of three replicas, the hosts that use it, and the rumors between the hosts.
 type site struct {
 	shard   int
 	mu      sync.Mutex
@@ -61,7 +61,8 @@
 	}
 }
 
-// send runs a try and reports whether it was answered; the poison takes down the replica and all that it runs.
+// send runs an attempt and reports whether it got a reply; the crashing request ends the replica and fails all its
+// attempts in flight.
 func (s *site) send(r int, fp string) bool {
 	s.mu.Lock()
 	died := s.lives[r]
@@ -95,7 +96,7 @@
 	return s.rand.IntN(n)
 }
 
-// query asks up to three replicas, as the fan-out does for one shard.
+// query sends attempts to up to three replicas, as the fan-out does for one shard.
 func (s *site) query(q *Quarantine, fp string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
@@ -120,7 +121,7 @@
 	s.lost[fp]++
 }
 
-// run plays queries of quilters every 5 ms and the poison, sent again and again, to the host that to picks.
+// run sends innocent queries every 5 ms, and repeats the crashing request at the hosts that to selects.
 func (s *site) run(repeats int, every time.Duration, to func(i int) int) {
 	s.tasks.Go(func() {
 		for i := range 150 {
@@ -133,12 +134,13 @@
 		s.tasks.Go(func() { s.query(s.hosts[to(i)], poison) })
 	}
 	s.tasks.Wait()
-	// The rumors still on their way belong to the run.
+	// Waits for the rumors still in flight.
 	time.Sleep(2 * spread)
 }
 
-// A lookup crashes each replica that runs it, and the greeter's tablet sends it again at once, to the same host. It
-// must end at two crashes, and the lookups of others that were running beside it must be answered and never be refused.
+// Guards against a request that crashes each replica that runs it and that its caller repeats at once, to the same
+// host. It must be blocked after two crashes. Innocent queries in flight on the same replicas must be answered and
+// never quarantined.
 func TestCrashingRequestEndsAtTwoCrashes(t *testing.T) {
 	qt.Assert(t, flag.Set("rapid.checks", modelSeeds), qt.IsNil)
 	qt.Assert(t, flag.Set("rapid.nofailfile", "true"), qt.IsNil)
@@ -156,13 +158,14 @@
 		delete(s.lost, poison)
 		delete(s.blamed, poison)
 		if s.crashes != 2 || len(s.lost) > 0 || len(s.blamed) > 0 {
-			rt.Fatalf("%d crashes; innocents lost %v, quarantined %v", s.crashes, s.lost, s.blamed)
+			rt.Fatalf("%d crashes; of the other requests, failed %v, quarantined %v", s.crashes, s.lost, s.blamed)
 		}
 	})
 }
 
-// The caller turns to another host each time. Until that one has heard, it tries for itself: two crashes more for each
-// host that is asked within the time that a rumor takes, and none after.
+// Guards against a crashing request that its caller sends to another host each time. Until a host gets the rumor, it
+// tries the request itself: two more crashes for each host that is used within the delay of a rumor, and none after
+// that.
 func TestCrashingRequestSentToOtherHosts(t *testing.T) {
 	for _, test := range []struct {
 		every time.Duration
@@ -178,9 +181,9 @@
 	}
 }
 
-// A lookup crashes a replica and its host has no time left to try it again. The tablet turns to another host, which
-// knows nothing and tries it twice: three crashes. The suspicion is told too, so that the other host's first break is
-// the second.
+// Guards against suspicions that aren't published. A request crashes a replica and its host has no time left to retry.
+// The caller sends it to another host, which would try it twice without the rumor: three crashes in all. With it, the
+// first break at the other host counts as the second.
 func TestSuspicionReachesOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(2, 1)
--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// held is how long a request is refused; a caller that repeats a request does so within seconds.
+	// held is the time for which a request is blocked; a caller that repeats a request does so within seconds.
 	held = time.Minute
-	// suspected is how long one break is remembered.
+	// suspected is the time for which a request stays a suspect after one broken connection.
 	suspected = 10 * time.Second
-	// confirm is how long a suspicion stays on this host: nearly every innocent request has been answered by then, and
-	// a crash with many in flight isn't told to the fleet once for each.
+	// confirm is the delay before a suspicion is published to other hosts. Nearly every innocent request has been
+	// answered and cleared by then, so that a crash with many requests in flight doesn't publish a rumor for each.
 	confirm = 200 * time.Millisecond
-	// patience is how long the shards of a suspect wait for its first second try, twice the usual reply of the slowest
-	// service that was measured; an innocent must not lose all of them to one replica that has gone silent.
+	// patience limits the wait of a suspect's shards for its probe to twice the usual reply time of the slowest service
+	// that was measured: an innocent request must not miss all of these shards because of one silent replica.
 	patience = 100 * time.Millisecond
-	// most bounds the requests that are remembered; the oldest go first.
+	// most is the maximum number of records; the one that expires first is evicted.
 	most = 4096
 )
 
@@ -33,59 +33,62 @@
 type Options struct {
 	Clock   clock.Clock
 	Service string
-	// Publish tells all hosts; it may be nil and must not block.
+	// Publish sends a rumor to all hosts; it may be nil and must not block.
 	Publish func(rumor.Rumor)
-	// Judged is told of each request that is quarantined, by this host or another; it may be nil.
+	// Judged is called for each request that is quarantined, by this host or another; it may be nil.
 	Judged func(fp, why string)
 }
 
-// Verdict says what may be done with a request.
+// Verdict is the quarantine state of a request.
 type Verdict struct {
-	// Refused says that the request is quarantined; RetryAfter is when that ends.
+	// Refused is set where the request is quarantined; RetryAfter is the time until the quarantine ends.
 	Refused    bool
 	RetryAfter time.Duration
-	// Suspect says that a connection broke under it: it must not be hedged.
+	// Suspect is set where a connection broke under the request, which must not be hedged then.
 	Suspect bool
 }
 
-// Quarantine remembers which requests of one service broke connections.
+// Quarantine tracks the requests of one service under which connections broke.
 //
-// It answers a request that crashes each replica that runs it, sent again and again by its caller: without it every
-// replica of a shard is down within seconds. One break proves nothing, as a dying replica takes all that it runs with
-// it. A request whose try broke is a suspect; it is tried once more, and a second break of the same shard on another
-// replica quarantines it. An answer of the shard clears it, since a request that crashes upstreams is never answered.
-// Suspects are kept apart: a replica gets one at a time from this host, so that an innocent one doesn't sit beside the
-// guilty one a second time. A request that broke at several shards is tried again at one of them first while none has
-// answered: sent to all at once, its second tries would take down several replicas more before the first has proved it
-// guilty.
+// It protects the replicas from a request that crashes each replica that runs it and that its caller sends again and
+// again: without quarantine, every replica of a shard is down within seconds. One broken connection proves nothing,
+// since all requests in flight on a crashing replica fail with it. It makes the request a suspect, which is retried
+// once; a second break of the same shard on another replica quarantines the request. A reply of the shard clears it
+// there, since a request that crashes upstreams never gets a reply.
+//
+// Suspects are isolated: this host sends a replica one at a time, so that an innocent suspect isn't on the same replica
+// as the crashing request a second time. While none of its shards has replied, a request that broke connections at
+// several shards is retried at one of them first, the probe. Retries of all shards at once would take down several more
+// replicas before the first break proves the request guilty.
 type Quarantine struct {
 	opts Options
 
 	mu      sync.Mutex
 	records map[string]*record
-	// carries says which suspect a replica runs now; changed is closed when one ends.
+	// carries holds the suspect's retry that each replica is running; changed is closed when one of them ends.
 	carries map[string]*Try
 	changed chan struct{}
 }
 
-// record is what is known of one request.
+// record is the state of one request.
 type record struct {
 	until  time.Time
 	held   bool
 	shards map[int]*shard
-	// probe is the one more try that the other shards of the request wait for.
+	// probe is the retry whose outcome the other shards of the request wait for.
 	probe *Try
-	// open says that its shards don't wait for one another any more, since one has answered or the probe took too long.
+	// open is set where the shards no longer wait for a probe, since one of them has replied or the probe took too
+	// long.
 	open bool
 }
 
-// shard is what is known of one request at one shard.
+// shard is the state of one request at one shard.
 type shard struct {
 	broke  string
 	trying bool
 }
 
-// New returns a quarantine without any request.
+// New returns an empty quarantine.
 func New(opts Options) *Quarantine {
 	if opts.Publish == nil {
 		opts.Publish = func(rumor.Rumor) {}
@@ -96,7 +99,8 @@
 	return &Quarantine{opts: opts, records: map[string]*record{}, carries: map[string]*Try{}, changed: make(chan struct{})}
 }
 
-// Fingerprint names a request by its service and its content as the upstream gets it, part by part.
+// Fingerprint returns a hash of the service and of the parts of the content that the upstream gets, which identifies
+// the request.
 func Fingerprint(service string, content ...[]byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(service)
@@ -107,7 +111,7 @@
 	return strconv.FormatUint(d.Sum64(), 16)
 }
 
-// Check says what may be done with a request that has arrived.
+// Check returns the quarantine state of an incoming request.
 func (q *Quarantine) Check(fp string) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -119,21 +123,21 @@
 	return Verdict{Refused: r.held, RetryAfter: r.until.Sub(now), Suspect: true}
 }
 
-// Outcome says what a try that was sent tells of its request.
+// Outcome is the result of an attempt as far as the quarantine is concerned.
 type Outcome string
 
-// The outcomes of a try.
+// The outcomes of an attempt.
 const (
-	// Broke means that the connection broke under the try.
+	// Broke means that the connection broke during the attempt.
 	Broke Outcome = "broke"
-	// Answered means that the shard answered.
+	// Answered means that the shard replied.
 	Answered Outcome = "answered"
-	// Left means that the try tells nothing.
+	// Left means that the attempt ended with neither, which proves nothing about the request.
 	Left Outcome = "left"
 )
 
-// Guard sends a try of shard n to a replica by send, unless the request is quarantined or may not go there now, and
-// learns from how it ended.
+// Guard calls send for an attempt of shard n on a replica, and records the outcome. It returns an error without calling
+// send if the request is quarantined or may not be sent to that replica now.
 func (q *Quarantine) Guard(ctx context.Context, fp string, n int, replica string, send func() Outcome) error {
 	try, err := q.Enter(ctx, fp, n, replica)
 	if err != nil {
@@ -150,18 +154,18 @@
 	return nil
 }
 
-// Try is one try of a request that may be sent; exactly one of Broke, Answered and Left must follow.
+// Try is an admitted attempt of a request; exactly one of Broke, Answered and Left must be called when it ends.
 type Try struct {
 	q       *Quarantine
 	fp      string
 	n       int
 	replica string
-	// more says that it is the one more try of a suspect.
+	// more is set where the attempt is the retry of a suspect.
 	more bool
 }
 
-// Enter asks to send a try of shard n to a replica, and waits while the replica runs another suspect or the request's
-// own one more try of another shard is not decided.
+// Enter admits an attempt of shard n on a replica. It waits while the replica runs another suspect or the request's
+// probe at another shard has no outcome yet.
 func (q *Quarantine) Enter(ctx context.Context, fp string, n int, replica string) (*Try, error) {
 	try := &Try{q: q, fp: fp, n: n, replica: replica}
 	for {
@@ -182,8 +186,8 @@
 	}
 }
 
-// enter returns a channel to wait on where the replica runs another suspect, or where the one more try of another shard
-// of the request is to be awaited first; q.mu is held.
+// enter admits the attempt, or returns a channel to wait on where the replica runs another suspect or the request has a
+// probe at another shard. q.mu must be held.
 func (q *Quarantine) enter(try *Try) (wait <-chan struct{}, err error) {
 	r := q.records[try.fp]
 	if r == nil || !q.opts.Clock.Now().Before(r.until) {
@@ -199,7 +203,7 @@
 	if s.trying {
 		return nil, fmt.Errorf("the request is a suspect and its one more try runs already")
 	}
-	// A second break of the same replica would prove nothing against the request, and cost the replica one more crash.
+	// A second break on the same replica would prove nothing about the request and cost the replica another crash.
 	if s.broke == try.replica {
 		return nil, fmt.Errorf("the request is a suspect since its connection to this replica broke; another one has to be tried")
 	}
@@ -215,7 +219,7 @@
 	return nil, nil
 }
 
-// Broke notes that the connection broke under the try.
+// Broke records that the connection broke during the attempt.
 func (t *Try) Broke() {
 	q, now := t.q, t.q.opts.Clock.Now()
 	q.mu.Lock()
@@ -223,7 +227,8 @@
 	r := q.record(t.fp, now)
 	s := r.shards[t.n]
 	guilty := s != nil && s.broke != t.replica && !r.held
-	// A try that was on its way when the request was quarantined adds nothing, and must not end the quarantine early.
+	// An attempt that was in flight when the request was quarantined adds no evidence and must not shorten the
+	// quarantine.
 	if s == nil && !r.held {
 		r.shards[t.n] = &shard{broke: t.replica}
 		r.until = now.Add(suspected)
@@ -236,17 +241,18 @@
 	if !guilty {
 		return
 	}
-	q.opts.Judged(t.fp, fmt.Sprintf("connections to %s and %s broke under it", s.broke, t.replica))
+	q.opts.Judged(t.fp, fmt.Sprintf("connections to %s and %s broke while serving it", s.broke, t.replica))
 	q.publish(t.fp, now, held, nil)
 }
 
-// suspicion is the body of the rumor of a request that broke one connection; that of a quarantine has none.
+// suspicion is the body of the rumor about a suspect request; the rumor about a quarantined one has no body.
 type suspicion struct {
 	Shard   int    `json:"shard"`
 	Replica string `json:"replica"`
 }
 
-// tellSuspect tells all hosts of a request that has not been cleared: its caller may turn to another one next.
+// tellSuspect publishes a suspicion that has not been cleared, since the caller may send the request to another host
+// next.
 func (q *Quarantine) tellSuspect(fp string, n int) {
 	now := q.opts.Clock.Now()
 	q.mu.Lock()
@@ -268,7 +274,7 @@
 	})
 }
 
-// Answered notes that the shard answered, which clears the request there.
+// Answered records that the shard replied, which clears the request there.
 func (t *Try) Answered() {
 	q := t.q
 	q.mu.Lock()
@@ -285,14 +291,14 @@
 	}
 }
 
-// Left notes that the try ended without an answer and without a break.
+// Left records that the attempt ended with neither a reply nor a broken connection.
 func (t *Try) Left() {
 	t.q.mu.Lock()
 	defer t.q.mu.Unlock()
 	t.q.leave(t)
 }
 
-// Heard takes over a quarantine or a suspicion from another host.
+// Heard applies a rumor about a quarantined or suspect request from another host.
 func (q *Quarantine) Heard(ru rumor.Rumor) {
 	now := q.opts.Clock.Now()
 	if ru.Service != q.opts.Service || !now.Before(ru.Expires) {
@@ -305,7 +311,7 @@
 	switch {
 	case r.held:
 	case len(ru.Body) == 0:
-		// The other host's clock may be ahead; a request isn't refused for longer than this host would.
+		// The other host's clock may be ahead: a request isn't blocked for longer than by a local quarantine.
 		news, r.held, r.until = true, true, now.Add(min(held, ru.Expires.Sub(now)))
 	case json.Unmarshal(ru.Body, &sus) == nil && r.shards[sus.Shard] == nil:
 		r.shards[sus.Shard] = &shard{broke: sus.Replica}
@@ -317,7 +323,7 @@
 	}
 }
 
-// leave ends the one more try of a suspect and lets the next suspect have its replica; q.mu is held.
+// leave ends the retry of a suspect and frees its replica for the next suspect; q.mu must be held.
 func (q *Quarantine) leave(t *Try) {
 	if !t.more {
 		return
@@ -336,7 +342,7 @@
 	}
 }
 
-// giveUp lets the other shards go where the probe is still undecided: its replica may be slow or silent.
+// giveUp lets the other shards proceed if the probe has no outcome yet: its replica may be slow or silent.
 func (q *Quarantine) giveUp(r *record, probe *Try) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -345,7 +351,7 @@
 	}
 }
 
-// open ends the waiting of a request's shards for one another; q.mu is held.
+// open lets the request's shards proceed without waiting for a probe; q.mu must be held.
 func (q *Quarantine) open(r *record) {
 	if r.open {
 		return
@@ -354,13 +360,14 @@
 	q.wakeAll()
 }
 
-// wakeAll lets those who wait look again; q.mu is held.
+// wakeAll wakes all waiting attempts to check again; q.mu must be held.
 func (q *Quarantine) wakeAll() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 }
 
-// record returns the record of a request, and makes room for a new one by dropping the one that ends first.
+// record returns the record of a request. It creates one where there is none or it has expired, and evicts the record
+// that expires first if there are too many.
 func (q *Quarantine) record(fp string, now time.Time) *record {
 	r := q.records[fp]
 	if r != nil && now.Before(r.until) {
--- a/entry/internal/quarantine/shards_test.go
+++ b/entry/internal/quarantine/shards_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fleet is ten shards that one host's queries all go to at once.
+// fleet simulates a number of shards that each query of one host is sent to.
 type fleet struct {
 	sites []*site
 }
@@ -36,7 +36,7 @@
 	wg.Wait()
 }
 
-// play sends queries of quilters every 10 ms, and calls fault 200 ms after the first.
+// play sends innocent queries every 10 ms, and calls fault 200 ms after the first.
 func (f *fleet) play(fault func()) {
 	var tasks sync.WaitGroup
 	for i := range 60 {
@@ -50,7 +50,8 @@
 	time.Sleep(2 * spread)
 }
 
-// sum returns the crashes, and how many tries of innocents were lost and how many innocents blamed.
+// sum returns the number of crashes and, of the innocent queries, the numbers of those that failed at a shard and of
+// those that were quarantined.
 func (f *fleet) sum() (crashes, lost, blamed int) {
 	for _, s := range f.sites {
 		delete(s.lost, poison)
@@ -62,8 +63,9 @@
 	return crashes, lost, blamed
 }
 
-// A lookup broke at two shards, and the replica that gets its first second try has fallen silent. The other shard must
-// not wait for it until the page's deadline: after 100 ms it is tried too.
+// Guards against a silent replica that blocks a suspect's other shards. A request broke connections at two shards, and
+// the replica that gets its probe doesn't reply. The other shard must not wait until the request's deadline but be
+// retried after 100 ms.
 func TestSilentReplicaDoesNotHoldTheOtherShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newSite(1, 1).hosts[0]
@@ -85,9 +87,9 @@
 
 const fleetSeeds = 100
 
-// A lookup that crashes upstreams goes to ten shards at once and breaks ten replicas. Its second tries leave together
-// too: before the first of them has proved it guilty, several more replicas are down, and pages wait for the third of a
-// shard.
+// Guards against retries of a crashing request at all shards at once. The request is sent to ten shards and crashes ten
+// replicas. If its retries are sent together too, they crash several more replicas before the first one proves it
+// guilty, and other requests depend on the third replica of a shard.
 func TestCrashingRequestCostsOneCrashMoreThanShards(t *testing.T) {
 	for seed := range uint64(fleetSeeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -104,8 +106,8 @@
 	}
 }
 
-// One replica of each of ten shards dies at the same moment for a reason of its own, as with the loss of a zone. The
-// lookups that ran there break at up to ten shards each, and none is guilty.
+// Guards against quarantining innocent requests when a zone is lost. One replica of each of ten shards goes down at the
+// same moment. The requests in flight there break at up to ten shards each, and none may be quarantined.
 func TestInnocentsOfAZoneThatDiesAreAnswered(t *testing.T) {
 	for seed := range uint64(fleetSeeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -121,8 +123,9 @@
 	}
 }
 
-// A lookup is quarantined at its second break of one shard, and the try of another shard breaks a moment later. That
-// break must not end the quarantine early: after 10 s its caller would take down ten replicas once more.
+// Guards against a late break that shortens the quarantine. A request is quarantined at its second break of one shard,
+// and its attempt at another shard breaks a moment later. If that ended the quarantine after 10 s, the caller's repeats
+// would crash ten more replicas.
 func TestLateBreakDoesNotEndTheQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newSite(1, 1).hosts[0]
