--- a/entry/internal/evacuation/doc.go
+++ b/entry/internal/evacuation/doc.go
@@ -1,2 +1,2 @@
-// Package evacuation knows the availability zones to whose replicas nothing is sent.
+// Package evacuation tracks the availability zones that operators have evacuated: their replicas get no requests.
 package evacuation
--- a/entry/internal/evacuation/zones.go
+++ b/entry/internal/evacuation/zones.go
@@ -19,28 +19,28 @@
 type Options struct {
 	Clock clock.Clock
 	Log   logr.Logger
-	// Changed is told after the evacuated zones have changed; nil means nobody is.
+	// Changed is called after each update of the evacuated zones; nil means that no function is called.
 	Changed func()
 }
 
 // Zones holds the evacuated availability zones.
 //
-// It answers an operator who takes a zone out: its replicas are about to lose power, or hand out wrong records. Each
-// request that still goes there may be lost or be wrong, while the replicas of the other zones could have served it.
-// Every choice of a replica asks here, and what waited for a connection asks again before its first byte leaves, so
-// that no path to a replica goes around the order.
+// An operator evacuates a zone when its replicas are about to lose power or return wrong records: a request that is
+// still sent there may fail or get a wrong response, while the replicas of other zones could have served it. Each
+// choice of a replica checks the evacuations, and a request that waited for a connection checks them again before its
+// first byte is sent, so that no path to a replica bypasses them.
 type Zones struct {
 	opts Options
 
 	mu sync.Mutex
-	// since holds the evacuated zones, and when this host learned of each.
+	// since holds the evacuated zones with the time at which this host received each evacuation.
 	since map[string]time.Time
-	// names holds the same zones for readers, who ask for each replica of each choice.
+	// names holds the same zones for lock-free reads, since each choice of a replica checks each candidate.
 	names atomic.Pointer[map[string]bool]
 	known atomic.Bool
 }
 
-// New returns Zones that know of no order yet.
+// New returns Zones without any evacuation.
 func New(opts Options) *Zones {
 	if opts.Changed == nil {
 		opts.Changed = func() {}
@@ -50,16 +50,17 @@
 	return z
 }
 
-// Has reports whether nothing may be sent to the replicas of a zone.
+// Has reports whether a zone is evacuated, so that nothing may be sent to its replicas.
 func (z *Zones) Has(zone string) bool { return (*z.names.Load())[zone] }
 
-// Known reports whether the orders were ever read.
+// Known reports whether a full list of evacuations was ever received.
 func (z *Zones) Known() bool { return z.known.Load() }
 
-// Names returns the evacuated zones in order.
+// Names returns the evacuated zones in ascending order.
 func (z *Zones) Names() []string { return slices.Sorted(maps.Keys(*z.names.Load())) }
 
-// Replace takes over a list of all orders. A zone that is not in it was released, though nobody told so.
+// Replace applies a full list of evacuations. A zone that is missing from it is released, although its release was
+// never received.
 func (z *Zones) Replace(batch feed.Batch[platform.Evacuation]) {
 	z.mu.Lock()
 	listed := map[string]bool{}
@@ -77,7 +78,7 @@
 	z.opts.Changed()
 }
 
-// Change takes over orders that were given or taken back.
+// Change applies evacuations that were created or deleted.
 func (z *Zones) Change(batch feed.Batch[platform.Evacuation]) {
 	z.mu.Lock()
 	z.take(batch.Entries)
@@ -85,15 +86,15 @@
 	z.opts.Changed()
 }
 
-// take takes over orders. One whose spec can't be read, or that is being deleted and still has finalizers, holds like
-// any other: as long as the object exists its name says all, and a zone that is spared by mistake costs less than one
-// that is used by mistake.
+// take adds and releases the zones of the entries. An entry whose spec can't be read, or that is being deleted but
+// still has finalizers, counts as an evacuation: as long as the object exists its name is sufficient, and avoiding a
+// zone by mistake costs less than using one by mistake.
 func (z *Zones) take(entries []feed.Entry[platform.Evacuation]) {
 	for _, e := range entries {
 		_, evacuated := z.since[e.Name]
 		switch {
 		case e.Name == "":
-			// It names no zone.
+			// The entry names no zone.
 		case e.Deleted && evacuated:
 			z.release(e.Name)
 		case !e.Deleted && !evacuated:
--- a/entry/internal/evacuation/zones_test.go
+++ b/entry/internal/evacuation/zones_test.go
@@ -24,7 +24,7 @@
 	return feed.Entry[platform.Evacuation]{Name: zone, Unreadable: true}
 }
 
-// step is what a host hears: a list of all orders, or those that changed.
+// step is one update that a host receives: a full list of evacuations, or the changed ones.
 type step struct {
 	list    bool
 	entries []feed.Entry[platform.Evacuation]
@@ -34,9 +34,9 @@
 
 func change(entries ...feed.Entry[platform.Evacuation]) step { return step{false, entries} }
 
-// An operator evacuates zones and takes that back, while hosts hear of it by lists and changes, some of which they
-// miss. A zone must be left alone from the first word of it, and used again from the word that it was released, or from
-// a list that doesn't hold it any more.
+// Guards against requests to an evacuated zone, and against a zone that stays unused after its release, while hosts get
+// evacuations by lists and changes and miss some of these. A zone must be avoided from the first update that names it,
+// and used again from the update that releases it or from a list that doesn't contain it.
 func TestOrders(t *testing.T) {
 	tests := []struct {
 		name  string
