--- a/entry/internal/steer/doc.go
+++ b/entry/internal/steer/doc.go
@@ -1,2 +1,2 @@
-// Package steer decides which hosts a caller is told to use for a service.
+// Package steer selects the hosts that a caller is directed to for a service.
 package steer
--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -13,45 +13,46 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// The weights of hosts. docs/design/addresses.md gives the runs that chose them.
+// The weights of hosts; see docs/design/addresses.md.
 const (
-	// otherZone is the weight of a host outside the caller's zone: a third of the callers of each zone already use two
-	// zones, so that a zone whose callers are many spills over.
+	// otherZone is the weight of a host outside the caller's zone. With it, a third of the callers of each zone use hosts
+	// in two zones, so that a zone with many callers spills over.
 	otherZone = 0.5
 	// full is the load from which a host is chosen for fewer callers, and fullWeight its weight then.
 	full       = 0.9
 	fullWeight = 0.25
-	// evenLoad bounds how much load counts among the chosen hosts: an idle one gets three times what a full one gets,
-	// no more, since loads lag and callers would all move at once.
+	// evenLoad limits the effect of load on the weights of the chosen hosts: an idle host gets three times the requests
+	// of a full one and no more, since reported loads lag and all callers would move at once.
 	evenLoad = 0.5
-	// keepSpread is the part of the time to keep an answer that is drawn at random, so that callers that asked together
-	// do not ask together again.
+	// keepSpread is the random part (jitter) of the time for which an answer is kept, so that callers that asked at the
+	// same time don't ask at the same time again.
 	keepSpread = 0.2
 )
 
-// Request is what the decision knows of an address request.
+// Request holds the inputs of an address request.
 type Request struct {
 	Service string
-	// Caller names the caller; the same name is given the same hosts as long as they serve.
+	// Caller is the caller's name; the same name gets the same hosts as long as they serve.
 	Caller string
-	// Zone is the caller's availability zone, empty where it did not say.
+	// Zone is the caller's availability zone, empty if unknown.
 	Zone string
-	// Count is the most hosts wanted.
+	// Count is the maximum number of hosts to return.
 	Count int
-	// Hosts is the most hosts that may hold connections to a replica of the service, those being replaced included.
+	// Hosts is the maximum number of hosts that may hold connections to a replica of the service, including hosts that
+	// are being replaced.
 	Hosts int
-	// Keep is how long an answer may be kept.
+	// Keep is the maximum time for which an answer may be kept.
 	Keep time.Duration
 }
 
-// Choice is one host that the caller is told to use.
+// Choice is a host that the caller is directed to.
 type Choice struct {
 	Host member.Host
 	// Weight is the share of requests to send there, relative to the other choices.
 	Weight float64
 }
 
-// Answer is the decision about an address request.
+// Answer is the result of an address request.
 type Answer struct {
 	Choices []Choice
 	Keep    time.Duration
@@ -59,35 +60,35 @@
 
 // Options configures a Steerer.
 type Options struct {
-	// Float64 draws the spread of Keep from [0, 1); nil means rand.Float64.
+	// Float64 returns a random number in [0, 1) for the jitter of Keep; nil means rand.Float64.
 	Float64 func() float64
 }
 
-// Steerer decides which hosts callers use.
+// Steerer selects the hosts that callers use.
 //
-// It answers callers that come unevenly: many in one zone, or all to the address that is first in the
-// answer. Without it hosts differ in load, a caller's hosts change with each answer and its warm connections
-// with them, and a service's callers come to hosts that hold no connections to its replicas.
+// It evens out callers that arrive unevenly: many in one zone, or all at the first address of the answer. Without it
+// the hosts' loads differ, a caller's hosts change with each answer so that its warm connections are lost, and callers
+// of a service use hosts without connections to its replicas.
 //
-// Each service is placed on a few hosts, and each caller is given a few of these, both by rendezvous hashing
-// over the hosts' addresses: every host computes the same answer with no word to the others, and a host that
-// comes or goes moves only the callers that used it. Hosts that are leaving or suspect are not handed out.
+// Each service is placed on a few hosts and each caller gets a few of these, both by rendezvous hashing over the hosts'
+// addresses: every host computes the same answer without coordination, and a host that joins or leaves moves only the
+// callers that used it. Hosts that are leaving or suspect are not returned.
 type Steerer struct {
 	opts Options
 
-	// placed holds what was worked out for the member list that begins at placedFor.
+	// placed caches the hosts of each service for the member list whose first element is placedFor.
 	mu        sync.Mutex
 	placed    map[placement][]member.Host
 	placedFor *member.Host
 }
 
-// placement is what the hosts of a service depend on besides the member list.
+// placement is the cache key of a service's hosts within one member list.
 type placement struct {
 	service string
 	limit   int
 }
 
-// New returns a steerer.
+// New returns a Steerer with the given options.
 func New(opts Options) *Steerer {
 	if opts.Float64 == nil {
 		opts.Float64 = rand.Float64
@@ -95,9 +96,9 @@
 	return &Steerer{opts: opts, placed: map[placement][]member.Host{}}
 }
 
-// place returns Place for self's host, and keeps it until the member list changes: each request asks whether it came
-// to the right host, and looking through 5,600 hosts for each would take a tenth of a core. A member list is a new
-// slice after each change and never changes itself.
+// place returns the result of Place for self, cached until the member list changes: each request checks whether it
+// arrived at the right host, and scanning 5,600 hosts for each would take a tenth of a core. A changed member list is a
+// new slice, and a slice in use is never modified.
 func (s *Steerer) place(hosts []member.Host, self member.Host, service string, limit int) []member.Host {
 	if len(hosts) == 0 {
 		return Place(hosts, self, service, limit)
@@ -117,7 +118,8 @@
 	return list
 }
 
-// Pick answers a request that self received; hosts holds self too. There is always a choice, self if no other serves.
+// Pick answers an address request that self received; hosts contains self. It returns at least one choice, self if no
+// other host serves.
 func (s *Steerer) Pick(hosts []member.Host, self member.Host, req Request) Answer {
 	candidates := s.place(hosts, self, req.Service, req.Hosts)
 	chosen := choose(candidates, req)
@@ -132,16 +134,16 @@
 	return d - time.Duration(s.opts.Float64()*keepSpread*float64(d))
 }
 
-// Place returns the hosts that serve a service in self's region: all of them as long as there are at most limit, else
-// the few that come first for its name.
+// Place returns the hosts that serve a service in self's region: all of them if there are at most limit, else the first
+// few in the rendezvous order of the service's name.
 //
-// A host has connections for about one service at the largest size. Callers that came to any host would make each host
-// open connections to each service's replicas, beyond what the replicas take. One in eight of limit is left for hosts
-// that are being replaced, whose connections are still open.
+// At the largest size a host has connections for about one service. Callers that used any host would make each host
+// open connections to the replicas of each service, more than the replicas accept. One in eight of limit is reserved
+// for hosts that are being replaced, whose connections are still open.
 func Place(hosts []member.Host, self member.Host, service string, limit int) []member.Host {
 	state := member.StateAlive
 	if !has(hosts, self.Region, state) {
-		// Every other host is suspect or gone, which is more likely an error of this one: hand out what may still
+		// If every other host is suspect or gone, the fault is more likely on this host: return hosts that may still
 		// serve.
 		state = member.StateSuspect
 	}
@@ -160,7 +162,8 @@
 	})
 }
 
-// Serves reports whether callers of a service should use self; where not, it still serves those that come.
+// Serves reports whether callers of a service should use self. A host for which it returns false still serves requests
+// that arrive.
 func (s *Steerer) Serves(hosts []member.Host, self member.Host, service string, limit int) bool {
 	if self.State == member.StateLeaving {
 		return false
@@ -182,7 +185,7 @@
 	return n
 }
 
-// choose takes the caller's hosts by weighted rendezvous hashing, and sees to it that they are not all in one zone.
+// choose selects the caller's hosts by weighted rendezvous hashing, in more than one zone where possible.
 func choose(hosts []member.Host, req Request) []member.Host {
 	ranked := func(h *member.Host) float64 { return score(rankWeight(h, req.Zone), req.Service, req.Caller, h.Caller) }
 	n := max(1, req.Count)
@@ -190,7 +193,7 @@
 	if n < 2 || len(chosen) < n || !sameZone(chosen) {
 		return chosen
 	}
-	// A zone that fails would take all of the caller's hosts at once.
+	// If all of the caller's hosts were in one zone, its failure would take them all at once.
 	elsewhere := func(h *member.Host) float64 {
 		if h.Zone == chosen[0].Zone {
 			return 0
@@ -214,7 +217,8 @@
 	return 1
 }
 
-// rankWeight looks at load in one step only: if it followed the load, the caller's hosts would change with it.
+// rankWeight takes load into account in a single step: with a continuous weight, the caller's hosts would change with
+// each change of load.
 func rankWeight(h *member.Host, zone string) float64 {
 	w := zoneWeight(h, zone)
 	if h.Load >= full {
@@ -223,8 +227,8 @@
 	return w
 }
 
-// top returns the n hosts with the highest rank above 0, highest first; n is small, so that a fleet is looked through
-// once and not sorted.
+// top returns the n hosts with the highest rank above 0, highest first. As n is small, it scans the hosts once instead
+// of sorting them.
 func top(hosts []member.Host, n int, rank func(h *member.Host) float64) []member.Host {
 	type ranked struct {
 		host *member.Host
@@ -248,14 +252,14 @@
 	return list
 }
 
-// score is the weighted rendezvous score: of two hosts, each comes first for a share of names that is proportional to
-// its weight.
+// score returns the weighted rendezvous score: each of two hosts ranks first for a share of names proportional to its
+// weight.
 //
-// It hashes the address rather than the ID, so that a host that was restarted gets its callers back.
+// It hashes the address instead of the ID, so that a restarted host gets its callers back.
 func score(weight float64, service, caller string, host netip.AddrPort) float64 {
 	f := fnv.New64a()
 	for _, s := range [...]string{service, caller} {
-		// Writing to a hash returns no error.
+		// Writing to a hash never fails.
 		_, _ = f.Write([]byte(s))
 		_, _ = f.Write([]byte{0})
 	}
--- a/entry/internal/steer/steer_test.go
+++ b/entry/internal/steer/steer_test.go
@@ -15,7 +15,7 @@
 
 var zones = []string{"osborne-hall", "picton-shed", "webberton-room"}
 
-// fleet returns n hosts that serve, spread over the zones.
+// fleet returns n alive hosts, spread over the zones.
 func fleet(n int) []member.Host {
 	list := make([]member.Host, n)
 	for i := range list {
@@ -40,8 +40,8 @@
 	return set
 }
 
-// A host is stopped for an update, and another does not answer probes. A caller that is still sent there
-// meets a closed port. Neither may be handed out; where none else is left, the host that answers is.
+// Guards against callers that are directed to a closed port, as when a host is stopped for an update or fails to answer
+// probes. Neither host may be returned; if no other is left, the host that answers returns itself.
 func TestOnlyHostsThatServeAreHandedOut(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -70,7 +70,7 @@
 	}
 }
 
-// All callers ask the same host and use the first address of the answer. Each host must still get its share.
+// Guards against uneven load when all callers ask the same host: each host must still get its share of requests.
 func TestCallersAreSpread(t *testing.T) {
 	c := qt.New(t)
 	hosts := fleet(7)
@@ -92,8 +92,8 @@
 	}
 }
 
-// One host is replaced. Callers that did not use it must keep their hosts, and with them their connections;
-// the others lose that one only.
+// Guards against lost connections when one host is replaced: callers that did not use it must keep all their hosts, and
+// the others lose only that one.
 func TestChangeMovesOnlyThoseConcerned(t *testing.T) {
 	c := qt.New(t)
 	hosts := fleet(7)
@@ -113,8 +113,8 @@
 	}
 }
 
-// A zone fails every other month. A caller all of whose hosts were in it is left with nothing until its
-// answer is old; and a caller that names its zone should mostly stay inside it.
+// Guards against a caller all of whose hosts are in one zone: zones fail every other month, and the caller would have
+// no host until its answer expires. A caller that names its zone must still send most requests within it.
 func TestZones(t *testing.T) {
 	c := qt.New(t)
 	near, total := 0.0, 0.0
@@ -134,8 +134,8 @@
 	c.Check(near/total > 0.55, qt.IsTrue)
 }
 
-// One host is full. It must get less, but its callers must not all leave at once: loads are seconds old, and
-// the next host would be full then.
+// Guards against a full host that loses all its callers at once: reported loads are seconds old, and the next host
+// would be full then. It must get less, but keep some of its callers.
 func TestLoadMovesSomeOfTheCallers(t *testing.T) {
 	c := qt.New(t)
 	idle, loaded := fleet(7), fleet(7)
@@ -159,8 +159,9 @@
 	c.Check(after > before/20, qt.IsTrue)
 }
 
-// At the size that is planned for, a host has connections for about one service. Whoever asks whichever host,
-// a service's callers must come to the same few hosts, and one more host may move one of them at most.
+// Guards against a service that uses connections on all hosts. At the planned size, a host has connections for about
+// one service: whichever hosts they ask, a service's callers must be directed to the same few hosts, and one additional
+// host may replace at most one of them.
 func TestServiceIsPlacedOnFewHosts(t *testing.T) {
 	c := qt.New(t)
 	placed := func(hosts []member.Host) map[string]bool {
@@ -185,7 +186,7 @@
 			c.Assert(before[id], qt.IsTrue)
 		}
 	}
-	// A caller that kept an answer for too long is told so by a host that should not serve it any more.
+	// Each host reports whether it should serve, so that callers whose answer has expired get new addresses.
 	hosts := fleet(100)
 	s := steer.New(steer.Options{})
 	for _, h := range hosts {
@@ -195,9 +196,8 @@
 	c.Check(s.Serves(hosts, hosts[0], "remnant-finder", 8), qt.IsFalse)
 }
 
-// The hosts of a service are kept from one request to the next. A host of them dies, and callers that ask
-// afterwards must be told of its successor; if what is kept outlived the member list, they would be sent to a
-// dead host for as long as this one runs. Two services, or two limits, must not be given each other's hosts.
+// Guards against cached hosts of a service that outlive the member list: after the death of one of them, callers would
+// be directed to it for as long as this host runs. Different services or limits must not share a cache entry.
 func TestWhatIsKeptEndsWithTheMemberList(t *testing.T) {
 	c := qt.New(t)
 	s := steer.New(steer.Options{})
@@ -244,7 +244,7 @@
 	}
 }
 
-// BenchmarkServes measures what each query and write asks.
+// BenchmarkServes measures the check that each query and write makes.
 func BenchmarkServes(b *testing.B) {
 	for _, n := range []int{7, 700, 5600} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
