--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// doubt is the number of consecutive slow or failed attempts that take a replica out of rotation. Single ones are
-	// normal on every replica. With second attempts sent after the 98.5th percentile, about one attempt in some
-	// thousand is the second in a row; one probe, sent at once, brings such a replica back.
-	doubt = 2
-	// verdict is the number of consecutive slow or failed attempts that eject a replica; the third one is the probe
-	// sent after the first two.
-	verdict = 3
-	// firstTrial is the time between the first probe and the second.
-	firstTrial = time.Second
-	// longestTrial caps the time between probes, which doubles from firstTrial.
-	longestTrial = 16 * time.Second
-	// slowFactor is the multiple of the usual duration from which an attempt counts as slow.
+	// suspectThreshold is the number of consecutive slow or failed attempts that take a replica out of rotation. Single
+	// ones are normal on every replica. With second attempts sent after the 98.5th percentile, about one attempt in
+	// some thousand is the second in a row; one probe, sent at once, brings such a replica back.
+	suspectThreshold = 2
+	// ejectThreshold is the number of consecutive slow or failed attempts that eject a replica; the third one is the
+	// probe sent after the first two.
+	ejectThreshold = 3
+	// minProbeInterval is the time between the first probe and the second.
+	minProbeInterval = time.Second
+	// maxProbeInterval caps the time between probes, which doubles from minProbeInterval.
+	maxProbeInterval = 16 * time.Second
+	// slowFactor is the multiple of the usual duration above which an attempt counts as slow.
 	slowFactor = 4
-	// slowFloor is the excess over the usual duration, about two round trips between zones, up to which no attempt
+	// minSlowExcess is the excess over the usual duration, about two round trips between zones, up to which no attempt
 	// counts as slow.
-	slowFloor = 3 * time.Millisecond
+	minSlowExcess = 3 * time.Millisecond
 )
 
 // State holds the ejection state of a replica. The zero value is in rotation.
@@ -33,44 +33,44 @@
 // attempt, so that no response waits for them. The first successful probe brings the replica back. The first probe is
 // due at once, so that two slow attempts in a row cost a healthy replica nothing.
 type State struct {
-	// trialAt is the time of the next probe in Unix nanoseconds; zero means that the replica is in rotation.
-	trialAt atomic.Int64
+	// nextProbe is the time of the next probe in Unix nanoseconds; zero means that the replica is in rotation.
+	nextProbe atomic.Int64
 
-	mu      sync.Mutex
-	strikes int
-	ejected bool
-	wait    time.Duration
+	mu            sync.Mutex
+	failures      int
+	ejected       bool
+	probeInterval time.Duration
 }
 
 // Slow reports whether an attempt that took the given time was slow compared with the usual duration.
 func Slow(took, usual time.Duration) bool {
-	return usual > 0 && took > slowFactor*usual && took > usual+slowFloor
+	return usual > 0 && took > slowFactor*usual && took > usual+minSlowExcess
 }
 
 // In reports whether the replica is in rotation, that is, gets regular attempts.
-func (s *State) In() bool { return s.trialAt.Load() == 0 }
+func (s *State) In() bool { return s.nextProbe.Load() == 0 }
 
 // Hold takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
 func (s *State) Hold(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wait = firstTrial
-	s.trialAt.Store(now.UnixNano())
+	s.probeInterval = minProbeInterval
+	s.nextProbe.Store(now.UnixNano())
 }
 
 // Trial reports whether a probe is due. It returns true to one caller only, which has to send the probe.
 func (s *State) Trial(now time.Time) bool {
-	at := s.trialAt.Load()
+	at := s.nextProbe.Load()
 	if at == 0 || now.UnixNano() < at {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.trialAt.Load() != at {
+	if s.nextProbe.Load() != at {
 		return false
 	}
-	s.trialAt.Store(now.Add(s.wait).UnixNano())
-	s.wait = min(2*s.wait, longestTrial)
+	s.nextProbe.Store(now.Add(s.probeInterval).UnixNano())
+	s.probeInterval = min(2*s.probeInterval, maxProbeInterval)
 	return true
 }
 
@@ -79,15 +79,15 @@
 func (s *State) Strike(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.strikes++
-	if s.strikes < doubt {
+	s.failures++
+	if s.failures < suspectThreshold {
 		return false
 	}
-	if s.trialAt.Load() == 0 {
-		s.wait = firstTrial
-		s.trialAt.Store(now.UnixNano())
+	if s.nextProbe.Load() == 0 {
+		s.probeInterval = minProbeInterval
+		s.nextProbe.Store(now.UnixNano())
 	}
-	if s.strikes < verdict || s.ejected {
+	if s.failures < ejectThreshold || s.ejected {
 		return false
 	}
 	s.ejected = true
@@ -98,8 +98,8 @@
 func (s *State) Good() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.ejected
-	s.strikes, s.ejected = 0, false
-	s.trialAt.Store(0)
-	return was
+	wasEjected := s.ejected
+	s.failures, s.ejected = 0, false
+	s.nextProbe.Store(0)
+	return wasEjected
 }
--- a/entry/internal/eject/eject_test.go
+++ b/entry/internal/eject/eject_test.go
@@ -12,7 +12,7 @@
 // Guards against a replica that keeps getting requests although it answers 20 times slower than the others, as with a
 // failing disk: every response that uses it is late. It must be ejected after a few attempts, probed at growing
 // intervals, and used again after the first successful probe.
-func TestSlowReplicaIsOutUntilAGoodTry(t *testing.T) {
+func TestSlowReplicaIsEjectedUntilProbeSucceeds(t *testing.T) {
 	var s eject.State
 	now := time.Unix(100, 0)
 	qt.Assert(t, s.Strike(now), qt.IsFalse)
@@ -34,14 +34,14 @@
 	qt.Assert(t, s.Strike(now), qt.IsTrue)
 	qt.Assert(t, s.In(), qt.IsFalse)
 
-	var trials []int
+	var probes []int
 	for sec := range 60 {
 		if s.Trial(now.Add(time.Duration(sec) * time.Second)) {
-			trials = append(trials, sec)
+			probes = append(probes, sec)
 			s.Strike(now)
 		}
 	}
-	qt.Assert(t, trials, qt.DeepEquals, []int{1, 3, 7, 15, 31, 47})
+	qt.Assert(t, probes, qt.DeepEquals, []int{1, 3, 7, 15, 31, 47})
 	qt.Assert(t, s.Good(), qt.IsTrue)
 	qt.Assert(t, s.In(), qt.IsTrue)
 	qt.Assert(t, s.Trial(now.Add(time.Hour)), qt.IsFalse)
