--- a/entry/internal/subset/subset.go
+++ b/entry/internal/subset/subset.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// mostNear and mostFar are the numbers of replicas that a host uses in its own zone and in other zones. Those in
-	// other zones serve second attempts, and all attempts while the host's own zone has no replica left.
-	mostNear, mostFar = 5, 3
-	// mostAnywhere is the number of replicas used by a host whose zone has none.
-	mostAnywhere = mostNear + mostFar
+	// maxSameZone and maxOtherZones are the numbers of replicas that a host uses in its own zone and in other zones.
+	// Those in other zones serve second attempts, and all attempts while the host's own zone has no replica left.
+	maxSameZone, maxOtherZones = 5, 3
+	// maxWithoutSameZone is the number of replicas used by a host whose zone has none.
+	maxWithoutSameZone = maxSameZone + maxOtherZones
 )
 
 // Replica is a candidate for a host's subset.
@@ -34,25 +34,28 @@
 func Choose(self string, hosts []member.Host, replicas []Replica) []int {
 	i := slices.IndexFunc(hosts, func(h member.Host) bool { return h.ID == self })
 	if i < 0 {
-		return all(replicas)
+		return allIndexes(replicas)
 	}
 	zone := hosts[i].Zone
-	var near, far []int
+	var sameZone, otherZones []int
 	for n, r := range replicas {
 		if r.Zone == zone {
-			near = append(near, n)
+			sameZone = append(sameZone, n)
 		} else {
-			far = append(far, n)
+			otherZones = append(otherZones, n)
 		}
 	}
-	if len(near) == 0 {
-		return match(self, without(hosts, replicas), replicas, far, mostAnywhere)
+	if len(sameZone) == 0 {
+		return assign(self, withoutReplicas(hosts, replicas), replicas, otherZones, maxWithoutSameZone)
 	}
-	beside := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return h.Zone != zone })
-	return append(match(self, beside, replicas, near, mostNear), match(self, beside, replicas, far, mostFar)...)
+	zoneHosts := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return h.Zone != zone })
+	return append(
+		assign(self, zoneHosts, replicas, sameZone, maxSameZone),
+		assign(self, zoneHosts, replicas, otherZones, maxOtherZones)...,
+	)
 }
 
-func all(replicas []Replica) []int {
+func allIndexes(replicas []Replica) []int {
 	list := make([]int, len(replicas))
 	for i := range list {
 		list[i] = i
@@ -60,8 +63,8 @@
 	return list
 }
 
-// without returns the hosts whose zones have no replica.
-func without(hosts []member.Host, replicas []Replica) []member.Host {
+// withoutReplicas returns the hosts whose zones have no replica.
+func withoutReplicas(hosts []member.Host, replicas []Replica) []member.Host {
 	zones := map[string]bool{}
 	for _, r := range replicas {
 		zones[r.Zone] = true
@@ -75,15 +78,15 @@
 	host, replica int
 }
 
-// match returns the replicas, given by their indexes in among, that are assigned to self where each of the hosts gets
-// the given number of them.
-func match(self string, hosts []member.Host, replicas []Replica, among []int, number int) []int {
-	if len(among) <= number {
-		return among
+// assign returns the replicas, given by their indexes in candidates, that are assigned to self where each of the hosts
+// gets the given number of them.
+func assign(self string, hosts []member.Host, replicas []Replica, candidates []int, perHost int) []int {
+	if len(candidates) <= perHost {
+		return candidates
 	}
-	pairs := make([]pair, 0, len(hosts)*len(among))
+	pairs := make([]pair, 0, len(hosts)*len(candidates))
 	for i := range hosts {
-		for _, n := range among {
+		for _, n := range candidates {
 			pairs = append(pairs, pair{rank: xxhash.Sum64String(hosts[i].ID + "\x00" + replicas[n].ID), host: i, replica: n})
 		}
 	}
@@ -91,15 +94,15 @@
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.host, b.host), cmp.Compare(a.replica, b.replica))
 	})
 	// Caps the hosts per replica at an even share of all assignments, rounded up.
-	part := (number*len(hosts) + len(among) - 1) / len(among)
-	has, chosen := make([]int, len(hosts)), make([]int, len(replicas))
+	maxPerReplica := (perHost*len(hosts) + len(candidates) - 1) / len(candidates)
+	hostCounts, replicaCounts := make([]int, len(hosts)), make([]int, len(replicas))
 	var list []int
 	for _, p := range pairs {
-		if has[p.host] == number || chosen[p.replica] == part {
+		if hostCounts[p.host] == perHost || replicaCounts[p.replica] == maxPerReplica {
 			continue
 		}
-		has[p.host]++
-		chosen[p.replica]++
+		hostCounts[p.host]++
+		replicaCounts[p.replica]++
 		if hosts[p.host].ID == self {
 			list = append(list, p.replica)
 		}
--- a/entry/internal/subset/subset_test.go
+++ b/entry/internal/subset/subset_test.go
@@ -42,22 +42,22 @@
 	return hosts, replicas
 }
 
-// chosen returns the IDs of the replicas in each host's subset, by host ID.
-func chosen(hosts []member.Host, replicas []subset.Replica) map[string][]string {
-	by := map[string][]string{}
+// subsets returns the IDs of the replicas in each host's subset, by host ID.
+func subsets(hosts []member.Host, replicas []subset.Replica) map[string][]string {
+	byHost := map[string][]string{}
 	for _, h := range hosts {
 		for _, n := range subset.Choose(h.ID, hosts, replicas) {
-			by[h.ID] = append(by[h.ID], replicas[n].ID)
+			byHost[h.ID] = append(byHost[h.ID], replicas[n].ID)
 		}
 	}
-	return by
+	return byHost
 }
 
 // Guards against uneven subsetting: some replicas are in the subsets of many hosts while others get no requests.
 func TestReplicasAreChosenEvenly(t *testing.T) {
 	for _, l := range layouts {
 		hosts, replicas := l.make()
-		by := chosen(hosts, replicas)
+		byHost := subsets(hosts, replicas)
 		for zone := range l.hosts {
 			count := map[string]int{}
 			sum, most, n := 0, 0, 0
@@ -66,7 +66,7 @@
 					continue
 				}
 				for _, h := range hosts {
-					if h.Zone == r.Zone && slices.Contains(by[h.ID], r.ID) {
+					if h.Zone == r.Zone && slices.Contains(byHost[h.ID], r.ID) {
 						count[r.ID]++
 					}
 				}
@@ -83,10 +83,10 @@
 
 // Guards against subsets that are so large that each replica is used too rarely for its connection to stay open, or so
 // small that a second attempt finds no other replica.
-func TestEveryHostHasEnough(t *testing.T) {
+func TestSubsetSize(t *testing.T) {
 	for _, l := range layouts {
 		hosts, replicas := l.make()
-		for id, list := range chosen(hosts, replicas) {
+		for id, list := range subsets(hosts, replicas) {
 			qt.Check(t, len(list) >= min(3, len(replicas)) && len(list) <= 8, qt.IsTrue, qt.Commentf("%s: %s uses %d replicas", l.name, id, len(list)))
 		}
 	}
@@ -94,11 +94,11 @@
 
 // Guards against a host or replica that joins or leaves and changes the subsets of all the others, which would have to
 // open new connections.
-func TestChangesMoveLittle(t *testing.T) {
+func TestChangesReassignFewReplicas(t *testing.T) {
 	for _, l := range layouts {
 		hosts, replicas := l.make()
-		before := chosen(hosts, replicas)
-		scenes := []struct {
+		before := subsets(hosts, replicas)
+		changes := []struct {
 			name     string
 			hosts    []member.Host
 			replicas []subset.Replica
@@ -106,10 +106,10 @@
 			{"a host leaves", slices.Delete(slices.Clone(hosts), 1, 2), replicas},
 			{"a replica leaves", hosts, slices.Delete(slices.Clone(replicas), 1, 2)},
 		}
-		for _, scene := range scenes {
-			after := chosen(scene.hosts, scene.replicas)
+		for _, change := range changes {
+			after := subsets(change.hosts, change.replicas)
 			kept, all := 0, 0
-			for _, h := range scene.hosts {
+			for _, h := range change.hosts {
 				for _, id := range after[h.ID] {
 					all++
 					if slices.Contains(before[h.ID], id) {
@@ -118,15 +118,15 @@
 				}
 			}
 			moved := 1 - float64(kept)/float64(all)
-			t.Logf("%s: %s: %.3f of the assignments changed", l.name, scene.name, moved)
-			qt.Check(t, moved <= 0.2, qt.IsTrue, qt.Commentf("%s: %s: %.2f of the assignments changed", l.name, scene.name, moved))
+			t.Logf("%s: %s: %.3f of the assignments changed", l.name, change.name, moved)
+			qt.Check(t, moved <= 0.2, qt.IsTrue, qt.Commentf("%s: %s: %.2f of the assignments changed", l.name, change.name, moved))
 		}
 	}
 }
 
 // Guards against hosts that callers are not directed to but that still take shares of the replicas from those that
 // serve.
-func TestOtherHostsUseAll(t *testing.T) {
+func TestNonMemberUsesAllReplicas(t *testing.T) {
 	hosts, replicas := layouts[2].make()
 	qt.Assert(t, len(subset.Choose("stranger", hosts, replicas)), qt.Equals, len(replicas))
 }
