--- a/entry/internal/placement/placement_test.go
+++ b/entry/internal/placement/placement_test.go
@@ -40,7 +40,7 @@
 // Guards against hosts that are chosen for their many cores although their links are slow: responses are large, and on
 // a slow link the transfer of the shards' records alone exceeds the latency objective. Where no host reports its cores
 // and link rate, all hosts are equal.
-func TestStrongInBothServe(t *testing.T) {
+func TestServingHostsNeedCoresAndLink(t *testing.T) {
 	var hosts []member.Host
 	for i := range 6 {
 		hosts = append(hosts,
--- a/entry/internal/placement/watched.go
+++ b/entry/internal/placement/watched.go
@@ -6,9 +6,9 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// watchedBy is the number of hosts that monitor each serving host: enough that some are left after the loss of one of
-// three zones, and few enough that a host's cost for it doesn't grow with the fleet.
-const watchedBy = 4
+// monitorsPerHost is the number of hosts that monitor each serving host: enough that some are left after the loss of
+// one of three zones, and few enough that a host's cost for it doesn't grow with the fleet.
+const monitorsPerHost = 4
 
 // Watched returns the hosts that the host with the given ID monitors: its successors in the ring of serving hosts, if
 // it is one of them, so that each host is monitored by equally many. Suspect hosts keep their place in the ring, so
@@ -19,8 +19,8 @@
 	if own < 0 {
 		return nil
 	}
-	list := make([]member.Host, 0, watchedBy)
-	for n := 1; n < len(ring) && len(list) < watchedBy; n++ {
+	list := make([]member.Host, 0, monitorsPerHost)
+	for n := 1; n < len(ring) && len(list) < monitorsPerHost; n++ {
 		list = append(list, ring[(own+n)%len(ring)])
 	}
 	return list
--- a/entry/internal/placement/watched_test.go
+++ b/entry/internal/placement/watched_test.go
@@ -17,15 +17,15 @@
 	for _, test := range tests {
 		hosts := fleet(test.strong, test.weak)
 		hosts[0].State = member.StateSuspect
-		by := map[string]int{}
+		monitors := map[string]int{}
 		for _, h := range hosts {
 			for _, w := range placement.Watched(hosts, h.ID) {
-				by[w.ID]++
+				monitors[w.ID]++
 			}
 		}
 		c := qt.Commentf("%d strong, %d weak", test.strong, test.weak)
-		qt.Check(t, by[hosts[0].ID], qt.Equals, test.watched, c)
-		for id, n := range by {
+		qt.Check(t, monitors[hosts[0].ID], qt.Equals, test.watched, c)
+		for id, n := range monitors {
 			qt.Check(t, n, qt.Equals, test.watched, c)
 			if test.strong >= 5 {
 				qt.Check(t, id[0], qt.Equals, byte('s'), c)
