--- a/entry/internal/homes/homes_test.go
+++ b/entry/internal/homes/homes_test.go
@@ -38,7 +38,7 @@
 
 // Guards against clients that are directed to a region that only some of the routes of a host name allow. Two routes
 // have homes, a third has none. Clients may use any of them, so that only the regions common to both are left.
-func TestHomesOfAName(t *testing.T) {
+func TestCommonHomesOfRoutes(t *testing.T) {
 	table := route.NewTable(route.Config{Routes: []route.Route{
 		{Host: "a", Homes: []string{"east", "west"}}, {Host: "a", Homes: []string{"west", "north"}}, {Host: "a"}, {Host: "b"},
 	}})
