--- a/entry/internal/crossing/crossing.go
+++ b/entry/internal/crossing/crossing.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// leastShards is the minimum number of shards of a subquery to a host in another zone. That host merges their results
-// into one list of the top records, and the request is sent once: from eight shards on this takes a quarter of the
-// bytes or less. With fewer shards the saving doesn't outweigh the wait for a second host, which may be slow or down.
-const leastShards = 8
+// minGroupShards is the minimum number of shards of a subquery to a host in another zone. That host merges their
+// results into one list of the top records, and the request is sent once: from eight shards on this takes a quarter of
+// the bytes or less. With fewer shards the saving doesn't outweigh the wait for a second host, which may be slow or
+// down.
+const minGroupShards = 8
 
 // Shard gives the locations of a shard's replicas.
 type Shard struct {
@@ -30,33 +31,33 @@
 // results there, which adds no delay beyond that of the path between the zones, and returns only the top records of all
 // of them.
 func Groups(shards []Shard, zones []string, draw float64) []Group {
-	left := make([]int, 0, len(shards))
+	remaining := make([]int, 0, len(shards))
 	for i, s := range shards {
 		if !s.Near {
-			left = append(left, i)
+			remaining = append(remaining, i)
 		}
 	}
 	var groups []Group
-	for len(left) >= leastShards {
-		g := largest(shards, left, zones, draw)
-		if len(g.Shards) < leastShards {
+	for len(remaining) >= minGroupShards {
+		g := largest(shards, remaining, zones, draw)
+		if len(g.Shards) < minGroupShards {
 			break
 		}
 		groups = append(groups, g)
-		left = slices.DeleteFunc(left, func(i int) bool { return slices.Contains(g.Shards, i) })
+		remaining = slices.DeleteFunc(remaining, func(i int) bool { return slices.Contains(g.Shards, i) })
 	}
 	return groups
 }
 
 // largest returns the group of the zone that has replicas of the most remaining shards. Ties are broken at random, so
 // that the replicas of all zones get their share of the load.
-func largest(shards []Shard, left []int, zones []string, draw float64) Group {
+func largest(shards []Shard, remaining []int, zones []string, draw float64) Group {
 	var best Group
-	first := min(int(draw*float64(len(zones))), max(0, len(zones)-1))
+	start := min(int(draw*float64(len(zones))), max(0, len(zones)-1))
 	for n := range zones {
-		zone := zones[(first+n)%len(zones)]
+		zone := zones[(start+n)%len(zones)]
 		g := Group{Zone: zone}
-		for _, i := range left {
+		for _, i := range remaining {
 			if slices.Contains(shards[i].Zones, zone) {
 				g.Shards = append(g.Shards, i)
 			}
--- a/entry/internal/crossing/crossing_test.go
+++ b/entry/internal/crossing/crossing_test.go
@@ -34,7 +34,7 @@
 		name             string
 		shards, replicas int
 		zones            []string
-		groups, through  int
+		groups, grouped  int
 	}{
 		{"90 shards in three of five zones", 90, 3, zones, 1, 36},
 		{"36 shards in three of four zones", 36, 3, zones[:4], 1, 9},
@@ -45,19 +45,19 @@
 	}
 	for _, test := range tests {
 		groups := crossing.Groups(spread(test.shards, test.replicas, test.zones, "a"), zones[1:], 0.3)
-		through := 0
+		grouped := 0
 		for _, g := range groups {
-			through += len(g.Shards)
+			grouped += len(g.Shards)
 		}
 		qt.Check(t, len(groups), qt.Equals, test.groups, qt.Commentf(test.name))
-		qt.Check(t, through, qt.Equals, test.through, qt.Commentf(test.name))
+		qt.Check(t, grouped, qt.Equals, test.grouped, qt.Commentf(test.name))
 	}
 	qt.Check(t, crossing.Groups(spread(90, 3, zones, "a"), nil, 0.3), qt.HasLen, 0)
 }
 
 // Guards against shards that are queried twice or through the wrong zone: each shard must be in at most one group,
 // whose zone has a replica of it and a host that accepts subqueries, and is queried directly otherwise.
-func TestEachShardIsAskedOnce(t *testing.T) {
+func TestEachShardIsQueriedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		shards := make([]crossing.Shard, rapid.IntRange(0, 120).Draw(t, "shards"))
@@ -84,9 +84,9 @@
 // Guards against uneven load on the replicas of a shard, which are equally fast, although no host uses all of them.
 // With equally many clients on the hosts of five zones, no replica may get more than one and a half times its third of
 // the load.
-func TestReplicasShareTheWork(t *testing.T) {
+func TestReplicasShareTheLoad(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
-	work := map[string]float64{}
+	load := map[string]float64{}
 	const draws = 100
 	for _, own := range zones {
 		others := slices.DeleteFunc(slices.Clone(zones), func(z string) bool { return z == own })
@@ -94,17 +94,17 @@
 		for n := range draws {
 			for _, g := range crossing.Groups(shards, others, (float64(n)+0.5)/draws) {
 				for _, i := range g.Shards {
-					work[fmt.Sprint(i, g.Zone)]++
+					load[fmt.Sprint(i, g.Zone)]++
 				}
 			}
 		}
 		for i, s := range shards {
 			if s.Near {
-				work[fmt.Sprint(i, own)] += draws
+				load[fmt.Sprint(i, own)] += draws
 			}
 		}
 	}
-	for at, n := range work {
+	for at, n := range load {
 		qt.Check(t, n <= 1.5*draws*float64(len(zones))/3, qt.IsTrue, qt.Commentf("%s: %v", at, n))
 	}
 }
