--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// held is the time for which a request is blocked; a caller that repeats a request does so within seconds.
-	held = time.Minute
-	// suspected is the time for which a request stays a suspect after one broken connection.
-	suspected = 10 * time.Second
-	// confirm is the delay before a suspicion is published to other hosts. Nearly every innocent request has been
+	// quarantineTTL is the time for which a request is blocked; a caller that repeats a request does so within seconds.
+	quarantineTTL = time.Minute
+	// suspectTTL is the time for which a request stays a suspect after one broken connection.
+	suspectTTL = 10 * time.Second
+	// publishDelay is the delay before a suspicion is published to other hosts. Nearly every innocent request has been
 	// answered and cleared by then, so that a crash with many requests in flight doesn't publish a rumor for each.
-	confirm = 200 * time.Millisecond
-	// patience limits the wait of a suspect's shards for its probe to twice the usual reply time of the slowest service
-	// that was measured: an innocent request must not miss all of these shards because of one silent replica.
-	patience = 100 * time.Millisecond
-	// most is the maximum number of records; the one that expires first is evicted.
-	most = 4096
+	publishDelay = 200 * time.Millisecond
+	// probeTimeout limits the wait of a suspect's shards for its probe to twice the usual reply time of the slowest
+	// service that was measured: an innocent request must not miss all of these shards because of one silent replica.
+	probeTimeout = 100 * time.Millisecond
+	// maxRecords is the maximum number of records; the one that expires first is evicted.
+	maxRecords = 4096
 )
 
 // Options configures a Quarantine.
@@ -59,33 +59,33 @@
 // Suspects are isolated: this host sends a replica one at a time, so that an innocent suspect isn't on the same replica
 // as the crashing request a second time. While none of its shards has replied, a request that broke connections at
 // several shards is retried at one of them first, the probe. Retries of all shards at once would take down several more
-// replicas before the first break proves the request guilty.
+// replicas before the first of them proves the request guilty.
 type Quarantine struct {
 	opts Options
 
 	mu      sync.Mutex
 	records map[string]*record
-	// carries holds the suspect's retry that each replica is running; changed is closed when one of them ends.
-	carries map[string]*Try
+	// retries holds the suspect's retry that each replica is running; changed is closed when one of them ends.
+	retries map[string]*Attempt
 	changed chan struct{}
 }
 
 // record is the state of one request.
 type record struct {
-	until  time.Time
-	held   bool
-	shards map[int]*shard
+	expires     time.Time
+	quarantined bool
+	shards      map[int]*shard
 	// probe is the retry whose outcome the other shards of the request wait for.
-	probe *Try
-	// open is set where the shards no longer wait for a probe, since one of them has replied or the probe took too
+	probe *Attempt
+	// proceed is set where the shards no longer wait for a probe, since one of them has replied or the probe took too
 	// long.
-	open bool
+	proceed bool
 }
 
 // shard is the state of one request at one shard.
 type shard struct {
-	broke  string
-	trying bool
+	failedReplica string
+	retrying      bool
 }
 
 // New returns an empty quarantine.
@@ -96,7 +96,7 @@
 	if opts.Judged == nil {
 		opts.Judged = func(string, string) {}
 	}
-	return &Quarantine{opts: opts, records: map[string]*record{}, carries: map[string]*Try{}, changed: make(chan struct{})}
+	return &Quarantine{opts: opts, records: map[string]*record{}, retries: map[string]*Attempt{}, changed: make(chan struct{})}
 }
 
 // Fingerprint returns a hash of the service and of the parts of the content that the upstream gets, which identifies
@@ -117,10 +117,10 @@
 	defer q.mu.Unlock()
 	now := q.opts.Clock.Now()
 	r := q.records[fp]
-	if r == nil || !now.Before(r.until) {
+	if r == nil || !now.Before(r.expires) {
 		return Verdict{}
 	}
-	return Verdict{Refused: r.held, RetryAfter: r.until.Sub(now), Suspect: true}
+	return Verdict{Refused: r.quarantined, RetryAfter: r.expires.Sub(now), Suspect: true}
 }
 
 // Outcome is the result of an attempt as far as the quarantine is concerned.
@@ -139,7 +139,7 @@
 // Guard calls send for an attempt of shard n on a replica, and records the outcome. It returns an error without calling
 // send if the request is quarantined or may not be sent to that replica now.
 func (q *Quarantine) Guard(ctx context.Context, fp string, n int, replica string, send func() Outcome) error {
-	try, err := q.Enter(ctx, fp, n, replica)
+	try, err := q.Admit(ctx, fp, n, replica)
 	if err != nil {
 		return err
 	}
@@ -154,23 +154,23 @@
 	return nil
 }
 
-// Try is an admitted attempt of a request; exactly one of Broke, Answered and Left must be called when it ends.
-type Try struct {
+// Attempt is an admitted attempt of a request; exactly one of Broke, Answered and Left must be called when it ends.
+type Attempt struct {
 	q       *Quarantine
 	fp      string
 	n       int
 	replica string
-	// more is set where the attempt is the retry of a suspect.
-	more bool
+	// retry is set where the attempt is the retry of a suspect.
+	retry bool
 }
 
-// Enter admits an attempt of shard n on a replica. It waits while the replica runs another suspect or the request's
+// Admit admits an attempt of shard n on a replica. It waits while the replica runs another suspect or the request's
 // probe at another shard has no outcome yet.
-func (q *Quarantine) Enter(ctx context.Context, fp string, n int, replica string) (*Try, error) {
-	try := &Try{q: q, fp: fp, n: n, replica: replica}
+func (q *Quarantine) Admit(ctx context.Context, fp string, n int, replica string) (*Attempt, error) {
+	try := &Attempt{q: q, fp: fp, n: n, replica: replica}
 	for {
 		q.mu.Lock()
-		wait, err := q.enter(try)
+		wait, err := q.admit(try)
 		q.mu.Unlock()
 		if err != nil {
 			return nil, err
@@ -186,63 +186,63 @@
 	}
 }
 
-// enter admits the attempt, or returns a channel to wait on where the replica runs another suspect or the request has a
+// admit admits the attempt, or returns a channel to wait on where the replica runs another suspect or the request has a
 // probe at another shard. q.mu must be held.
-func (q *Quarantine) enter(try *Try) (wait <-chan struct{}, err error) {
+func (q *Quarantine) admit(try *Attempt) (wait <-chan struct{}, err error) {
 	r := q.records[try.fp]
-	if r == nil || !q.opts.Clock.Now().Before(r.until) {
+	if r == nil || !q.opts.Clock.Now().Before(r.expires) {
 		return nil, nil
 	}
-	if r.held {
+	if r.quarantined {
 		return nil, fmt.Errorf("the request is quarantined: it broke connections to two replicas")
 	}
 	s := r.shards[try.n]
 	if s == nil {
 		return nil, nil
 	}
-	if s.trying {
+	if s.retrying {
 		return nil, fmt.Errorf("the request is a suspect and its one more try runs already")
 	}
 	// A second break on the same replica would prove nothing about the request and cost the replica another crash.
-	if s.broke == try.replica {
+	if s.failedReplica == try.replica {
 		return nil, fmt.Errorf("the request is a suspect since its connection to this replica broke; another one has to be tried")
 	}
-	if r.probe != nil || q.carries[try.replica] != nil {
+	if r.probe != nil || q.retries[try.replica] != nil {
 		return q.changed, nil
 	}
-	s.trying, try.more = true, true
-	if !r.open {
+	s.retrying, try.retry = true, true
+	if !r.proceed {
 		r.probe = try
-		q.opts.Clock.AfterFunc(patience, func() { q.giveUp(r, try) })
+		q.opts.Clock.AfterFunc(probeTimeout, func() { q.expireProbe(r, try) })
 	}
-	q.carries[try.replica] = try
+	q.retries[try.replica] = try
 	return nil, nil
 }
 
 // Broke records that the connection broke during the attempt.
-func (t *Try) Broke() {
+func (t *Attempt) Broke() {
 	q, now := t.q, t.q.opts.Clock.Now()
 	q.mu.Lock()
-	q.leave(t)
+	q.endRetry(t)
 	r := q.record(t.fp, now)
 	s := r.shards[t.n]
-	guilty := s != nil && s.broke != t.replica && !r.held
+	confirmed := s != nil && s.failedReplica != t.replica && !r.quarantined
 	// An attempt that was in flight when the request was quarantined adds no evidence and must not shorten the
 	// quarantine.
-	if s == nil && !r.held {
-		r.shards[t.n] = &shard{broke: t.replica}
-		r.until = now.Add(suspected)
-		q.opts.Clock.AfterFunc(confirm, func() { q.tellSuspect(t.fp, t.n) })
+	if s == nil && !r.quarantined {
+		r.shards[t.n] = &shard{failedReplica: t.replica}
+		r.expires = now.Add(suspectTTL)
+		q.opts.Clock.AfterFunc(publishDelay, func() { q.publishSuspicion(t.fp, t.n) })
 	}
-	if guilty {
-		r.held, r.until = true, now.Add(held)
+	if confirmed {
+		r.quarantined, r.expires = true, now.Add(quarantineTTL)
 	}
 	q.mu.Unlock()
-	if !guilty {
+	if !confirmed {
 		return
 	}
-	q.opts.Judged(t.fp, fmt.Sprintf("connections to %s and %s broke while serving it", s.broke, t.replica))
-	q.publish(t.fp, now, held, nil)
+	q.opts.Judged(t.fp, fmt.Sprintf("connections to %s and %s broke while serving it", s.failedReplica, t.replica))
+	q.publish(t.fp, now, quarantineTTL, nil)
 }
 
 // suspicion is the body of the rumor about a suspect request; the rumor about a quarantined one has no body.
@@ -251,40 +251,40 @@
 	Replica string `json:"replica"`
 }
 
-// tellSuspect publishes a suspicion that has not been cleared, since the caller may send the request to another host
-// next.
-func (q *Quarantine) tellSuspect(fp string, n int) {
+// publishSuspicion publishes a suspicion that has not been cleared, since the caller may send the request to another
+// host next.
+func (q *Quarantine) publishSuspicion(fp string, n int) {
 	now := q.opts.Clock.Now()
 	q.mu.Lock()
 	r := q.records[fp]
-	open := r != nil && !r.held && now.Before(r.until) && r.shards[n] != nil
+	stillSuspect := r != nil && !r.quarantined && now.Before(r.expires) && r.shards[n] != nil
 	var body []byte
-	if open {
-		body, _ = json.Marshal(suspicion{Shard: n, Replica: r.shards[n].broke})
+	if stillSuspect {
+		body, _ = json.Marshal(suspicion{Shard: n, Replica: r.shards[n].failedReplica})
 	}
 	q.mu.Unlock()
-	if open {
-		q.publish(fp, now, suspected, body)
+	if stillSuspect {
+		q.publish(fp, now, suspectTTL, body)
 	}
 }
 
-func (q *Quarantine) publish(fp string, now time.Time, life time.Duration, body []byte) {
+func (q *Quarantine) publish(fp string, now time.Time, ttl time.Duration, body []byte) {
 	q.opts.Publish(rumor.Rumor{
-		Kind: rumor.KindQuarantine, Service: q.opts.Service, Key: fp, Number: uint64(now.UnixMilli()), Expires: now.Add(life), Body: body,
+		Kind: rumor.KindQuarantine, Service: q.opts.Service, Key: fp, Number: uint64(now.UnixMilli()), Expires: now.Add(ttl), Body: body,
 	})
 }
 
 // Answered records that the shard replied, which clears the request there.
-func (t *Try) Answered() {
+func (t *Attempt) Answered() {
 	q := t.q
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.leave(t)
+	q.endRetry(t)
 	r := q.records[t.fp]
-	if r == nil || r.held {
+	if r == nil || r.quarantined {
 		return
 	}
-	q.open(r)
+	q.letProceed(r)
 	delete(r.shards, t.n)
 	if len(r.shards) == 0 {
 		delete(q.records, t.fp)
@@ -292,10 +292,10 @@
 }
 
 // Left records that the attempt ended with neither a reply nor a broken connection.
-func (t *Try) Left() {
+func (t *Attempt) Left() {
 	t.q.mu.Lock()
 	defer t.q.mu.Unlock()
-	t.q.leave(t)
+	t.q.endRetry(t)
 }
 
 // Heard applies a rumor about a quarantined or suspect request from another host.
@@ -306,30 +306,30 @@
 	}
 	q.mu.Lock()
 	r := q.record(ru.Key, now)
-	news := false
+	added := false
 	var sus suspicion
 	switch {
-	case r.held:
+	case r.quarantined:
 	case len(ru.Body) == 0:
 		// The other host's clock may be ahead: a request isn't blocked for longer than by a local quarantine.
-		news, r.held, r.until = true, true, now.Add(min(held, ru.Expires.Sub(now)))
+		added, r.quarantined, r.expires = true, true, now.Add(min(quarantineTTL, ru.Expires.Sub(now)))
 	case json.Unmarshal(ru.Body, &sus) == nil && r.shards[sus.Shard] == nil:
-		r.shards[sus.Shard] = &shard{broke: sus.Replica}
-		r.until = now.Add(min(suspected, ru.Expires.Sub(now)))
+		r.shards[sus.Shard] = &shard{failedReplica: sus.Replica}
+		r.expires = now.Add(min(suspectTTL, ru.Expires.Sub(now)))
 	}
 	q.mu.Unlock()
-	if news {
+	if added {
 		q.opts.Judged(ru.Key, "another host quarantined it")
 	}
 }
 
-// leave ends the retry of a suspect and frees its replica for the next suspect; q.mu must be held.
-func (q *Quarantine) leave(t *Try) {
-	if !t.more {
+// endRetry ends the retry of a suspect and frees its replica for the next suspect; q.mu must be held.
+func (q *Quarantine) endRetry(t *Attempt) {
+	if !t.retry {
 		return
 	}
-	delete(q.carries, t.replica)
-	q.wakeAll()
+	delete(q.retries, t.replica)
+	q.notifyWaiters()
 	r := q.records[t.fp]
 	if r == nil {
 		return
@@ -338,30 +338,30 @@
 		r.probe = nil
 	}
 	if r.shards[t.n] != nil {
-		r.shards[t.n].trying = false
+		r.shards[t.n].retrying = false
 	}
 }
 
-// giveUp lets the other shards proceed if the probe has no outcome yet: its replica may be slow or silent.
-func (q *Quarantine) giveUp(r *record, probe *Try) {
+// expireProbe lets the other shards proceed if the probe has no outcome yet: its replica may be slow or silent.
+func (q *Quarantine) expireProbe(r *record, probe *Attempt) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if r.probe == probe {
-		q.open(r)
+		q.letProceed(r)
 	}
 }
 
-// open lets the request's shards proceed without waiting for a probe; q.mu must be held.
-func (q *Quarantine) open(r *record) {
-	if r.open {
+// letProceed lets the request's shards proceed without waiting for a probe; q.mu must be held.
+func (q *Quarantine) letProceed(r *record) {
+	if r.proceed {
 		return
 	}
-	r.open, r.probe = true, nil
-	q.wakeAll()
+	r.proceed, r.probe = true, nil
+	q.notifyWaiters()
 }
 
-// wakeAll wakes all waiting attempts to check again; q.mu must be held.
-func (q *Quarantine) wakeAll() {
+// notifyWaiters wakes all waiting attempts to check again; q.mu must be held.
+func (q *Quarantine) notifyWaiters() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 }
@@ -370,21 +370,21 @@
 // that expires first if there are too many.
 func (q *Quarantine) record(fp string, now time.Time) *record {
 	r := q.records[fp]
-	if r != nil && now.Before(r.until) {
+	if r != nil && now.Before(r.expires) {
 		return r
 	}
-	if len(q.records) >= most {
-		q.drop()
+	if len(q.records) >= maxRecords {
+		q.evict()
 	}
 	r = &record{shards: map[int]*shard{}}
 	q.records[fp] = r
 	return r
 }
 
-func (q *Quarantine) drop() {
+func (q *Quarantine) evict() {
 	first := ""
 	for fp, r := range q.records {
-		if first == "" || r.until.Before(q.records[first].until) {
+		if first == "" || r.expires.Before(q.records[first].expires) {
 			first = fp
 		}
 	}
--- a/entry/internal/quarantine/shards_test.go
+++ b/entry/internal/quarantine/shards_test.go
@@ -12,32 +12,32 @@
 
 // fleet simulates a number of shards that each query of one host is sent to.
 type fleet struct {
-	sites []*site
+	shards []*shardModel
 }
 
 func newFleet(shards int, seed uint64) *fleet {
 	f := &fleet{}
 	for n := range shards {
-		s := newSite(1, seed+uint64(n)<<32)
+		s := newShardModel(1, seed+uint64(n)<<32)
 		s.shard = n
 		if n > 0 {
-			s.hosts = f.sites[0].hosts
+			s.hosts = f.shards[0].hosts
 		}
-		f.sites = append(f.sites, s)
+		f.shards = append(f.shards, s)
 	}
 	return f
 }
 
 func (f *fleet) query(fp string) {
 	var wg sync.WaitGroup
-	for _, s := range f.sites {
+	for _, s := range f.shards {
 		wg.Go(func() { s.query(s.hosts[0], fp) })
 	}
 	wg.Wait()
 }
 
-// play sends innocent queries every 10 ms, and calls fault 200 ms after the first.
-func (f *fleet) play(fault func()) {
+// run sends innocent queries every 10 ms, and calls fault 200 ms after the first.
+func (f *fleet) run(fault func()) {
 	var tasks sync.WaitGroup
 	for i := range 60 {
 		tasks.Go(func() { f.query(fmt.Sprint("q", i)) })
@@ -47,39 +47,39 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	tasks.Wait()
-	time.Sleep(2 * spread)
+	time.Sleep(2 * rumorDelay)
 }
 
 // sum returns the number of crashes and, of the innocent queries, the numbers of those that failed at a shard and of
 // those that were quarantined.
-func (f *fleet) sum() (crashes, lost, blamed int) {
-	for _, s := range f.sites {
-		delete(s.lost, poison)
-		delete(s.blamed, poison)
+func (f *fleet) sum() (crashes, failed, quarantined int) {
+	for _, s := range f.shards {
+		delete(s.failed, poison)
+		delete(s.quarantined, poison)
 		crashes += s.crashes
-		lost += len(s.lost)
-		blamed += len(s.blamed)
+		failed += len(s.failed)
+		quarantined += len(s.quarantined)
 	}
-	return crashes, lost, blamed
+	return crashes, failed, quarantined
 }
 
 // Guards against a silent replica that blocks a suspect's other shards. A request broke connections at two shards, and
 // the replica that gets its probe doesn't reply. The other shard must not wait until the request's deadline but be
 // retried after 100 ms.
-func TestSilentReplicaDoesNotHoldTheOtherShards(t *testing.T) {
+func TestSilentReplicaDoesNotDelayOtherShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newSite(1, 1).hosts[0]
+		q := newShardModel(1, 1).hosts[0]
 		for n := range 2 {
-			try, err := q.Enter(t.Context(), "q", n, fmt.Sprint("a", n))
+			try, err := q.Admit(t.Context(), "q", n, fmt.Sprint("a", n))
 			qt.Assert(t, err, qt.IsNil)
 			try.Broke()
 		}
-		silent, err := q.Enter(t.Context(), "q", 0, "b0")
+		silent, err := q.Admit(t.Context(), "q", 0, "b0")
 		qt.Assert(t, err, qt.IsNil)
 		began := time.Now()
-		other, err := q.Enter(t.Context(), "q", 1, "b1")
+		other, err := q.Admit(t.Context(), "q", 1, "b1")
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, time.Since(began), qt.Equals, patience)
+		qt.Assert(t, time.Since(began), qt.Equals, probeTimeout)
 		other.Answered()
 		silent.Left()
 	})
@@ -94,31 +94,31 @@
 	for seed := range uint64(fleetSeeds) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(10, seed)
-			f.play(func() {
+			f.run(func() {
 				for range 5 {
 					f.query(poison)
 					time.Sleep(60 * time.Millisecond)
 				}
 			})
-			crashes, lost, blamed := f.sum()
-			qt.Assert(t, []int{crashes, lost, blamed}, qt.DeepEquals, []int{11, 0, 0}, qt.Commentf("seed %d", seed))
+			crashes, failed, quarantined := f.sum()
+			qt.Assert(t, []int{crashes, failed, quarantined}, qt.DeepEquals, []int{11, 0, 0}, qt.Commentf("seed %d", seed))
 		})
 	}
 }
 
 // Guards against quarantining innocent requests when a zone is lost. One replica of each of ten shards goes down at the
 // same moment. The requests in flight there break at up to ten shards each, and none may be quarantined.
-func TestInnocentsOfAZoneThatDiesAreAnswered(t *testing.T) {
+func TestZoneLossDoesNotQuarantineRequests(t *testing.T) {
 	for seed := range uint64(fleetSeeds) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(10, seed)
-			f.play(func() {
-				for _, s := range f.sites {
+			f.run(func() {
+				for _, s := range f.shards {
 					s.crash(0)
 				}
 			})
-			crashes, lost, blamed := f.sum()
-			qt.Assert(t, []int{crashes, lost, blamed}, qt.DeepEquals, []int{10, 0, 0}, qt.Commentf("seed %d", seed))
+			crashes, failed, quarantined := f.sum()
+			qt.Assert(t, []int{crashes, failed, quarantined}, qt.DeepEquals, []int{10, 0, 0}, qt.Commentf("seed %d", seed))
 		})
 	}
 }
@@ -128,17 +128,17 @@
 // would crash ten more replicas.
 func TestLateBreakDoesNotEndTheQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newSite(1, 1).hosts[0]
-		enter := func(n int, replica string) *Try {
-			try, err := q.Enter(t.Context(), poison, n, replica)
+		q := newShardModel(1, 1).hosts[0]
+		admit := func(n int, replica string) *Attempt {
+			try, err := q.Admit(t.Context(), poison, n, replica)
 			qt.Assert(t, err, qt.IsNil)
 			return try
 		}
-		late := enter(1, "a1")
-		enter(0, "a0").Broke()
-		enter(0, "b0").Broke()
+		late := admit(1, "a1")
+		admit(0, "a0").Broke()
+		admit(0, "b0").Broke()
 		late.Broke()
-		time.Sleep(held - time.Second)
+		time.Sleep(quarantineTTL - time.Second)
 		qt.Assert(t, q.Check(poison).Refused, qt.IsTrue)
 	})
 }
