--- a/entry/internal/evacuation/zones.go
+++ b/entry/internal/evacuation/zones.go
@@ -72,7 +72,7 @@
 			z.release(zone)
 		}
 	}
-	z.take(batch.Entries)
+	z.apply(batch.Entries)
 	z.mu.Unlock()
 	z.known.Store(true)
 	z.opts.Changed()
@@ -81,15 +81,15 @@
 // Change applies evacuations that were created or deleted.
 func (z *Zones) Change(batch feed.Batch[platform.Evacuation]) {
 	z.mu.Lock()
-	z.take(batch.Entries)
+	z.apply(batch.Entries)
 	z.mu.Unlock()
 	z.opts.Changed()
 }
 
-// take adds and releases the zones of the entries. An entry whose spec can't be read, or that is being deleted but
+// apply adds and releases the zones of the entries. An entry whose spec can't be read, or that is being deleted but
 // still has finalizers, counts as an evacuation: as long as the object exists its name is sufficient, and avoiding a
 // zone by mistake costs less than using one by mistake.
-func (z *Zones) take(entries []feed.Entry[platform.Evacuation]) {
+func (z *Zones) apply(entries []feed.Entry[platform.Evacuation]) {
 	for _, e := range entries {
 		_, evacuated := z.since[e.Name]
 		switch {
--- a/entry/internal/evacuation/zones_test.go
+++ b/entry/internal/evacuation/zones_test.go
@@ -12,7 +12,7 @@
 	"guavaspring.org/entry/internal/evacuation"
 )
 
-func order(zone string) feed.Entry[platform.Evacuation] {
+func evacuated(zone string) feed.Entry[platform.Evacuation] {
 	return feed.Entry[platform.Evacuation]{Name: zone, Value: platform.Evacuation{Zone: zone}}
 }
 
@@ -37,27 +37,27 @@
 // Guards against requests to an evacuated zone, and against a zone that stays unused after its release, while hosts get
 // evacuations by lists and changes and miss some of these. A zone must be avoided from the first update that names it,
 // and used again from the update that releases it or from a list that doesn't contain it.
-func TestOrders(t *testing.T) {
+func TestZonesFollowUpdates(t *testing.T) {
 	tests := []struct {
 		name  string
 		steps []step
 		want  []string
 	}{
 		{"none", []step{list()}, nil},
-		{"listed at the start", []step{list(order("a"))}, []string{"a"}},
-		{"ordered later", []step{list(), change(order("a"))}, []string{"a"}},
-		{"two zones at once", []step{list(), change(order("a"), order("b"))}, []string{"a", "b"}},
-		{"one after the other", []step{list(order("a")), change(released("a"), order("b"))}, []string{"b"}},
-		{"released", []step{list(order("a")), change(released("a"))}, nil},
-		{"the release was missed", []step{list(order("a"), order("b")), list(order("b"))}, []string{"b"}},
-		{"ordered again", []step{list(order("a")), change(released("a")), change(order("a"))}, []string{"a"}},
-		{"written twice", []step{list(order("a")), change(order("a"))}, []string{"a"}},
-		{"one of two released", []step{list(order("a"), order("b")), change(released("b"))}, []string{"a"}},
-		{"released twice", []step{list(order("a")), change(released("a")), change(released("a"))}, nil},
+		{"listed at the start", []step{list(evacuated("a"))}, []string{"a"}},
+		{"evacuated later", []step{list(), change(evacuated("a"))}, []string{"a"}},
+		{"two zones at once", []step{list(), change(evacuated("a"), evacuated("b"))}, []string{"a", "b"}},
+		{"one after the other", []step{list(evacuated("a")), change(released("a"), evacuated("b"))}, []string{"b"}},
+		{"released", []step{list(evacuated("a")), change(released("a"))}, nil},
+		{"the release was missed", []step{list(evacuated("a"), evacuated("b")), list(evacuated("b"))}, []string{"b"}},
+		{"evacuated again", []step{list(evacuated("a")), change(released("a")), change(evacuated("a"))}, []string{"a"}},
+		{"written twice", []step{list(evacuated("a")), change(evacuated("a"))}, []string{"a"}},
+		{"one of two released", []step{list(evacuated("a"), evacuated("b")), change(released("b"))}, []string{"a"}},
+		{"released twice", []step{list(evacuated("a")), change(released("a")), change(released("a"))}, nil},
 		{"its fields can't be read", []step{list(), change(unreadable("a"))}, []string{"a"}},
-		{"its fields can't be read any more", []step{list(order("a")), change(unreadable("a"))}, []string{"a"}},
-		{"an order without a name beside one", []step{list(unreadable(""), order("a"))}, []string{"a"}},
-		{"nothing new", []step{list(order("a")), change()}, []string{"a"}},
+		{"its fields can't be read any more", []step{list(evacuated("a")), change(unreadable("a"))}, []string{"a"}},
+		{"an entry without a name beside another one", []step{list(unreadable(""), evacuated("a"))}, []string{"a"}},
+		{"nothing new", []step{list(evacuated("a")), change()}, []string{"a"}},
 	}
 	for _, test := range tests {
 		changes := 0
