--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -15,18 +15,18 @@
 
 // The weights of hosts; see docs/design/addresses.md.
 const (
-	// otherZone is the weight of a host outside the caller's zone. With it, a third of the callers of each zone use hosts
-	// in two zones, so that a zone with many callers spills over.
-	otherZone = 0.5
-	// full is the load from which a host is chosen for fewer callers, and fullWeight its weight then.
-	full       = 0.9
+	// otherZoneWeight is the weight of a host outside the caller's zone. With it, a third of the callers of each zone
+	// use hosts in two zones, so that a zone with many callers spills over.
+	otherZoneWeight = 0.5
+	// fullLoad is the load from which a host is chosen for fewer callers, and fullWeight the factor on its weight then.
+	fullLoad   = 0.9
 	fullWeight = 0.25
-	// evenLoad limits the effect of load on the weights of the chosen hosts: an idle host gets three times the requests
-	// of a full one and no more, since reported loads lag and all callers would move at once.
-	evenLoad = 0.5
-	// keepSpread is the random part (jitter) of the time for which an answer is kept, so that callers that asked at the
+	// loadOffset is added to the load that a weight is divided by, which limits the effect of load: an idle host gets
+	// three times the requests of a full one and no more, since reported loads lag and all callers would move at once.
+	loadOffset = 0.5
+	// keepJitter is the random part (jitter) of the time for which an answer is kept, so that callers that asked at the
 	// same time don't ask at the same time again.
-	keepSpread = 0.2
+	keepJitter = 0.2
 )
 
 // Request holds the inputs of an address request.
@@ -76,14 +76,14 @@
 type Steerer struct {
 	opts Options
 
-	// placed caches the hosts of each service for the member list whose first element is placedFor.
+	// cache holds the hosts of each service for the member list whose first element is cachedFor.
 	mu        sync.Mutex
-	placed    map[placement][]member.Host
-	placedFor *member.Host
+	cache     map[placementKey][]member.Host
+	cachedFor *member.Host
 }
 
-// placement is the cache key of a service's hosts within one member list.
-type placement struct {
+// placementKey is the cache key of a service's hosts within one member list.
+type placementKey struct {
 	service string
 	limit   int
 }
@@ -93,7 +93,7 @@
 	if opts.Float64 == nil {
 		opts.Float64 = rand.Float64
 	}
-	return &Steerer{opts: opts, placed: map[placement][]member.Host{}}
+	return &Steerer{opts: opts, cache: map[placementKey][]member.Host{}}
 }
 
 // place returns the result of Place for self, cached until the member list changes: each request checks whether it
@@ -105,15 +105,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.placedFor != &hosts[0] {
-		s.placedFor = &hosts[0]
-		clear(s.placed)
+	if s.cachedFor != &hosts[0] {
+		s.cachedFor = &hosts[0]
+		clear(s.cache)
 	}
-	key := placement{service, limit}
-	list, ok := s.placed[key]
+	key := placementKey{service, limit}
+	list, ok := s.cache[key]
 	if !ok {
 		list = Place(hosts, self, service, limit)
-		s.placed[key] = list
+		s.cache[key] = list
 	}
 	return list
 }
@@ -125,13 +125,13 @@
 	chosen := choose(candidates, req)
 	ans := Answer{Choices: make([]Choice, len(chosen)), Keep: s.keep(req.Keep)}
 	for i, h := range chosen {
-		ans.Choices[i] = Choice{Host: h, Weight: zoneWeight(&h, req.Zone) / (evenLoad + h.Load)}
+		ans.Choices[i] = Choice{Host: h, Weight: zoneWeight(&h, req.Zone) / (loadOffset + h.Load)}
 	}
 	return ans
 }
 
 func (s *Steerer) keep(d time.Duration) time.Duration {
-	return d - time.Duration(s.opts.Float64()*keepSpread*float64(d))
+	return d - time.Duration(s.opts.Float64()*keepJitter*float64(d))
 }
 
 // Place returns the hosts that serve a service in self's region: all of them if there are at most limit, else the first
@@ -212,7 +212,7 @@
 
 func zoneWeight(h *member.Host, zone string) float64 {
 	if zone != "" && h.Zone != zone {
-		return otherZone
+		return otherZoneWeight
 	}
 	return 1
 }
@@ -221,7 +221,7 @@
 // each change of load.
 func rankWeight(h *member.Host, zone string) float64 {
 	w := zoneWeight(h, zone)
-	if h.Load >= full {
+	if h.Load >= fullLoad {
 		return w * fullWeight
 	}
 	return w
--- a/entry/internal/steer/steer_test.go
+++ b/entry/internal/steer/steer_test.go
@@ -42,7 +42,7 @@
 
 // Guards against callers that are directed to a closed port, as when a host is stopped for an update or fails to answer
 // probes. Neither host may be returned; if no other is left, the host that answers returns itself.
-func TestOnlyHostsThatServeAreHandedOut(t *testing.T) {
+func TestOnlyServingHostsAreReturned(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		states []member.State
@@ -94,7 +94,7 @@
 
 // Guards against lost connections when one host is replaced: callers that did not use it must keep all their hosts, and
 // the others lose only that one.
-func TestChangeMovesOnlyThoseConcerned(t *testing.T) {
+func TestReplacedHostMovesOnlyItsCallers(t *testing.T) {
 	c := qt.New(t)
 	hosts := fleet(7)
 	without := append([]member.Host{}, hosts...)
@@ -115,7 +115,7 @@
 
 // Guards against a caller all of whose hosts are in one zone: zones fail every other month, and the caller would have
 // no host until its answer expires. A caller that names its zone must still send most requests within it.
-func TestZones(t *testing.T) {
+func TestHostsSpanZones(t *testing.T) {
 	c := qt.New(t)
 	near, total := 0.0, 0.0
 	for i := range 500 {
@@ -198,7 +198,7 @@
 
 // Guards against cached hosts of a service that outlive the member list: after the death of one of them, callers would
 // be directed to it for as long as this host runs. Different services or limits must not share a cache entry.
-func TestWhatIsKeptEndsWithTheMemberList(t *testing.T) {
+func TestCacheEndsWithTheMemberList(t *testing.T) {
 	c := qt.New(t)
 	s := steer.New(steer.Options{})
 	serving := func(hosts []member.Host, service string, limit int) map[string]bool {
