--- a/entry/internal/quarantine/shards_test.go
+++ b/entry/internal/quarantine/shards_test.go
@@ -12,7 +12,7 @@
 
 // fleet simulates a number of shards that each query of one host is sent to.
 type fleet struct {
-	shards []*shardModel
+	models []*shardModel
 }
 
 func newFleet(shards int, seed uint64) *fleet {
@@ -21,16 +21,16 @@
 		s := newShardModel(1, seed+uint64(n)<<32)
 		s.shard = n
 		if n > 0 {
-			s.hosts = f.shards[0].hosts
+			s.hosts = f.models[0].hosts
 		}
-		f.shards = append(f.shards, s)
+		f.models = append(f.models, s)
 	}
 	return f
 }
 
 func (f *fleet) query(fp string) {
 	var wg sync.WaitGroup
-	for _, s := range f.shards {
+	for _, s := range f.models {
 		wg.Go(func() { s.query(s.hosts[0], fp) })
 	}
 	wg.Wait()
@@ -53,7 +53,7 @@
 // sum returns the number of crashes and, of the innocent queries, the numbers of those that failed at a shard and of
 // those that were quarantined.
 func (f *fleet) sum() (crashes, failed, quarantined int) {
-	for _, s := range f.shards {
+	for _, s := range f.models {
 		delete(s.failed, poison)
 		delete(s.quarantined, poison)
 		crashes += s.crashes
@@ -113,7 +113,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(10, seed)
 			f.run(func() {
-				for _, s := range f.shards {
+				for _, s := range f.models {
 					s.crash(0)
 				}
 			})
