--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -33,7 +33,7 @@
 // attempt, so that no response waits for them. The first successful probe brings the replica back. The first probe is
 // due at once, so that two slow attempts in a row cost a healthy replica nothing.
 type State struct {
-	// nextProbe is the time of the next probe in Unix nanoseconds; zero means that the replica is in rotation.
+	// nextProbe is the time of the next probe in nanoseconds since 1970; zero means that the replica is in rotation.
 	nextProbe atomic.Int64
 
 	mu            sync.Mutex
