--- a/entry/internal/steer/steer_test.go
+++ b/entry/internal/steer/steer_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// Guards against uneven load when all callers ask the same host: each host must still get its share of requests.
+// Guards against uneven load when all callers ask the same host and use the first address of the answer: each host must
+// still get its share of requests.
 func TestCallersAreSpread(t *testing.T) {
 	c := qt.New(t)
 	hosts := fleet(7)
