--- a/entry/internal/subset/subset.go
+++ b/entry/internal/subset/subset.go
@@ -10,48 +10,52 @@
 )
 
 const (
-	// mostNear and mostFar are how many replicas in its own zone, and in the others, a host keeps to. The far ones are
-	// for second tries and for the time in which a zone has none left.
-	mostNear, mostFar = 5, 3
-	// mostAnywhere is how many a host keeps to whose zone has none.
-	mostAnywhere = mostNear + mostFar
+	// maxSameZone and maxOtherZones are the numbers of replicas that a host uses in its own zone and in other zones.
+	// Those in other zones serve second attempts, and all attempts while the host's own zone has no replica left.
+	maxSameZone, maxOtherZones = 5, 3
+	// maxWithoutSameZone is the number of replicas used by a host whose zone has none.
+	maxWithoutSameZone = maxSameZone + maxOtherZones
 )
 
-// Replica is one that a host may keep to.
+// Replica is a candidate for a host's subset.
 type Replica struct{ ID, Zone string }
 
-// Choose returns the places in replicas of those that a host with an id keeps to, which is one of some hosts; it
-// returns all of them where the host is none of these.
+// Choose returns the indexes in replicas of those that the host with ID self uses. It returns all indexes where self is
+// not in hosts.
 //
-// It answers a fleet in which a replica gets a request now and then from each of very many hosts. None of them knows
-// whether it is slow, each finds its connection closed since the last use, and opens one for each request, which costs
-// more than most of the work. A host that keeps to few replicas knows them, and its connections stay open.
+// Without subsetting, a replica of a large fleet gets an occasional request from each of very many hosts. No host sees
+// enough of its attempts to detect that it is slow, and each finds its connection closed since the last use and opens a
+// new one per request, which costs more than most of the work. A host that uses few replicas has enough samples of
+// each, and its connections stay open.
 //
-// Hosts choose without asking each other, and no replica is chosen by many more than another: hosts and replicas take
-// each other in the order of one hash of both, until a host has enough or a replica has its part. A host or replica that
-// comes or goes moves few of the others.
+// Hosts compute their subsets independently, and no replica is in many more subsets than another: host-replica pairs
+// are taken in the order of a hash of both IDs until a host has enough replicas or a replica has its share of hosts. A
+// host or replica that joins or leaves changes few of the other assignments.
 func Choose(self string, hosts []member.Host, replicas []Replica) []int {
 	i := slices.IndexFunc(hosts, func(h member.Host) bool { return h.ID == self })
 	if i < 0 {
-		return all(replicas)
+		return allIndexes(replicas)
 	}
 	zone := hosts[i].Zone
-	var near, far []int
+	var sameZone, otherZones []int
 	for n, r := range replicas {
 		if r.Zone == zone {
-			near = append(near, n)
+			sameZone = append(sameZone, n)
 		} else {
-			far = append(far, n)
+			otherZones = append(otherZones, n)
 		}
 	}
-	if len(near) == 0 {
-		return match(self, without(hosts, replicas), replicas, far, mostAnywhere)
+	if len(sameZone) == 0 {
+		return assign(self, withoutReplicas(hosts, replicas), replicas, otherZones, maxWithoutSameZone)
 	}
-	beside := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return h.Zone != zone })
-	return append(match(self, beside, replicas, near, mostNear), match(self, beside, replicas, far, mostFar)...)
+	zoneHosts := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return h.Zone != zone })
+	return append(
+		assign(self, zoneHosts, replicas, sameZone, maxSameZone),
+		assign(self, zoneHosts, replicas, otherZones, maxOtherZones)...,
+	)
 }
 
-func all(replicas []Replica) []int {
+func allIndexes(replicas []Replica) []int {
 	list := make([]int, len(replicas))
 	for i := range list {
 		list[i] = i
@@ -59,8 +63,8 @@
 	return list
 }
 
-// without returns the hosts in whose zones there is no replica.
-func without(hosts []member.Host, replicas []Replica) []member.Host {
+// withoutReplicas returns the hosts whose zones have no replica.
+func withoutReplicas(hosts []member.Host, replicas []Replica) []member.Host {
 	zones := map[string]bool{}
 	for _, r := range replicas {
 		zones[r.Zone] = true
@@ -68,36 +72,37 @@
 	return slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return zones[h.Zone] })
 }
 
-// pair is a host and a replica, which rank each other alike.
+// pair is a host and a replica, given by their indexes, with the hash that orders all pairs.
 type pair struct {
 	rank          uint64
 	host, replica int
 }
 
-// match returns the replicas among some that a host is matched with, where each of the hosts gets a number of them.
-func match(self string, hosts []member.Host, replicas []Replica, among []int, number int) []int {
-	if len(among) <= number {
-		return among
+// assign returns the replicas, given by their indexes in candidates, that are assigned to self where each of the hosts
+// gets the given number of them.
+func assign(self string, hosts []member.Host, replicas []Replica, candidates []int, perHost int) []int {
+	if len(candidates) <= perHost {
+		return candidates
 	}
-	pairs := make([]pair, 0, len(hosts)*len(among))
+	pairs := make([]pair, 0, len(hosts)*len(candidates))
 	for i := range hosts {
-		for _, n := range among {
+		for _, n := range candidates {
 			pairs = append(pairs, pair{rank: xxhash.Sum64String(hosts[i].ID + "\x00" + replicas[n].ID), host: i, replica: n})
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.host, b.host), cmp.Compare(a.replica, b.replica))
 	})
-	// Each replica may be chosen by its part of what all hosts choose, rounded up.
-	part := (number*len(hosts) + len(among) - 1) / len(among)
-	has, chosen := make([]int, len(hosts)), make([]int, len(replicas))
+	// Caps the hosts per replica at an even share of all assignments, rounded up.
+	maxPerReplica := (perHost*len(hosts) + len(candidates) - 1) / len(candidates)
+	hostCounts, replicaCounts := make([]int, len(hosts)), make([]int, len(replicas))
 	var list []int
 	for _, p := range pairs {
-		if has[p.host] == number || chosen[p.replica] == part {
+		if hostCounts[p.host] == perHost || replicaCounts[p.replica] == maxPerReplica {
 			continue
 		}
-		has[p.host]++
-		chosen[p.replica]++
+		hostCounts[p.host]++
+		replicaCounts[p.replica]++
 		if hosts[p.host].ID == self {
 			list = append(list, p.replica)
 		}
