--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -9,13 +9,13 @@
 	"guavaspring.org/entry/internal/queueing"
 )
 
-// backWithin is the part of the time that a client has left within which it comes back.
+// backWithin is the share of a client's remaining time within which it retries.
 const backWithin = 1.0 / 3
 
 // unservable reports whether too few shards have a replica that serves.
 //
-// It answers zones that are evacuated, and shards all of whose replicas left: asked all the same, the other shards work
-// for an answer that can't come, and the client is told that its request may have run.
+// This covers evacuated zones and shards whose replicas have all left. Without the check, the other shards would work
+// for an answer that can't succeed, and the client would be informed that its request may have run.
 func (p *plan) unservable() bool {
 	served := 0
 	for i, s := range p.Shards {
@@ -23,12 +23,12 @@
 			served++
 			continue
 		}
-		p.shards[i].result = exchange.Result{Kind: upstream.KindNotSent, Detail: "no replica serves"}
+		p.shards[i].result = exchange.Result{Kind: upstream.KindNotSent, Detail: "the shard has no usable replica"}
 	}
 	return served < p.least
 }
 
-// overloaded decides whether the request is refused as a whole.
+// overloaded decides whether the whole request is refused.
 func (p *plan) overloaded() bool {
 	own := p.spare()
 	d := overload.Decide(overload.Load{
@@ -42,7 +42,7 @@
 	return d.Refused
 }
 
-// delays returns how long a try of each shard is expected to wait for room.
+// delays returns the expected wait for capacity of an attempt at each shard.
 func (p *plan) delays() []time.Duration {
 	list := make([]time.Duration, len(p.Shards))
 	together := p.together()
@@ -52,11 +52,12 @@
 	return list
 }
 
-// together returns how long the newest replies of all shards waited.
+// together returns the queueing delay seen in the newest replies of all shards.
 //
-// It answers a burst over a large fleet: a host that sends each shard thirty requests a second learns from its replies
-// in a few tenths of one that they queue, and by then all hosts have filled the queues and refuse everything, until
-// those are empty and all let everything in. The ten or more shards of a page tell it ten times sooner.
+// It detects a burst over a large fleet early. A host that sends each shard thirty requests a second needs a few tenths
+// of a second to detect queueing from the replies of one shard. By then all hosts have filled the queues and refuse
+// everything until the queues are empty, and then all admit everything. The replies of the ten or more shards of a
+// query reveal it ten times sooner.
 func (p *plan) together() time.Duration {
 	waits := make([]time.Duration, 0, len(p.Shards))
 	for _, s := range p.Shards {
@@ -67,12 +68,12 @@
 	return queueing.Quantile(waits)
 }
 
-// slowest is how many times as long as the usual one the slowest reply takes that a page over shards waits for while
-// nothing queues.
+// slowest is the latency of the slowest reply that a query over shards waits for without queueing, as a multiple of the
+// unloaded latency.
 const slowest = 2
 
-// spare returns how long a try may wait for the answer to be in time; where the work alone takes longer than that, as
-// much again as the work.
+// spare returns how long an attempt may wait for capacity with the answer still in time. If the work alone takes longer
+// than that, it returns the duration of the work.
 func (p *plan) spare() time.Duration {
 	work := p.unloaded
 	if work == 0 {
@@ -81,7 +82,7 @@
 	return max(p.timing.cutoff-slowest*work, work)
 }
 
-// leastSpare returns the least time that any route to the same shards has, where this one has own.
+// leastSpare returns the least slack of any route to the same shards, where this route has own.
 func (p *plan) leastSpare(own time.Duration) time.Duration {
 	least := own
 	for _, s := range p.Shards {
@@ -90,9 +91,9 @@
 	return least
 }
 
-// refuse ends a request to which nothing was sent. Clients come back once or twice, and within a third of the time that
-// they have left: those that come back late in it, each at another moment, find the burst over more often than those
-// that come at once.
+// refuse ends a request of which nothing was sent. Clients retry once or twice, within a third of their remaining time.
+// Retries that come late in that window and at different moments are more likely to arrive after the burst than
+// immediate ones.
 func (p *plan) refuse() Report {
 	left := p.end().Sub(p.now)
 	p.report.RetryAfter = p.report.Overload.Wait + time.Duration((1+p.run.opts.Draw())*backWithin/2*float64(left))
--- a/entry/internal/scatter/burst_test.go
+++ b/entry/internal/scatter/burst_test.go
@@ -19,33 +19,34 @@
 	"guavaspring.org/entry/internal/scatter"
 )
 
-// kind is one kind of request over the same shards.
+// kind is a kind of request; all kinds use the same shards.
 type kind struct {
 	path                string
 	objective, deadline time.Duration
 	work                time.Duration
 	least               float64
-	// weight is its part of what comes.
+	// weight is the relative frequency of the kind.
 	weight int
 }
 
-// kinds are pages, and lookups that have half the time and a third of the work.
+// kinds are page queries, and lookups with half their objective and a third of their work.
 var kinds = []kind{
 	{"/page", 100 * time.Millisecond, 600 * time.Millisecond, 11 * time.Millisecond, 0.89, 3},
 	{"/lookup", 50 * time.Millisecond, 300 * time.Millisecond, 4 * time.Millisecond, 0.75, 1},
 }
 
-// tally is what the callers of one kind got.
+// tally counts the outcomes of the requests of one kind.
 type tally struct {
 	asked, inTime, late, refused, failed int
-	// held counts refusals that did not come at once.
+	// held counts refusals that were not immediate.
 	held int
 }
 
-// crowd plays callers that come in a steady stream and come back once, when they are told.
+// crowd simulates clients that arrive at a steady rate and retry a refused request once, after the delay in the
+// refusal.
 type crowd struct {
 	hosts []*bed
-	// routes and learned are by host and kind.
+	// routes is indexed by kind, and learned by host and kind.
 	routes  []*route.Route
 	learned [][]*learned.Route
 	mu      sync.Mutex
@@ -53,8 +54,8 @@
 	next    int
 }
 
-// newCrowd returns callers of a number of hosts before ten shards of three replicas, each of which runs some requests
-// at once.
+// newCrowd returns a load on a number of hosts, with ten shards of three replicas that run a number of requests at a
+// time.
 func newCrowd(farm *replicatest.Farm, hosts, slots int) *crowd {
 	c := &crowd{tallies: make([]tally, len(kinds))}
 	for _, k := range kinds {
@@ -87,8 +88,8 @@
 	return c
 }
 
-// worker answers as a replica that runs a number of requests at once, each for the work of its kind, and lets the
-// others wait.
+// worker returns a handler that runs a number of requests at a time, each for the work of its kind, and queues the
+// others.
 func worker(slots int) func(*http.Request, []byte) replicatest.Answer {
 	free := make(chan struct{}, slots)
 	return func(req *http.Request, body []byte) replicatest.Answer {
@@ -113,8 +114,8 @@
 	}
 }
 
-// play lets rate callers a second come for some time and returns what those that came after the first half second got,
-// by kind.
+// play generates rate requests per second for a span of time and returns, by kind, the outcomes of those that arrived
+// after the first half second.
 func (c *crowd) play(t *testing.T, rate int, span time.Duration) []tally {
 	var all sync.WaitGroup
 	mix := kindOf()
@@ -128,7 +129,7 @@
 	return c.tallies
 }
 
-// kindOf returns the kinds, each as often as its weight says.
+// kindOf returns the indexes of the kinds, each repeated by its weight.
 func kindOf() []int {
 	var list []int
 	for i, k := range kinds {
@@ -139,7 +140,8 @@
 	return list
 }
 
-// visit plays one caller of kind k: it asks a host, and where it is refused comes back once to any host.
+// visit simulates one client of kind k: it sends a request to host h, and after a refusal retries once at the next
+// host.
 func (c *crowd) visit(t *testing.T, k, h int, counts bool) {
 	came := time.Now()
 	var rep scatter.Report
@@ -192,20 +194,21 @@
 	return host.run.Run(t.Context(), q)
 }
 
-// Twice as many callers come as the replicas of all shards can answer, and for seconds: users that watch a page turn
-// slow press again. What is let in beyond what can be done makes all wait, until most of the work goes into answers
-// that come too late. Nearly as many as can be have to be answered in time, the others have to hear so at once, and
-// neither kind may be starved. With few hosts and with so many that none of them ever has two requests at a replica.
+// For more than a second, twice as many requests arrive as the replicas of all shards can answer, as when users reload
+// a slow page. Admitting more than the capacity makes all requests wait, until most of the work goes into answers that
+// come too late. Nearly as many requests as the capacity allows must be answered in time, the others must be refused at
+// once, and neither kind may be starved. The test runs with few hosts, and with so many that none of them ever has two
+// requests at a replica.
 func TestBurstIsAnsweredInTime(t *testing.T) {
 	tests := []struct {
 		hosts, slots int
-		// rate is what comes a second, capacity what can be done: three replicas of a shard run slots at once, for 9.25
-		// ms in the mean.
+		// rate is the number of requests that arrive per second, and capacity the number that can be answered: three
+		// replicas of a shard run slots requests at a time, for 9.25 ms on average.
 		rate, capacity int
-		// least is the part of what can be done that has to come in time, late the part of that which may come late
-		// besides. Five runs gave 0.96 to 0.99 and 0.59 to 0.68, and 0.06 to 0.08 and 0.35 to 0.49. Refused by the
-		// tries that wait at each host alone, 0.53 and 0 came in time over two seconds, and 514 and 3,068 requests were
-		// late or failed.
+		// least is the required share of the capacity that is answered in time, and late the limit on late answers as a
+		// share of the answers in time. Correct runs reach 0.96 to 0.99 and 0.59 to 0.68 of the capacity, with 0.06 to
+		// 0.08 and 0.35 to 0.49 late. Admission by the attempts that wait at each host alone answers 0.53 and 0 in time
+		// over two seconds, with 514 and 3,068 requests late or failed.
 		least, late float64
 	}{{6, 2, 1300, 648, 0.8, 0.3}, {84, 4, 2600, 1297, 0.45, 0.6}}
 	for _, test := range tests {
@@ -223,7 +226,7 @@
 				qt.Check(t, n.inTime > n.asked/6, qt.IsTrue, qt.Commentf("%s: %+v", kinds[i].path, n))
 			}
 			t.Logf("%d hosts: %+v", test.hosts, got)
-			// The first half second is not counted.
+			// The first half second is not counted, so one second of capacity remains.
 			can := test.capacity
 			qt.Check(t, float64(sum.inTime) > test.least*float64(can), qt.IsTrue, qt.Commentf("%d hosts: %+v, %d could be in time", test.hosts, sum, can))
 			qt.Check(t, float64(sum.late) < test.late*float64(sum.inTime), qt.IsTrue, qt.Commentf("%d hosts: %+v", test.hosts, sum))
@@ -234,8 +237,8 @@
 	}
 }
 
-// All replicas are four times slower than before, and hardly anybody comes. Nothing queues there: whoever comes must be
-// answered, though replies take as long as if many waited.
+// All replicas are four times slower than before, and the load is low. Nothing queues, so no request may be refused,
+// although replies take as long as they would with many requests waiting.
 func TestSlowReplicasWithoutLoadRefuseNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
--- a/entry/internal/scatter/scatter.go
+++ b/entry/internal/scatter/scatter.go
@@ -16,61 +16,63 @@
 )
 
 const (
-	// lingerFor is how long a try that lost is left alone: a replica that pauses is back within a quarter of a second,
-	// and a new connection costs it more than the rest of the work.
+	// lingerFor is how long attempts still in flight keep running after their request has ended: a paused replica
+	// resumes within 250 ms, and a new connection costs it more than the remaining work.
 	lingerFor = 300 * time.Millisecond
-	// lookAgain is how soon a waiting shard looks for room that no reply of this host has announced.
+	// lookAgain is the interval at which a waiting shard checks for capacity freed without a reply to this host.
 	lookAgain = 25 * time.Millisecond
-	// hedgeAgain is how soon a late shard whose other replicas are full looks at them again.
+	// hedgeAgain is the delay before a hedge is tried again when all other replicas of the shard are full.
 	hedgeAgain = 10 * time.Millisecond
-	// spareSteps is the room for decisions beyond the first tries, so that the list of a usual request doesn't grow.
+	// spareSteps is the capacity reserved for steps beyond the first attempts, which avoids a reallocation for most
+	// requests.
 	spareSteps = 4
-	// unsentTries is how many replicas beyond the allowed ones may be tried where nothing was sent to the others.
+	// unsentTries is the number of replicas beyond the route's attempts that may be selected when nothing was sent to
+	// the earlier ones.
 	unsentTries = 2
-	// resends is how often a shard's request may go once more to replicas that turned it away.
+	// resends is the number of times that a shard's request may be sent again to replicas that shed it.
 	resends = 3
-	// answerBefore is how long before its deadline a request is given up, so that the answer is there in time.
+	// answerBefore is how long before its deadline a request ends, so that the answer arrives in time.
 	answerBefore = 5 * time.Millisecond
 )
 
-// Ending says how a request came to its end.
+// Ending is the final state of a request.
 type Ending string
 
-// The ways in which a request ends.
+// Final states of a request.
 const (
 	// Complete means that every shard answered.
 	Complete Ending = "complete"
-	// Partial means that enough shards answered by the time an answer was due.
+	// Partial means that enough shards, but not all, answered by the time the answer was due.
 	Partial Ending = "partial"
 	// Lost means that too few shards can still answer.
 	Lost Ending = "lost"
 	// Expired means that the deadline passed.
 	Expired Ending = "expired"
-	// Gone means that the client went away.
+	// Gone means that the client disconnected.
 	Gone Ending = "client_gone"
-	// Overload means that nothing was sent, since more waits for the shards than can be answered in time.
+	// Overload means that nothing was sent, because the queues of the shards are too long for an answer in time.
 	Overload Ending = "overload"
 )
 
 // Options configures a Runner.
 type Options struct {
 	Clock clock.Clock
-	// Share returns the part, 0 to 1, of the budgets of extra tries that this host takes.
+	// Share returns this host's share, 0 to 1, of the budgets for extra attempts.
 	Share func() float64
 	// Draw returns a random number between 0 and 1 and must be safe for concurrent use; nil means rand.Float64.
 	Draw func() float64
-	// Quarantine holds the requests that crash replicas; nil means one of the runner's own.
+	// Quarantine holds the requests that crash replicas; nil means a quarantine private to the runner.
 	Quarantine *quarantine.Quarantine
-	// Subqueries is how parts of queries are asked through other hosts; the zero value asks all shards directly.
+	// Subqueries configures subqueries to other hosts; the zero value sends every attempt directly.
 	Subqueries Subqueries
-	// Region is the host's own, in which the hosts are that gather for it.
+	// Region is the region of this host and of the hosts that receive its subqueries.
 	Region string
 }
 
-// Runner runs requests.
+// Runner sends requests to the replicas of their shards.
 type Runner struct{ opts Options }
 
-// New returns a runner.
+// New returns a Runner.
 func New(opts Options) *Runner {
 	if opts.Draw == nil {
 		opts.Draw = rand.Float64
@@ -81,51 +83,51 @@
 	return &Runner{opts: opts}
 }
 
-// Query is one request and where it goes.
+// Query is a request together with its route and shards.
 type Query struct {
 	Request *opaque.Request
 	Route   *route.Route
-	// Shards are the services that it is sent to, one replica each.
+	// Shards are the services that receive the request, one replica each.
 	Shards []*endpoints.Service
-	// Learned holds what was learned from the route's requests.
+	// Learned holds the statistics of the route's earlier requests.
 	Learned *learned.Route
-	// Homes are the regions in which alone it may run; none means any.
+	// Homes are the regions to which the request is restricted; none means any.
 	Homes             []string
 	Arrived, Deadline time.Time
-	// Version is the configuration that names the shards.
+	// Version is the version of the configuration that names the shards.
 	Version int64
-	// Fingerprint names the request by its content, and Suspect says that a replica crashed under it a moment ago.
+	// Fingerprint identifies the request by its content, and Suspect means that a replica crashed recently while
+	// running it.
 	Fingerprint string
 	Suspect     bool
 }
 
-// Report is what a request came to.
+// Report is the result of a request.
 type Report struct {
 	Ending Ending
-	// Results holds, for each shard, the reply that was taken, or the last failure where none was.
+	// Results holds, for each shard, the accepted reply, or the last failure if there is none.
 	Results []exchange.Result
-	// Answered counts the shards whose reply was taken.
+	// Answered is the number of shards with an accepted reply.
 	Answered int
-	// Hedges and Retries count the tries beyond the first of a shard.
+	// Hedges and Retries count the attempts after the first one of a shard.
 	Hedges, Retries int
-	// Ran says that a replica may have run the request.
+	// Ran means that a replica may have run the request.
 	Ran bool
-	// Through counts the shards whose first try another host sent.
+	// Through is the number of shards whose first attempt was sent by another host.
 	Through int
-	// Denied counts second tries that the budget did not allow.
+	// Denied is the number of extra attempts that the budget did not allow.
 	Denied int
-	// Steps holds what was decided, in order.
+	// Steps holds the decisions about the shards in order.
 	Steps []Step
-	// Overload is the decision whether the request was let in.
+	// Overload is the admission decision for the request.
 	Overload overload.Decision
-	// RetryAfter is when to come back after Overload.
+	// RetryAfter is the delay before the client retries after Overload.
 	RetryAfter time.Duration
-	// Usual and Hedge are the times that the request was measured by: of a healthy replica's reply, and after which a
-	// second try is sent.
+	// Usual is the expected latency of a healthy replica, and Hedge the delay before a hedge, as used for this request.
 	Usual, Hedge time.Duration
 }
 
-// Run sends the request and returns once its end is decided.
+// Run sends the request and returns as soon as its ending is known.
 func (run *Runner) Run(ctx context.Context, q Query) Report {
 	p := newPlan(run, q)
 	if p.unservable() {
@@ -145,18 +147,19 @@
 	Query
 	run    *Runner
 	timing timing
-	// unloaded is how long a reply takes while nothing queues, zero for unknown.
+	// unloaded is the latency of a reply without queueing, zero if unknown.
 	unloaded time.Duration
 	least    int
 	now      time.Time
 	shards   []shard
-	// ctx ends the tries; it is not the client's, since a try that lost is left to end by itself for a while.
+	// ctx ends the attempts. It is independent of the client's context, because attempts still in flight keep running
+	// for a while after the request has ended.
 	ctx    context.Context
 	cancel context.CancelFunc
 	ends   chan ended
-	// room receives the shards whose wait for room may be over.
+	// room receives the index of each waiting shard that may have capacity now.
 	room chan int
-	// told receives what hosts tell that gather parts of the request.
+	// told receives the replies of the hosts that gather parts of the request.
 	told    chan told
 	report  Report
 	lost    int
@@ -166,24 +169,25 @@
 
 type shard struct {
 	tried []*endpoints.Replica
-	// sent counts the tries that may have reached a replica, running those under way.
+	// sent counts the attempts that may have reached a replica, including the running ones.
 	sent, running int
-	// hedgeAt, lookAt and resendAt are when the shard is looked at next; zero means never.
+	// hedgeAt, lookAt and resendAt are the times of the shard's next checks; zero means none.
 	hedgeAt, lookAt, resendAt time.Time
-	// turnedAway holds the replicas that did not run the request and said so, which never will run that try of it.
+	// turnedAway holds the replicas that explicitly rejected an attempt without running it; a rejected attempt never
+	// runs later.
 	turnedAway []*endpoints.Replica
-	// resent counts the tries at replicas that had turned the request away.
+	// resent counts the attempts at replicas that had shed the request.
 	resent         int
 	answered, lost bool
-	// waiter is set while the shard waits for room, and what is the try that waits.
+	// waiter is set while the shard waits for capacity, and what is the attempt that waits.
 	waiter *endpoints.Waiter
 	what   What
 	result exchange.Result
-	// through is the part of the request that holds the shard, where another host has sent its first try.
+	// through is the subquery to another host that sent the shard's first attempt, nil if there is none.
 	through *part
 }
 
-// ended is a try that came to its end.
+// ended is the result of a finished attempt.
 type ended struct {
 	shard   int
 	replica *endpoints.Replica
@@ -203,8 +207,8 @@
 	return p
 }
 
-// start sends the first try of each shard. What is not idempotent is not ended with the client: it may have run, and
-// its replica should not be cut off.
+// start sends the first attempt of each shard. The attempts of a request that is not idempotent outlive the client's
+// context: the request may be running, and its replica must not be interrupted.
 func (p *plan) start(ctx context.Context) {
 	p.ctx, p.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	for _, s := range p.Shards {
@@ -218,7 +222,8 @@
 	}
 }
 
-// leave lets the tries that are still under way go on for a while, unless nobody waits for the answer.
+// leave lets the attempts in flight run on for a while, or cancels them at once if an idempotent request has lost its
+// client.
 func (p *plan) leave(end Ending) {
 	switch {
 	case p.running() == 0:
@@ -240,7 +245,7 @@
 	return n
 }
 
-// collect takes results until the end of the request is decided.
+// collect handles events until the ending of the request is known.
 func (p *plan) collect(ctx context.Context) Report {
 	for {
 		if end, ok := p.decided(); ok {
@@ -266,8 +271,8 @@
 	}
 }
 
-// passOn gives room that was announced to this request, which needs it no more, to the next one that waits: otherwise
-// it would stay unused until another reply comes.
+// passOn passes capacity that was announced to this request, which no longer needs it, to the next waiter. Otherwise it
+// stays unused until the next reply.
 func (p *plan) passOn() {
 	for {
 		select {
@@ -279,7 +284,7 @@
 	}
 }
 
-// decided reports whether nothing better than what is there can come in time, and how the request ends.
+// decided reports whether waiting can no longer improve the result in time, and returns the ending.
 func (p *plan) decided() (Ending, bool) {
 	have := p.report.Answered
 	switch {
@@ -297,12 +302,12 @@
 	return "", false
 }
 
-// cutoff is when an answer leaves that has enough parts though not all.
+// cutoff returns the time at which an answer with enough but not all parts is sent.
 func (p *plan) cutoff() time.Time { return p.Arrived.Add(p.timing.cutoff) }
 
 func (p *plan) end() time.Time { return p.Deadline.Add(-answerBefore) }
 
-// wake returns when there is something to look at next.
+// wake returns the time of the next scheduled check.
 func (p *plan) wake() time.Time {
 	next := p.end()
 	if cutoff := p.cutoff(); p.now.Before(cutoff) && cutoff.Before(next) {
@@ -322,7 +327,7 @@
 	return next
 }
 
-// tick sends what is due by the time.
+// tick runs the checks that are due.
 func (p *plan) tick() {
 	for i := range p.shards {
 		s := &p.shards[i]
@@ -354,7 +359,7 @@
 	p.report.Results = make([]exchange.Result, len(p.shards))
 	for i := range p.shards {
 		p.report.Results[i] = p.shards[i].result
-		// What is under way and idempotent is not waited for; it counts as run all the same.
+		// An idempotent attempt still in flight is not waited for, but may have run.
 		p.report.Ran = p.report.Ran || p.shards[i].running > 0
 	}
 	return p.report
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -28,16 +28,16 @@
 	"guavaspring.org/platform/wire"
 )
 
-// bed is a host's way to the replicas of a farm.
+// bed is a host that sends requests to the replicas of a farm.
 type bed struct {
 	farm    *replicatest.Farm
 	table   *endpoints.Table
 	run     *scatter.Runner
 	learned *learned.Route
 	n       atomic.Int64
-	// crashers holds the requests that take replicas down.
+	// crashers holds the requests that crash replicas.
 	crashers *quarantine.Quarantine
-	// evacuated is the availability zone to whose replicas nothing is sent.
+	// evacuated is the name of the evacuated availability zone.
 	evacuated atomic.Value
 }
 
@@ -47,13 +47,12 @@
 	return newHost(farm, slack, 1)
 }
 
-// newHost returns the way of one host, which takes a part of all that the hosts may do together, to the replicas of a
-// farm.
+// newHost returns a host in zone a with a part, 0 to 1, of the limits that all hosts share.
 func newHost(farm *replicatest.Farm, slack, part float64) *bed {
 	return newHostIn("a", farm, slack, part, scatter.Subqueries{})
 }
 
-// newHostIn returns the way of one host in an availability zone, which asks other hosts for parts of its queries.
+// newHostIn returns a host in an availability zone that sends subqueries to other hosts.
 func newHostIn(zone string, farm *replicatest.Farm, slack, part float64, sub scatter.Subqueries) *bed {
 	b := &bed{farm: farm, learned: &learned.Route{}}
 	b.evacuated.Store("")
@@ -69,7 +68,7 @@
 	return b
 }
 
-// usual makes the route's replies take 30 ms lately.
+// usual lists the replicas and records 100 recent replies of 30 ms for the route.
 func (b *bed) usual() {
 	b.table.Replace(b.farm.Batch(), false)
 	for range 100 {
@@ -100,8 +99,8 @@
 	return rep, time.Since(began)
 }
 
-// shortShard adds ten shards of three replicas that run five at a time of 28 ms; one shard has a single one, which does
-// 178 a second.
+// shortShard adds ten shards of three replicas that run five requests of 28 ms at a time. One shard has a single
+// replica, which serves 178 requests per second.
 func (b *bed) shortShard() {
 	for i := range 10 {
 		for n := range 3 {
@@ -112,7 +111,7 @@
 	}
 }
 
-// overShards is a route over ten shards.
+// overShards returns a route over ten shards.
 func overShards(least float64) *route.Route {
 	rt := &route.Route{Idempotent: true, Timeout: 2 * time.Second, Objective: 200 * time.Millisecond, Attempts: 2, TopK: 5, LeastShare: least}
 	for i := range 10 {
@@ -125,8 +124,8 @@
 	return &route.Route{Idempotent: idempotent, Timeout: 2 * time.Second, Objective: 800 * time.Millisecond, Attempts: 2, Split: []route.Share{{Service: "s0", Weight: 1}}}
 }
 
-// One replica of ten pauses for a quarter of a second, as each does every six. The page must not wait for it: a second
-// replica of that shard is asked as soon as the reply is later than nine in ten are.
+// One of ten replicas pauses for 250 ms, as each does every six seconds. The answer must not wait for it: a hedge goes
+// to a second replica of that shard as soon as the reply is later than nine in ten are.
 func TestPausedReplicaIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -148,8 +147,8 @@
 	})
 }
 
-// All replicas of one shard are dark. The page goes out before its objective with nine parts of ten and says so; where
-// the team asks for all ten it is given up only at its end.
+// All replicas of one shard accept requests and never answer. The answer must be sent before its objective with nine of
+// ten parts, marked as partial. If the route requires all ten, the request expires only at its deadline.
 func TestDarkShard(t *testing.T) {
 	tests := []struct {
 		least float64
@@ -177,8 +176,8 @@
 	}
 }
 
-// A shard has no replica left at all. Nobody should wait for it: the page goes out as soon as the other parts are
-// there, and a request that can't succeed any more is refused at once, truly not run.
+// A shard has no replicas. An answer must not wait for it, and a request that can no longer succeed must be refused at
+// once and reported as not run.
 func TestShardWithoutReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -197,9 +196,9 @@
 	})
 }
 
-// An operator evacuates the zone that alone holds four of ten shards, and a page needs nine. No page can come of what
-// is left: clients must be told at once that their request did not run, and the other shards must not work for it. With
-// one such shard pages go out that say so.
+// An operator evacuates the only zone that holds four of ten shards, and an answer needs nine. No answer is possible:
+// clients must be informed at once that their request did not run, and the other shards must not work for it. With one
+// such shard, partial answers are sent.
 func TestEvacuatedShards(t *testing.T) {
 	tests := []struct {
 		evacuated, arrivals int
@@ -237,8 +236,7 @@
 	}
 }
 
-// A donor's drop-off runs, and the answer is lost with the connection. Sent again it would be recorded twice, and
-// somebody drives out for fabric that is already given away.
+// A write runs, and its reply is lost with the connection. A second attempt would record the write twice.
 func TestWriteRunsAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -267,10 +265,10 @@
 	}
 }
 
-// Half of all replicas turn away six in ten requests without running them, at random. A request may go to two replicas
-// of a shard, and where both turn away one shard in three is lost: of pages over 20 shards, nineteen of which are
-// enough, next to none would come. Nine in ten pages must be in time, no request may reach a third replica of a shard
-// or run twice, and what goes again must stay within the budget.
+// Half of all replicas shed six in ten requests at random without running them. A request may go to two replicas of a
+// shard, and if both shed it, one shard in three is lost: of the answers over 20 shards, which need nineteen, hardly
+// any would succeed. Nine in ten answers must be in time, no request may reach a third replica of a shard or run twice,
+// and the resends must stay within the budget.
 func TestPagesWhereReplicasTurnAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 1000)
@@ -323,8 +321,8 @@
 	})
 }
 
-// Replicas turn away what comes, and requests that go to them again find the few connections that the host may hold there taken by each other. Each must wait for
-// one of the two replicas that turned it away: a third replica is one more than a request may go to.
+// Replicas shed all requests, and the resent ones compete for the few connections that the host may open to them. Each
+// must wait for one of the two replicas that shed it: a third replica exceeds the attempts of the route.
 func TestResendStaysWithinAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 1000)
@@ -357,7 +355,7 @@
 	})
 }
 
-// Every replica is full. What is refused must say truly that it has not run.
+// Every replica is full. The request must be reported as not run.
 func TestFullReplicasRanNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -372,8 +370,8 @@
 	})
 }
 
-// Every replica of a service breaks what it runs. Each request would be sent twice, which doubles the load on replicas
-// that fail; the budget lets only its share through.
+// Every replica of a service fails after running a request. Retrying each request would double the load on failing
+// replicas; the budget must limit the retries.
 func TestRetriesStayInTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 10)
@@ -396,8 +394,8 @@
 	})
 }
 
-// Every replica of a service breaks what it runs. The operator allows two replicas for a request; a third one that is
-// there must be left alone.
+// Every replica of a service fails after running a request. The route allows two replicas per request; a third one must
+// receive nothing.
 func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -416,8 +414,8 @@
 	})
 }
 
-// All replicas of a service are slow at once. A second try beside each slow one would double their load; the budget
-// lets only its share through.
+// All replicas of a service are slow at the same time. A hedge for each slow attempt would double their load; the
+// budget must limit the hedges.
 func TestHedgesStayInTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 4)
@@ -437,8 +435,8 @@
 	})
 }
 
-// A client leaves. What may be repeated is cut off at its replicas within half a second, and a write that may be
-// running is left alone.
+// A client disconnects. Its attempt must be canceled within half a second if the request is idempotent, and must
+// continue if it is a write that may be running.
 func TestClientGone(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -464,8 +462,9 @@
 	}
 }
 
-// Two of three replicas of a shard are taken away, and the one left gets a third more than it can do. Pages must not
-// all wait past their objective for it: those that get a place are whole in time, the others go out without that shard.
+// Two of three replicas of a shard are removed, and the remaining one receives a third more than its capacity. Answers
+// must not all miss their objective because of it: those that get a slot are complete and in time, the others are sent
+// without that shard.
 func TestOverloadedShardThinsPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -477,7 +476,7 @@
 			took   time.Duration
 		}
 		ends := make(chan outcome, 1000)
-		// 240 a second come.
+		// 480 requests at 240 per second.
 		const n = 480
 		for range n {
 			go func() {
@@ -502,7 +501,7 @@
 	})
 }
 
-// slots answers as a replica does that runs a number of requests at once and lets the others wait.
+// slots returns a handler that runs n requests at a time and queues the others.
 func slots(n int, work time.Duration) func(*http.Request, []byte) replicatest.Answer {
 	free := make(chan struct{}, n)
 	return func(req *http.Request, body []byte) replicatest.Answer {
@@ -513,9 +512,9 @@
 	}
 }
 
-// One of ten shards has one replica left, which does less than half of what comes, and every page needs it. Pages that
-// it can't answer waited for it until their two seconds were over. They have to be refused when they come, with nothing
-// sent, so that their callers can say so and come back, and the replica has to stay busy all the same.
+// One of ten shards has a single replica, with capacity for less than half of the requests, and every answer needs it.
+// Requests beyond that capacity waited for it until their deadline after two seconds. They must be refused on arrival
+// with nothing sent, so that clients can retry, while the replica stays busy.
 func TestShortShardRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -543,10 +542,10 @@
 	})
 }
 
-// A fifth more pages come than the replicas of all shards can do, for three seconds, over seven hosts. Each shard on
-// its own turns other pages away, so that many lack two of their ten parts: they work, and are of no use. Nearly all
-// that can be done has to go out in time, and whoever can't be served has to hear so at once and truly, with when to
-// come back.
+// For three seconds, the load on seven hosts exceeds the capacity of the replicas of all shards by a fifth. Shards that
+// shed independently reject different requests, so that many answers lack two of their ten parts: that work is wasted.
+// Nearly as many answers as the capacity allows must be in time, and all other requests must be refused at once as not
+// run, with a retry delay.
 func TestOverloadServesWholePages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
@@ -570,7 +569,8 @@
 			took time.Duration
 		}
 		ends := make(chan outcome, 3000)
-		// Three replicas of a shard run five at a time of 22, 28 and 36 ms, which is 543 a second; 650 a second come.
+		// Three replicas of a shard run five requests at a time, of 22, 28 and 36 ms, which is 543 requests per second;
+		// 650 per second arrive.
 		const rate, capacity, seconds = 650, 543, 3
 		for i := range rate * seconds {
 			go func() {
@@ -606,7 +606,7 @@
 
 const poison = "/poison"
 
-// crashy answers everything but the poison, which takes the replica down for two seconds.
+// crashy answers all requests except poison, which crashes the replica for two seconds.
 func crashy(req *http.Request, body []byte) replicatest.Answer {
 	if req.URL.Path == poison {
 		return replicatest.Answer{After: 10 * time.Millisecond, CrashFor: 2 * time.Second}
@@ -614,9 +614,10 @@
 	return replicatest.OK("r", 30*time.Millisecond, "x")(req, body)
 }
 
-// One lookup crashes each replica that runs it, and its caller sends it again and again. Without a stop every shard
-// loses its replicas as fast as they come back, and pages of all others go out with holes for as long as the caller
-// tries. It has to end with the first attempt or two, and lookups that were running beside it must not be taken for it.
+// A request crashes each replica that runs it, and its client repeats it. Unless it is quarantined, every shard loses
+// its replicas as fast as they restart, and the answers to all other requests lack parts for as long as the client
+// retries. The crashes must end after the first one or two attempts, and requests that ran beside it must not be
+// quarantined.
 func TestCrashingRequestEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
@@ -671,8 +672,8 @@
 	})
 }
 
-// Connections to replicas break under what they run, as something between the two ends drops them, and the replicas
-// live. A greeter's lookup that met it twice must not be refused when the tablet sends it again.
+// Connections to replicas break while requests run, as when a middlebox drops them, and the replicas stay up. A request
+// that met this twice must not be refused when its client sends it again.
 func TestBrokenConnectionsAreNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, 50)
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -19,58 +19,58 @@
 )
 
 const (
-	// subqueryLate is how much later than a try of this host's own one at another host may be before a second try is
-	// sent without word of it: the way there and back, and the time of a busy host.
+	// subqueryLate is how much later than a direct attempt an attempt through another host may finish before it is
+	// hedged without a reply from that host. It covers the round trip and the processing time of a busy host.
 	subqueryLate = 15 * time.Millisecond
-	// subqueryPart is the part of a route's objective that subqueryLate may be: what a second host saves in bytes, an
-	// urgent route loses in time.
+	// subqueryPart bounds subqueryLate as a share of the route's objective: on urgent routes the added latency
+	// outweighs the bytes saved.
 	subqueryPart = 0.1
-	// subqueryGone is how long after it is due a reply of another host is waited for before the connection to it counts
-	// as broken.
+	// subqueryGone is how long past its due time a reply of another host may be before the connection counts as broken.
 	subqueryGone = 150 * time.Millisecond
-	// subqueryRest is the longest wait of one call for the parts that were pending.
+	// subqueryRest is the longest wait of one call for pending parts.
 	subqueryRest = 250 * time.Millisecond
 )
 
-// Subqueries is how parts of queries are asked through other hosts.
+// Subqueries configures how parts of queries are gathered by other hosts.
 type Subqueries struct {
-	// Zones returns the other availability zones in which a host takes subqueries.
+	// Zones returns the other availability zones that have a host which accepts subqueries.
 	Zones func() []string
 	// Peer returns a host in a zone.
 	Peer func(zone string) (subquery.Peer, bool)
-	// Failed is told of a host that did not answer.
+	// Failed is called with each host that failed to answer, or answered late.
 	Failed func(peer subquery.Peer, err error)
 }
 
-// part is a part of the request that another host gathers.
+// part is the part of a request that another host gathers.
 type part struct {
 	peer subquery.Peer
-	// shards are the places of the part's shards in the request; open says which of them still run there.
+	// shards are the indexes of the part's shards in the request; open holds those whose attempts at the other host
+	// have not ended.
 	shards []int
 	open   map[int]bool
-	// since is when it was sent there.
+	// since is when the subquery was sent.
 	since time.Time
-	// told says that the host has answered once.
+	// told means that the host has replied at least once.
 	told bool
 }
 
-// told is a reply of the host that gathers a part.
+// told is a reply from the host that gathers a part.
 type told struct {
 	part *part
-	// first says that it is the reply whose records are merged.
+	// first marks the reply that carries the merged records.
 	first bool
 	reply subquery.Reply
 	err   error
 }
 
-// throughOthers asks other hosts for the shards that have no replica near.
+// throughOthers asks hosts in other zones for the shards without a replica in this host's zone.
 func (p *plan) throughOthers() {
 	sub := p.run.opts.Subqueries
 	if sub.Zones == nil || len(p.Route.Shards) == 0 || !p.Route.Idempotent || p.Suspect || !p.bearsSubqueries() {
 		return
 	}
 	if !homes.Allow(p.Homes, p.run.opts.Region) {
-		// Only the host that the client chose may see the request outside its homes.
+		// Outside the request's home regions, only the host chosen by the client may receive it.
 		return
 	}
 	shards := make([]crossing.Shard, len(p.Shards))
@@ -84,7 +84,7 @@
 	}
 }
 
-// bearsSubqueries reports whether the route has the time for a second host.
+// bearsSubqueries reports whether the route's objective leaves time for the extra hop.
 func (p *plan) bearsSubqueries() bool {
 	objective := p.Route.Objective
 	if objective <= 0 {
@@ -93,7 +93,7 @@
 	return subqueryLate <= time.Duration(subqueryPart*float64(objective))
 }
 
-// ask lets another host send the first try of some shards.
+// ask asks another host to send the first attempts of some shards.
 func (p *plan) ask(peer subquery.Peer, shards []int) {
 	sub := &part{peer: peer, shards: shards, open: map[int]bool{}, since: p.now}
 	names := make([]string, len(shards))
@@ -109,7 +109,7 @@
 			s.hedgeAt = p.now.Add(p.timing.hedge + subqueryLate)
 		}
 	}
-	p.note(Through, shards[0], endpoints.Choice{}, strconv.Itoa(len(shards))+" shards by "+peer.Name+" in "+peer.Zone)
+	p.note(Through, shards[0], endpoints.Choice{}, strconv.Itoa(len(shards))+" shards by "+peer.Name+" in zone "+peer.Zone)
 	p.report.Through += len(shards)
 	args := &subquery.Args{
 		Job: rand.Uint64(), Version: p.Version, Request: *p.Request, Shards: names, Top: p.Route.TopK, Left: p.Deadline.Sub(p.now), First: p.timing.hedge,
@@ -118,13 +118,13 @@
 	go p.follow(sub, args)
 }
 
-// errForgotten means that a host has ended a subquery whose rest it was asked for.
+// errForgotten means that the other host has ended the subquery whose pending parts were requested.
 var errForgotten = errors.New("the other host has ended the subquery")
 
-// errLate means that a host answered so late that second tries were sent without its word.
+// errLate means that hedges were sent before the other host's first reply arrived.
 var errLate = errors.New("the other host answered late")
 
-// follow passes on what the host that gathers a part tells, until it has told all or nobody waits.
+// follow passes on the replies of the host that gathers a part, until nothing is pending or the request has ended.
 func (p *plan) follow(sub *part, args *subquery.Args) {
 	reply, err := p.gather(sub, args)
 	for first := true; ; first = false {
@@ -141,8 +141,8 @@
 	}
 }
 
-// gather asks for the first reply. A host that is late with it is not asked again for a while, like one that does not
-// answer: it is slow itself, since it says in time what its replicas have not answered.
+// gather requests the first reply. A host that sends it late gets no subqueries for a while, like one that fails to
+// answer: the delay is its own, because it lists unfinished replicas as pending in time.
 func (p *plan) gather(sub *part, args *subquery.Args) (subquery.Reply, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, args.First+subqueryGone)
 	defer cancel()
@@ -150,7 +150,7 @@
 	late := p.run.opts.Clock.Now().Sub(sub.since) > args.First+subqueryLate
 	switch {
 	case p.ctx.Err() != nil:
-		// Nobody waits any more.
+		// The request has ended.
 	case err != nil:
 		p.run.opts.Subqueries.Failed(sub.peer, err)
 	case late:
@@ -159,14 +159,14 @@
 	return reply, err
 }
 
-// rest asks for what was pending.
+// rest requests the pending parts.
 func (p *plan) rest(sub *part, job uint64) (subquery.Reply, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, subqueryRest+subqueryGone)
 	defer cancel()
 	reply, err := sub.peer.Rest(ctx, &subquery.RestArgs{Job: job, Wait: subqueryRest})
 	switch {
 	case p.ctx.Err() != nil:
-		// Nobody waits any more.
+		// The request has ended.
 	case err != nil:
 		p.run.opts.Subqueries.Failed(sub.peer, err)
 	case reply.Forgotten:
@@ -175,7 +175,7 @@
 	return reply, err
 }
 
-// forget counts the tries at other hosts as ended that nobody waits for any more.
+// forget counts the remaining attempts at other hosts as ended when the request ends.
 func (p *plan) forget() {
 	for i := range p.shards {
 		if sub := p.shards[i].through; sub != nil && sub.open[i] {
@@ -184,7 +184,7 @@
 	}
 }
 
-// hear takes over what a host that gathers a part has told.
+// hear processes a reply of the host that gathers a part.
 func (p *plan) hear(t told) {
 	if t.err != nil || t.reply.Declined != "" {
 		p.unheard(t)
@@ -203,7 +203,7 @@
 		p.Learned.Replied(p.now, got.Took)
 		res := exchange.Result{Kind: upstream.KindOK, Status: http.StatusOK, Reply: opaque.Reply{Stamp: got.Stamp}, Body: body, Took: got.Took}
 		p.gathered(i, res, t.first)
-		// The records of all parts of a first reply come once, with the first of them.
+		// The first reply holds the records of all its parts once; they are attached to the first part.
 		body = nil
 	}
 	for _, f := range t.reply.Failed {
@@ -225,8 +225,8 @@
 	}
 }
 
-// close returns the place in the request of a shard of the part that no longer runs at the other host; it reports false
-// where it did not.
+// close ends the attempt of the part's nth shard at the other host and returns the shard's index in the request. It
+// reports false if no such attempt is pending.
 func (p *plan) close(sub *part, n int) (int, bool) {
 	if n < 0 || n >= len(sub.shards) || !sub.open[sub.shards[n]] {
 		return 0, false
@@ -236,15 +236,15 @@
 	return i, true
 }
 
-// ended counts the end of a shard's try at the other host.
+// ended counts the shard's attempt at the other host as ended.
 func (p *plan) ended(sub *part, i int) {
 	delete(sub.open, i)
 	p.Shards[i].End(p.now, p.now.Sub(sub.since))
 }
 
-// gathered takes over a part of an answer. The records of a merged one can't be told from those of the parts beside it,
-// so that it stands whatever this host has had of the shard meanwhile: a page that held both would show the shard's
-// records twice.
+// gathered processes one part of a reply. The records of a merged part are inseparable from those of the other parts in
+// the reply, so it replaces any result that this host already has for the shard: with both, the answer would hold the
+// shard's records twice.
 func (p *plan) gathered(i int, res exchange.Result, merged bool) {
 	s := &p.shards[i]
 	if merged && s.answered {
@@ -255,8 +255,8 @@
 	p.take(ended{shard: i, res: res})
 }
 
-// unheard ends the tries of a host that has declined, can't be reached or does not answer. What it may have sent has
-// run, for all that is known here.
+// unheard ends the attempts at a host that declined, was unreachable or did not answer. Unless the host declined or was
+// unreachable, the attempts count as having run, since it may have sent them.
 func (p *plan) unheard(t told) {
 	res := exchange.Result{Kind: upstream.KindNotSent, Detail: "the other host declined: " + t.reply.Declined}
 	if t.err != nil {
@@ -277,18 +277,19 @@
 	}
 }
 
-// exclude keeps the further tries of a shard from a replica that another host has tried.
+// exclude excludes a replica that another host has tried from the further attempts of a shard.
 func (p *plan) exclude(i int, id string) {
 	p.excludeAll(i, func(r *endpoints.Replica) bool { return r.ID() == id })
 }
 
-// excludeZone keeps the further tries of a shard from the replicas of a zone, of which another host has tried one.
+// excludeZone excludes the replicas of a zone, of which another host has tried one, from the further attempts of a
+// shard.
 func (p *plan) excludeZone(i int, zone string) {
 	p.excludeAll(i, func(r *endpoints.Replica) bool { return r.Zone() == zone })
 }
 
-// excludeAll keeps the further tries of a shard from some replicas. Each counts once: a host that tells of a pending
-// try again tells of the same one.
+// excludeAll excludes the matching replicas from the further attempts of a shard. Each replica is added once, because a
+// host lists a pending attempt again in each reply.
 func (p *plan) excludeAll(i int, which func(r *endpoints.Replica) bool) {
 	s := &p.shards[i]
 	for _, r := range p.Shards[i].Replicas() {
--- a/entry/internal/scatter/subqueries_test.go
+++ b/entry/internal/scatter/subqueries_test.go
@@ -23,13 +23,14 @@
 )
 
 const (
-	// manyShards is a query of which half the shards have no replica in the zone of the host that it comes to.
+	// manyShards is the number of shards of a query; those from farFrom on, half of them, have no replica in the zone
+	// of the host that receives the query.
 	manyShards = 20
 	farFrom    = manyShards / 2
 )
 
-// pair is a host in zone a to which queries come, and one in zone b that gathers parts of them. Shards from farFrom on
-// have replicas in b and c only, the others in a and c.
+// pair is a host in zone a that receives queries, and one in zone b that gathers parts of them. Shards from farFrom on
+// have replicas in zones b and c only, the others in a and c.
 type pair struct {
 	*bed
 	other                     *bed
@@ -40,13 +41,13 @@
 	dropped, failed, gathered atomic.Int64
 }
 
-// seams change how the host in zone a reaches the other one; nil is the direct way.
+// seams intercept the calls from the host in zone a to the other one; nil means that a call is made directly.
 type seams struct {
 	gather func(ctx context.Context, args *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error)
 	rest   func(ctx context.Context, args *subquery.RestArgs, direct func() (subquery.Reply, error)) (subquery.Reply, error)
 }
 
-// recordOf is the only record of a shard.
+// recordOf returns the only record of a shard.
 func recordOf(shard int) string { return fmt.Sprintf("record-of-s%05d", shard)[:16] }
 
 func newPair(t *testing.T, s seams) *pair {
@@ -124,7 +125,7 @@
 	return rt
 }
 
-// page returns the records that a client gets, and how often each shard is named.
+// page returns the merged records that a client receives, and the number of distinct shards among the results.
 func page(rep *scatter.Report, rt *route.Route) ([]byte, int) {
 	var parts [][]byte
 	named := map[string]bool{}
@@ -137,7 +138,7 @@
 	return records.Top(parts, rt.TopK), len(named)
 }
 
-// checkPage fails unless the page holds the records of just the shards that it names, each once.
+// checkPage fails unless the merged records are exactly those of the shards reported as answered, once each.
 func checkPage(t *testing.T, rep *scatter.Report, rt *route.Route) {
 	t.Helper()
 	body, named := page(rep, rt)
@@ -152,8 +153,8 @@
 	qt.Check(t, string(body), qt.Equals, string(records.Top(want, rt.TopK)))
 }
 
-// checkTries fails where a shard was sent to more replicas than the route allows, ran twice at one of them, or was sent
-// again to one that had not turned it away more than three times in all.
+// checkTries fails if a shard's request reached more replicas than the route allows, ran twice at one of them, was
+// resent to a replica that had not shed it, or was resent more than three times in all.
 func (p *pair) checkTries(t *testing.T, rt *route.Route) {
 	t.Helper()
 	for i := range manyShards {
@@ -172,8 +173,9 @@
 	}
 }
 
-// A page over shards half of which have no replica in its host's zone. Their parts must come through one host that is
-// near them, and not cross the border one by one; the page is whole and no shard is asked twice.
+// Half of the shards of a query have no replica in the zone of its host. Their parts must come through one host in a
+// zone that holds them, instead of crossing the zone boundary one by one; the answer must be complete, and no shard may
+// be asked twice.
 func TestFarShardsComeThroughOneHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{})
@@ -192,8 +194,8 @@
 	})
 }
 
-// A colour match has 80 ms. A second host that is late by a few would cost it the objective, and each shard is asked
-// directly.
+// A route has an objective of 80 ms. A few milliseconds of delay at a second host would make it miss the objective, so
+// each shard must be asked directly.
 func TestUrgentRoutesAskDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{})
@@ -208,8 +210,9 @@
 	})
 }
 
-// A replica at the other host pauses. The page must not wait for it: the other host says which shard is pending, and a
-// second try goes to a replica that it did not ask. The paused one's late part must not show the shard's records twice.
+// A replica pauses behind another host. The answer must not wait for it: that host reports the shard as pending, and
+// the hedge goes to a replica that it did not ask. The late part of the paused replica must not add the shard's records
+// a second time.
 func TestPauseBehindAnotherHostIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{})
@@ -226,13 +229,13 @@
 	})
 }
 
-// Most replicas behind another host answer a moment later than the first reply of that host, and one pauses. Those
-// parts must be in the page at once and not when the pause is over: nearly all of a page would be asked for twice.
+// Most replicas behind another host answer shortly after that host's first reply, and one pauses. Their parts must be
+// merged as they arrive and not after the pause: otherwise nearly all of them would be requested twice.
 func TestPartsDoNotWaitForAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{})
 		for i, r := range p.far {
-			// A second try is sent after 34.5 ms.
+			// Hedges are sent after 34.5 ms.
 			took := 37 * time.Millisecond
 			if i == 3 {
 				took = 280 * time.Millisecond
@@ -253,15 +256,16 @@
 
 var errLost = errors.New("the connection broke")
 
-// The other host is gone, leaving, silent, or loses power once it has sent the tries. Each time the page has to be
-// answered in time, from replicas that it did not ask where it may have asked any, within the tries that the route
-// allows.
+// The other host is unreachable, is leaving, does not answer, fails after sending its attempts, or replies late. In
+// each case the answer must be in time, within the attempts that the route allows, and from replicas that the other
+// host did not ask, if it may have asked any.
 func TestOtherHostIsLost(t *testing.T) {
 	tests := []struct {
 		name string
 		s    seams
 		by   time.Duration
-		// extra is how many shards need a second try, and failed how often the host is found not to answer.
+		// extra is the number of shards that need a second attempt, and failed the number of reported failures of the
+		// host.
 		extra  int
 		failed int64
 	}{
@@ -303,8 +307,8 @@
 	}
 }
 
-// The other host has told what is pending, and is stopped and started again, or too busy to keep the subquery. The
-// shards must not be waited for in vain: their tries count as lost, and second ones are sent where those were not yet.
+// The other host reports pending shards, and then restarts or is too busy to keep the subquery. The shards must not be
+// waited for in vain: their attempts count as failed, and shards without a second attempt get one.
 func TestForgottenSubquery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{rest: func(context.Context, *subquery.RestArgs, func() (subquery.Reply, error)) (subquery.Reply, error) {
@@ -323,9 +327,9 @@
 	})
 }
 
-// A route allows three tries, and asks for all shards. One replica behind another host hangs for most of a second,
-// which that host tells again and again, and fails at last; the second try fails at once. Meanwhile a third replica is
-// listed. It has not been asked, and must be: being told four times of one try is not four tries.
+// A route allows three attempts and requires all shards. One replica behind another host hangs for 900 ms, is reported
+// as pending repeatedly, and then fails; the hedge fails at once. Meanwhile a third replica is listed. It must be
+// tried: four reports of the same pending attempt are not four attempts.
 func TestPendingToldAgainIsOneTry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{})
@@ -345,8 +349,7 @@
 	})
 }
 
-// A client leaves while another host gathers parts of its page from replicas that are slow. Those must not go on for
-// nobody.
+// A client disconnects while another host gathers parts from slow replicas. Their attempts must be canceled.
 func TestClientGoneEndsTheTriesOfOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, seams{})
@@ -364,8 +367,9 @@
 	})
 }
 
-// Replicas answer late, fail, break or pause at random, and so does the way to the other host. Whatever comes first, a
-// page holds the records of just the shards that it names, and no shard gets more tries than the route allows.
+// Replicas answer late, fail, break or pause at random, and so does the connection to the other host. In any order of
+// events, an answer must hold the records of exactly the shards that it reports, and no shard may get more attempts
+// than the route allows.
 func TestPagesThroughAnotherHostAreTrue(t *testing.T) {
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
@@ -411,7 +415,7 @@
 	}
 }
 
-// anyAnswer returns what a replica does, drawn at random.
+// anyAnswer returns a randomly chosen behavior of a replica.
 func anyAnswer(rnd *rand.Rand, name string, shard int) func(*http.Request, []byte) replicatest.Answer {
 	switch rnd.IntN(8) {
 	case 0:
--- a/entry/internal/scatter/timing.go
+++ b/entry/internal/scatter/timing.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// hedgeQuantile is the part of the replies that come before a second try is sent: one in ten is late, half of what
-	// the budget of extra tries allows, so that the other half is left for failures.
+	// hedgeQuantile is the share of replies that arrive before a hedge is sent. One reply in ten is late, which is half
+	// of the budget for extra attempts, so that the other half remains for failures.
 	hedgeQuantile = 0.9
-	// hedgeMargin is added to that time, as a share of it: most replies that are a little late are about to come.
+	// hedgeMargin is added to the hedge delay, as a share of it: most replies that are slightly late are about to
+	// arrive.
 	hedgeMargin = 0.15
-	// mostHedge is the latest second try, as a share of the objective: after it the second reply would be late as well.
+	// mostHedge bounds the hedge delay as a share of the objective: the reply to a later hedge would be late as well.
 	mostHedge = 0.45
-	// answerMargin is how long before the objective an answer leaves: a client's connection costs it 6 ms, each way 3
-	// ms, and a busy host some more.
+	// answerMargin is how long before the objective an answer is sent: a client's connection costs it 6 ms, each way
+	// takes 3 ms, and a busy host adds some more.
 	answerMargin = 14 * time.Millisecond
-	// mostMargin bounds that as a share of the objective.
+	// mostMargin bounds answerMargin as a share of the objective.
 	mostMargin = 0.25
-	// firstUsual stands in for the usual time of a reply, as a share of the objective, until replies came.
+	// firstUsual is the assumed median latency before the first replies, as a share of the objective.
 	firstUsual = 0.2
-	// defaultObjective stands in for a route without one.
+	// defaultObjective is the latency objective of routes without one.
 	defaultObjective = time.Second
 )
 
-// timing is when things are due in one request, in time after its arrival.
+// timing holds the delays of one request.
 type timing struct {
-	// usual is how long a healthy replica takes, hedge when a second try is sent.
+	// usual is the expected latency of a healthy replica, hedge the delay after an attempt before its hedge.
 	usual, hedge time.Duration
-	// late is how long all but one in ten replies take.
+	// late is the latency that one reply in ten exceeds.
 	late time.Duration
-	// cutoff is when an answer leaves that has enough parts though not all.
+	// cutoff is the time after the request's arrival at which an answer with enough but not all parts is sent.
 	cutoff time.Duration
 }
 
-// timingOf returns the timing of a request of the route, given how long its replies took lately.
+// timingOf returns the timing of a request of the route, based on the recent latencies of its replies.
 //
-// A page over ten shards meets a replica that pauses in one of three cases. Without second tries the slowest shard sets
-// the time of each page; sent too soon they double the load of the replicas.
+// A query over ten shards has a paused replica among them in one of three cases. Without hedges the slowest shard
+// determines the latency of every query; hedges sent too early double the load of the replicas.
 func timingOf(r *route.Route, recent *latency.Recent) timing {
 	objective := r.Objective
 	if objective <= 0 {
--- a/entry/internal/scatter/tries.go
+++ b/entry/internal/scatter/tries.go
@@ -10,38 +10,38 @@
 	"guavaspring.org/entry/internal/pick"
 )
 
-// What names a decision about one shard.
+// What is a decision about one shard.
 type What string
 
-// The decisions about one shard.
+// Decisions about one shard.
 const (
-	// First sends the first try.
+	// First sends the first attempt.
 	First What = "first"
-	// Through lets another host send the first try of some shards.
+	// Through has another host send the first attempts of some shards.
 	Through What = "through"
-	// Retry sends a try after one that failed.
+	// Retry sends an attempt after a failed one.
 	Retry What = "retry"
-	// Hedge sends a try beside one that is late.
+	// Hedge sends an attempt in parallel to a late one.
 	Hedge What = "hedge"
-	// Denied keeps a second try back, since the budget is spent.
+	// Denied withholds an extra attempt because the budget is exhausted.
 	Denied What = "denied"
-	// Wait holds a shard back until a connection is free.
+	// Wait delays an attempt until a connection is free.
 	Wait What = "wait"
-	// Miss gives a shard up.
+	// Miss gives up a shard.
 	Miss What = "miss"
-	// Skipped keeps a second try back that would come too late.
+	// Skipped withholds a hedge whose reply is expected too late.
 	Skipped What = "skipped"
-	// Failed says how a try ended that brought no part.
+	// Failed reports how an attempt without a usable reply ended.
 	Failed What = "failed"
 )
 
-// Step is one decision about a shard, with what decided it.
+// Step is one decision about a shard and its reason.
 type Step struct {
-	// At is the time after the request's arrival.
+	// At is the time since the request's arrival.
 	At    time.Duration
 	What  What
 	Shard int
-	// Choice is the replica that was chosen, or whose try failed; its Replica is nil where there is none.
+	// Choice is the replica that was chosen, or whose attempt failed; its Replica is nil if there is none.
 	Choice endpoints.Choice
 	Why    string
 }
@@ -50,7 +50,7 @@
 	p.report.Steps = append(p.report.Steps, Step{At: p.now.Sub(p.Arrived), What: what, Shard: i, Choice: c, Why: why})
 }
 
-// try sends one try of shard i to the best replica left, waits for room, or gives the shard up.
+// try sends one attempt of shard i to the best remaining replica, waits for capacity, or gives up the shard.
 func (p *plan) try(i int, what What, why string) {
 	s := &p.shards[i]
 	c, verdict := p.Shards[i].Pick(p.now, p.need(i), p.run.opts.Draw)
@@ -58,17 +58,17 @@
 	case verdict == endpoints.Found:
 		p.send(i, c, what, why)
 	case s.running > 0:
-		// The try under way may still answer.
+		// The attempt in flight may still succeed.
 	case verdict == endpoints.Busy && p.now.Add(p.timing.usual).Before(p.end()):
 		p.wait(i, what)
 	case verdict == endpoints.Busy:
-		p.miss(i, why, "too little time is left to wait for room")
+		p.miss(i, why, "too little time is left to wait for capacity")
 	default:
 		p.miss(i, why, "no replica is left to try")
 	}
 }
 
-// need returns what shard i asks of its next replica.
+// need returns the requirements of shard i on its next replica.
 func (p *plan) need(i int) endpoints.Need {
 	within := p.cutoff().Sub(p.now)
 	if within <= 0 {
@@ -77,7 +77,7 @@
 	return endpoints.Need{Need: pick.Need{Usual: p.timing.usual, Within: within}, Homes: p.Homes, Tried: p.shards[i].tried}
 }
 
-// wait lets shard i wait for room at its replicas.
+// wait queues shard i until one of its replicas has capacity.
 func (p *plan) wait(i int, what What) {
 	s := &p.shards[i]
 	if s.waiter == nil {
@@ -86,7 +86,7 @@
 			select {
 			case p.room <- i:
 			default:
-				// The plan looks at the shard anyway.
+				// Dropped: the shard is also rechecked at an interval.
 			}
 		}}
 		s.what = what
@@ -96,7 +96,7 @@
 	p.Shards[i].Wait(s.waiter, p.rank())
 }
 
-// rank returns how much a shard that waits is worth to the request.
+// rank returns the priority of a waiting shard of the request.
 func (p *plan) rank() endpoints.Rank {
 	switch {
 	case !p.now.Before(p.cutoff()):
@@ -107,7 +107,7 @@
 	return endpoints.Useful
 }
 
-// rerank tells the queues what the waiting shards are worth now.
+// rerank updates the priority of all waiting shards in the queues.
 func (p *plan) rerank() {
 	for i := range p.shards {
 		if w := p.shards[i].waiter; w != nil {
@@ -126,7 +126,7 @@
 	p.waiting--
 }
 
-// look tries a waiting shard again.
+// look tries again to send the attempt of a waiting shard.
 func (p *plan) look(i int) {
 	s := &p.shards[i]
 	if s.waiter == nil || s.answered || s.lost {
@@ -161,7 +161,7 @@
 	}
 }
 
-// hedge sends a second try beside one that is late, where the budget allows it.
+// hedge sends a second attempt in parallel to a late one if the budget allows it.
 func (p *plan) hedge(i int) {
 	s := &p.shards[i]
 	if s.running == 0 || s.sent >= p.Route.Attempts || p.now.Add(p.timing.usual).After(p.end()) {
@@ -179,29 +179,29 @@
 	case verdict != endpoints.Found:
 		return
 	case c.Estimate > lateEnough(need.Within):
-		p.note(Skipped, i, c, "expected too late to be of use")
+		p.note(Skipped, i, c, "the reply is expected too late")
 		return
 	}
 	if !p.Shards[i].Budget.Hedge(p.now, p.run.opts.Share()) {
 		p.report.Denied++
-		p.note(Denied, i, c, "the budget of extra tries is spent")
+		p.note(Denied, i, c, "the budget for extra attempts is exhausted")
 		return
 	}
 	p.report.Hedges++
 	p.send(i, c, Hedge, "later than nine in ten replies")
 }
 
-// lateEnough returns the estimate above which a second try is not sent: half of all replies are quicker than the
-// estimate, and one that is expected up to half too late still comes in time often enough.
+// lateEnough returns the largest latency estimate at which a hedge is still sent: half of all replies are faster than
+// their estimate, and one that is expected up to 50 % late still arrives in time often enough.
 func lateEnough(within time.Duration) time.Duration { return within * 3 / 2 }
 
-// take takes over how a try ended.
+// take processes the result of an attempt.
 func (p *plan) take(e ended) {
 	s := &p.shards[e.shard]
 	s.running--
 	switch {
 	case e.res.Kind == upstream.KindNotSent:
-		// No byte left: the try counts against nothing.
+		// No byte was sent, so the attempt does not count.
 		s.sent--
 		if s.sent > 0 {
 			p.Shards[e.shard].Budget.Unsend(p.now)
@@ -225,7 +225,7 @@
 	p.failed(e.shard, e.res)
 }
 
-// failed decides what follows a try that brought no part.
+// failed decides how a shard continues after a failed attempt.
 func (p *plan) failed(i int, res exchange.Result) {
 	s := &p.shards[i]
 	why := string(res.Kind) + ": " + res.Detail
@@ -237,25 +237,25 @@
 	case !p.Route.Idempotent && !res.Kind.NotRun():
 		p.miss(i, why, "it may have run and is not sent again")
 	case res.Busy && s.sent < p.Route.Attempts:
-		// The connection that was free is taken: the replica may be tried again.
+		// The free connection was taken in the meantime; the replica may be tried again.
 		s.tried = s.tried[:len(s.tried)-1]
 		p.wait(i, First)
 	case p.mayResend(s, res):
 		s.resendAt = p.now.Add(p.timing.usual)
 	case s.sent >= p.Route.Attempts || len(s.tried) >= p.Route.Attempts+unsentTries:
-		p.miss(i, why, "no try is left")
+		p.miss(i, why, "no attempt is left")
 	case p.now.Add(p.timing.usual).After(p.end()):
-		p.miss(i, why, "too little time is left for another try")
+		p.miss(i, why, "too little time is left for another attempt")
 	case s.sent > 0 && !p.Shards[i].Budget.Retry(p.now, p.run.opts.Share()):
 		p.report.Denied++
-		p.miss(i, why, "the budget of extra tries is spent")
+		p.miss(i, why, "the budget for extra attempts is exhausted")
 	default:
 		p.report.Retries++
 		p.try(i, Retry, why)
 	}
 }
 
-// join writes a reason and what follows from it.
+// join joins a cause and its consequence.
 func join(why, then string) string {
 	if why == "" {
 		return then
