--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -9,8 +9,8 @@
 	"guavaspring.org/entry/internal/queueing"
 )
 
-// backWithin is the share of a client's remaining time within which it retries.
-const backWithin = 1.0 / 3
+// retryWindowShare is the share of a client's remaining time within which it retries.
+const retryWindowShare = 1.0 / 3
 
 // unservable reports whether too few shards have a replica that serves.
 //
@@ -25,15 +25,15 @@
 		}
 		p.shards[i].result = exchange.Result{Kind: upstream.KindNotSent, Detail: "the shard has no usable replica"}
 	}
-	return served < p.least
+	return served < p.minAnswered
 }
 
 // overloaded decides whether the whole request is refused.
 func (p *plan) overloaded() bool {
-	own := p.spare()
+	own := p.slack()
 	d := overload.Decide(overload.Load{
-		Delays: p.delays(), Least: p.least, Spare: own, LeastSpare: p.leastSpare(own),
-		Waited: p.Learned.Patience.Waited(p.Request.Patience), Draw: p.run.opts.Draw(),
+		Delays: p.expectedDelays(), Least: p.minAnswered, Spare: own, LeastSpare: p.leastSlack(own),
+		Waited: p.Learned.Patience.Waited(p.Request.Patience), Draw: p.runner.opts.Draw(),
 	})
 	p.report.Overload = d
 	if d.Crowded {
@@ -42,23 +42,23 @@
 	return d.Refused
 }
 
-// delays returns the expected wait for capacity of an attempt at each shard.
-func (p *plan) delays() []time.Duration {
+// expectedDelays returns the expected wait for capacity of an attempt at each shard.
+func (p *plan) expectedDelays() []time.Duration {
 	list := make([]time.Duration, len(p.Shards))
-	together := p.together()
+	shared := p.sharedDelay()
 	for i, s := range p.Shards {
-		list[i] = s.Delay(p.now, together)
+		list[i] = s.Delay(p.now, shared)
 	}
 	return list
 }
 
-// together returns the queueing delay seen in the newest replies of all shards.
+// sharedDelay returns the queueing delay seen in the newest replies of all shards.
 //
 // It detects a burst over a large fleet early. A host that sends each shard thirty requests a second needs a few tenths
 // of a second to detect queueing from the replies of one shard. By then all hosts have filled the queues and refuse
 // everything until the queues are empty, and then all admit everything. The replies of the ten or more shards of a
 // query reveal it ten times sooner.
-func (p *plan) together() time.Duration {
+func (p *plan) sharedDelay() time.Duration {
 	waits := make([]time.Duration, 0, len(p.Shards))
 	for _, s := range p.Shards {
 		if wait, ok := s.Newest(p.now); ok {
@@ -68,22 +68,22 @@
 	return queueing.Quantile(waits)
 }
 
-// slowest is the latency of the slowest reply that a query over shards waits for without queueing, as a multiple of the
-// unloaded latency.
-const slowest = 2
+// slowestReplyFactor is the latency of the slowest reply that a query over shards waits for without queueing, as a
+// multiple of the unloaded latency.
+const slowestReplyFactor = 2
 
-// spare returns how long an attempt may wait for capacity with the answer still in time. If the work alone takes longer
+// slack returns how long an attempt may wait for capacity with the answer still in time. If the work alone takes longer
 // than that, it returns the duration of the work.
-func (p *plan) spare() time.Duration {
+func (p *plan) slack() time.Duration {
 	work := p.unloaded
 	if work == 0 {
-		work = p.timing.usual
+		work = p.timing.medianLatency
 	}
-	return max(p.timing.cutoff-slowest*work, work)
+	return max(p.timing.cutoff-slowestReplyFactor*work, work)
 }
 
-// leastSpare returns the least slack of any route to the same shards, where this route has own.
-func (p *plan) leastSpare(own time.Duration) time.Duration {
+// leastSlack returns the least slack of any route to the same shards, where this route has own.
+func (p *plan) leastSlack(own time.Duration) time.Duration {
 	least := own
 	for _, s := range p.Shards {
 		least = min(least, s.Spare(p.now, own))
@@ -95,7 +95,7 @@
 // Retries that come late in that window and at different moments are more likely to arrive after the burst than
 // immediate ones.
 func (p *plan) refuse() Report {
-	left := p.end().Sub(p.now)
-	p.report.RetryAfter = p.report.Overload.Wait + time.Duration((1+p.run.opts.Draw())*backWithin/2*float64(left))
+	left := p.giveUpAt().Sub(p.now)
+	p.report.RetryAfter = p.report.Overload.Wait + time.Duration((1+p.runner.opts.Draw())*retryWindowShare/2*float64(left))
 	return p.finish(Overload)
 }
--- a/entry/internal/scatter/burst_test.go
+++ b/entry/internal/scatter/burst_test.go
@@ -19,8 +19,8 @@
 	"guavaspring.org/entry/internal/scatter"
 )
 
-// kind is a kind of request; all kinds use the same shards.
-type kind struct {
+// requestKind is a kind of request; all kinds use the same shards.
+type requestKind struct {
 	path                string
 	objective, deadline time.Duration
 	work                time.Duration
@@ -29,8 +29,8 @@
 	weight int
 }
 
-// kinds are page queries, and lookups with half their objective and a third of their work.
-var kinds = []kind{
+// requestKinds are page queries, and lookups with half their objective and a third of their work.
+var requestKinds = []requestKind{
 	{"/page", 100 * time.Millisecond, 600 * time.Millisecond, 11 * time.Millisecond, 0.89, 3},
 	{"/lookup", 50 * time.Millisecond, 300 * time.Millisecond, 4 * time.Millisecond, 0.75, 1},
 }
@@ -38,14 +38,14 @@
 // tally counts the outcomes of the requests of one kind.
 type tally struct {
 	asked, inTime, late, refused, failed int
-	// held counts refusals that were not immediate.
-	held int
+	// refusedLate counts refusals that were not immediate.
+	refusedLate int
 }
 
-// crowd simulates clients that arrive at a steady rate and retry a refused request once, after the delay in the
+// clientLoad simulates clients that arrive at a steady rate and retry a refused request once, after the delay in the
 // refusal.
-type crowd struct {
-	hosts []*bed
+type clientLoad struct {
+	hosts []*testHost
 	// routes is indexed by kind, and learned by host and kind.
 	routes  []*route.Route
 	learned [][]*learned.Route
@@ -54,11 +54,11 @@
 	next    int
 }
 
-// newCrowd returns a load on a number of hosts, with ten shards of three replicas that run a number of requests at a
-// time.
-func newCrowd(farm *replicatest.Farm, hosts, slots int) *crowd {
-	c := &crowd{tallies: make([]tally, len(kinds))}
-	for _, k := range kinds {
+// newClientLoad returns a load on a number of hosts, with ten shards of three replicas that run a number of requests at
+// a time.
+func newClientLoad(farm *replicatest.Farm, hosts, slots int) *clientLoad {
+	c := &clientLoad{tallies: make([]tally, len(requestKinds))}
+	for _, k := range requestKinds {
 		rt := &route.Route{Idempotent: true, Timeout: k.deadline, Objective: k.objective, Attempts: 2, TopK: 5, LeastShare: k.least}
 		for i := range 10 {
 			rt.Shards = append(rt.Shards, fmt.Sprintf("s%d", i))
@@ -67,16 +67,16 @@
 	}
 	for i := range 10 {
 		for n := range 3 {
-			farm.Add(fmt.Sprintf("s%d", i), n, worker(slots)).Row.Slots = slots
+			farm.Add(fmt.Sprintf("s%d", i), n, slotLimitedByKind(slots)).Row.Slots = slots
 		}
 	}
 	for range hosts {
-		h := newHost(farm, 52, 1/float64(hosts))
+		h := newHostOnFarm(farm, 52, 1/float64(hosts))
 		h.table.Replace(farm.Batch(), false)
-		h.run = scatter.New(scatter.Options{Clock: clock.System{}, Share: func() float64 { return 1 / float64(hosts) }, Draw: seeded(uint64(len(c.hosts))), Quarantine: h.crashers})
+		h.runner = scatter.New(scatter.Options{Clock: clock.System{}, Share: func() float64 { return 1 / float64(hosts) }, Draw: seeded(uint64(len(c.hosts))), Quarantine: h.quarantine})
 		c.hosts = append(c.hosts, h)
 		var list []*learned.Route
-		for _, k := range kinds {
+		for _, k := range requestKinds {
 			l := &learned.Route{}
 			for range 100 {
 				l.Replied(time.Now(), k.work)
@@ -88,14 +88,14 @@
 	return c
 }
 
-// worker returns a handler that runs a number of requests at a time, each for the work of its kind, and queues the
-// others.
-func worker(slots int) func(*http.Request, []byte) replicatest.Answer {
+// slotLimitedByKind returns a handler that runs a number of requests at a time, each for the work of its kind, and
+// queues the others.
+func slotLimitedByKind(slots int) func(*http.Request, []byte) replicatest.Answer {
 	free := make(chan struct{}, slots)
 	return func(req *http.Request, body []byte) replicatest.Answer {
 		free <- struct{}{}
 		defer func() { <-free }()
-		for _, k := range kinds {
+		for _, k := range requestKinds {
 			if k.path == req.URL.Path {
 				time.Sleep(k.work)
 			}
@@ -114,25 +114,25 @@
 	}
 }
 
-// play generates rate requests per second for a span of time and returns, by kind, the outcomes of those that arrived
+// run generates rate requests per second for a span of time and returns, by kind, the outcomes of those that arrived
 // after the first half second.
-func (c *crowd) play(t *testing.T, rate int, span time.Duration) []tally {
+func (c *clientLoad) run(t *testing.T, rate int, span time.Duration) []tally {
 	var all sync.WaitGroup
-	mix := kindOf()
+	mix := weightedKinds()
 	arrivals := rand.New(rand.NewPCG(7, 7))
 	for began := time.Now(); time.Since(began) < span; {
 		k, h, counts := mix[arrivals.IntN(len(mix))], arrivals.IntN(len(c.hosts)), time.Since(began) > 500*time.Millisecond
-		all.Go(func() { c.visit(t, k, h, counts) })
+		all.Go(func() { c.runClient(t, k, h, counts) })
 		time.Sleep(time.Duration(arrivals.ExpFloat64() * float64(time.Second) / float64(rate)))
 	}
 	all.Wait()
 	return c.tallies
 }
 
-// kindOf returns the indexes of the kinds, each repeated by its weight.
-func kindOf() []int {
+// weightedKinds returns the indexes of the kinds, each repeated by its weight.
+func weightedKinds() []int {
 	var list []int
-	for i, k := range kinds {
+	for i, k := range requestKinds {
 		for range k.weight {
 			list = append(list, i)
 		}
@@ -140,22 +140,22 @@
 	return list
 }
 
-// visit simulates one client of kind k: it sends a request to host h, and after a refusal retries once at the next
+// runClient simulates one client of kind k: it sends a request to host h, and after a refusal retries once at the next
 // host.
-func (c *crowd) visit(t *testing.T, k, h int, counts bool) {
+func (c *clientLoad) runClient(t *testing.T, k, h int, counts bool) {
 	came := time.Now()
 	var rep scatter.Report
-	held := 0
+	refusedLate := 0
 	for range 2 {
 		asked := time.Now()
-		rep = c.ask(t, k, h, kinds[k].deadline-asked.Sub(came))
+		rep = c.ask(t, k, h, requestKinds[k].deadline-asked.Sub(came))
 		if rep.Ending != scatter.Overload {
 			break
 		}
 		if time.Since(asked) > 0 {
-			held++
+			refusedLate++
 		}
-		time.Sleep(min(rep.RetryAfter, (kinds[k].deadline-time.Since(came))/3))
+		time.Sleep(min(rep.RetryAfter, (requestKinds[k].deadline-time.Since(came))/3))
 		h = (h + 1) % len(c.hosts)
 	}
 	if !counts {
@@ -165,33 +165,33 @@
 	defer c.mu.Unlock()
 	n := &c.tallies[k]
 	n.asked++
-	n.held += held
+	n.refusedLate += refusedLate
 	switch {
 	case rep.Ending == scatter.Overload:
 		n.refused++
 	case rep.Answered < c.routes[k].LeastShards():
 		n.failed++
-	case time.Since(came) > kinds[k].objective:
+	case time.Since(came) > requestKinds[k].objective:
 		n.late++
 	default:
 		n.inTime++
 	}
 }
 
-func (c *crowd) ask(t *testing.T, k, h int, left time.Duration) scatter.Report {
+func (c *clientLoad) ask(t *testing.T, k, h int, left time.Duration) scatter.Report {
 	c.mu.Lock()
 	c.next++
 	id := fmt.Sprintf("q%d", c.next)
 	c.mu.Unlock()
 	host, now := c.hosts[h], time.Now()
 	q := scatter.Query{
-		Request: &opaque.Request{ID: id, Method: http.MethodGet, Target: kinds[k].path, Host: "h", Header: http.Header{}, Patience: left},
+		Request: &opaque.Request{ID: id, Method: http.MethodGet, Target: requestKinds[k].path, Host: "h", Header: http.Header{}, Patience: left},
 		Route:   c.routes[k], Learned: c.learned[h][k], Arrived: now, Deadline: now.Add(left), Fingerprint: id,
 	}
 	for _, name := range c.routes[k].Shards {
 		q.Shards = append(q.Shards, host.table.Service(name))
 	}
-	return host.run.Run(t.Context(), q)
+	return host.runner.Run(t.Context(), q)
 }
 
 // For more than a second, twice as many requests arrive as the replicas of all shards can answer, as when users reload
@@ -215,15 +215,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			farm := replicatest.New()
 			defer farm.Close()
-			c := newCrowd(farm, test.hosts, test.slots)
+			c := newClientLoad(farm, test.hosts, test.slots)
 			sum := tally{}
-			got := c.play(t, test.rate, 1500*time.Millisecond)
+			got := c.run(t, test.rate, 1500*time.Millisecond)
 			for i, n := range got {
 				sum.inTime += n.inTime
 				sum.late += n.late
 				sum.failed += n.failed
-				sum.held += n.held
-				qt.Check(t, n.inTime > n.asked/6, qt.IsTrue, qt.Commentf("%s: %+v", kinds[i].path, n))
+				sum.refusedLate += n.refusedLate
+				qt.Check(t, n.inTime > n.asked/6, qt.IsTrue, qt.Commentf("%s: %+v", requestKinds[i].path, n))
 			}
 			t.Logf("%d hosts: %+v", test.hosts, got)
 			// The first half second is not counted, so one second of capacity remains.
@@ -231,7 +231,7 @@
 			qt.Check(t, float64(sum.inTime) > test.least*float64(can), qt.IsTrue, qt.Commentf("%d hosts: %+v, %d could be in time", test.hosts, sum, can))
 			qt.Check(t, float64(sum.late) < test.late*float64(sum.inTime), qt.IsTrue, qt.Commentf("%d hosts: %+v", test.hosts, sum))
 			qt.Check(t, sum.failed < sum.inTime/50, qt.IsTrue, qt.Commentf("%d hosts: %+v", test.hosts, sum))
-			qt.Check(t, sum.held, qt.Equals, 0)
+			qt.Check(t, sum.refusedLate, qt.Equals, 0)
 			time.Sleep(5 * time.Second)
 		})
 	}
@@ -243,18 +243,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
 		defer farm.Close()
-		c := newCrowd(farm, 6, 2)
+		c := newClientLoad(farm, 6, 2)
 		for _, list := range c.learned {
-			for i, k := range kinds {
+			for i, k := range requestKinds {
 				*list[i] = learned.Route{}
 				for range 100 {
 					list[i].Replied(time.Now(), k.work/4)
 				}
 			}
 		}
-		for i, n := range c.play(t, 60, 3*time.Second) {
-			qt.Check(t, n.refused, qt.Equals, 0, qt.Commentf("%s: %+v", kinds[i].path, n))
-			qt.Check(t, n.inTime > n.asked*19/20, qt.IsTrue, qt.Commentf("%s: %+v", kinds[i].path, n))
+		for i, n := range c.run(t, 60, 3*time.Second) {
+			qt.Check(t, n.refused, qt.Equals, 0, qt.Commentf("%s: %+v", requestKinds[i].path, n))
+			qt.Check(t, n.inTime > n.asked*19/20, qt.IsTrue, qt.Commentf("%s: %+v", requestKinds[i].path, n))
 		}
 		time.Sleep(5 * time.Second)
 	})
--- a/entry/internal/scatter/resend.go
+++ b/entry/internal/scatter/resend.go
@@ -16,7 +16,7 @@
 func (p *plan) mayResend(s *shard, res exchange.Result) bool {
 	exhausted := s.sent >= p.Route.Attempts
 	notRun := res.Kind == upstream.KindShed || res.Busy
-	return exhausted && notRun && len(s.turnedAway) > 0 && s.resent < resends && p.now.Add(2*p.timing.usual).Before(p.end())
+	return exhausted && notRun && len(s.shedBy) > 0 && s.resent < maxResends && p.now.Add(2*p.timing.medianLatency).Before(p.giveUpAt())
 }
 
 // resend sends a shard again to the best of the replicas that shed it. It runs one median reply latency after the last
@@ -25,14 +25,14 @@
 func (p *plan) resend(i int) {
 	s := &p.shards[i]
 	need := p.need(i)
-	need.Among, need.Tried = s.turnedAway, nil
-	c, verdict := p.Shards[i].Pick(p.now, need, p.run.opts.Draw)
+	need.Among, need.Tried = s.shedBy, nil
+	c, verdict := p.Shards[i].Pick(p.now, need, p.runner.opts.Draw)
 	switch {
 	case verdict != endpoints.Found:
-		p.miss(i, "", "the replicas that shed the request have no capacity")
-	case !p.Shards[i].Budget.Retry(p.now, p.run.opts.Share()):
+		p.giveUp(i, "", "the replicas that shed the request have no capacity")
+	case !p.Shards[i].Budget.Retry(p.now, p.runner.opts.Share()):
 		p.report.Denied++
-		p.miss(i, "", "the budget for extra attempts is exhausted")
+		p.giveUp(i, "", "the budget for extra attempts is exhausted")
 	default:
 		s.resent++
 		p.report.Retries++
--- a/entry/internal/scatter/scatter.go
+++ b/entry/internal/scatter/scatter.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// lingerFor is how long attempts still in flight keep running after their request has ended: a paused replica
-	// resumes within 250 ms, and a new connection costs it more than the remaining work.
-	lingerFor = 300 * time.Millisecond
-	// lookAgain is the interval at which a waiting shard checks for capacity freed without a reply to this host.
-	lookAgain = 25 * time.Millisecond
-	// hedgeAgain is the delay before a hedge is tried again when all other replicas of the shard are full.
-	hedgeAgain = 10 * time.Millisecond
-	// spareSteps is the capacity reserved for steps beyond the first attempts, which avoids a reallocation for most
+	// outstandingGrace is how long attempts still in flight keep running after their request has ended: a paused
+	// replica resumes within 250 ms, and a new connection costs it more than the remaining work.
+	outstandingGrace = 300 * time.Millisecond
+	// waitPollInterval is the interval at which a waiting shard checks for capacity freed without a reply to this host.
+	waitPollInterval = 25 * time.Millisecond
+	// hedgeRetryInterval is the delay before a hedge is tried again when all other replicas of the shard are full.
+	hedgeRetryInterval = 10 * time.Millisecond
+	// extraStepsCap is the capacity reserved for steps beyond the first attempts, which avoids a reallocation for most
 	// requests.
-	spareSteps = 4
-	// unsentTries is the number of replicas beyond the route's attempts that may be selected when nothing was sent to
-	// the earlier ones.
-	unsentTries = 2
-	// resends is the number of times that a shard's request may be sent again to replicas that shed it.
-	resends = 3
-	// answerBefore is how long before its deadline a request ends, so that the answer arrives in time.
-	answerBefore = 5 * time.Millisecond
+	extraStepsCap = 4
+	// maxUnsentAttempts is the number of replicas beyond the route's attempts that may be selected when nothing was
+	// sent to the earlier ones.
+	maxUnsentAttempts = 2
+	// maxResends is the number of times that a shard's request may be sent again to replicas that shed it.
+	maxResends = 3
+	// deadlineMargin is how long before its deadline a request ends, so that the answer arrives in time.
+	deadlineMargin = 5 * time.Millisecond
 )
 
 // Ending is the final state of a request.
@@ -138,57 +138,57 @@
 	}
 	p.start(ctx)
 	rep := p.collect(ctx)
-	p.leave(rep.Ending)
+	p.releaseAttempts(rep.Ending)
 	return rep
 }
 
 // plan is the state of one request, owned by the goroutine that called Run.
 type plan struct {
 	Query
-	run    *Runner
+	runner *Runner
 	timing timing
 	// unloaded is the latency of a reply without queueing, zero if unknown.
-	unloaded time.Duration
-	least    int
-	now      time.Time
-	shards   []shard
+	unloaded    time.Duration
+	minAnswered int
+	now         time.Time
+	shards      []shard
 	// ctx ends the attempts. It is independent of the client's context, because attempts still in flight keep running
 	// for a while after the request has ended.
-	ctx    context.Context
-	cancel context.CancelFunc
-	ends   chan ended
-	// room receives the index of each waiting shard that may have capacity now.
-	room chan int
-	// told receives the replies of the hosts that gather parts of the request.
-	told    chan told
-	report  Report
-	lost    int
-	open    int
-	waiting int
+	ctx     context.Context
+	cancel  context.CancelFunc
+	results chan attemptResult
+	// capacityFreed receives the index of each waiting shard that may have capacity now.
+	capacityFreed chan int
+	// replies receives the replies of the hosts that gather parts of the request.
+	replies       chan peerReply
+	report        Report
+	failedShards  int
+	pendingShards int
+	waitingShards int
 }
 
 type shard struct {
 	tried []*endpoints.Replica
 	// sent counts the attempts that may have reached a replica, including the running ones.
 	sent, running int
-	// hedgeAt, lookAt and resendAt are the times of the shard's next checks; zero means none.
-	hedgeAt, lookAt, resendAt time.Time
-	// turnedAway holds the replicas that explicitly rejected an attempt without running it; a rejected attempt never
-	// runs later.
-	turnedAway []*endpoints.Replica
+	// hedgeAt, recheckAt and resendAt are the times of the shard's next checks; zero means none.
+	hedgeAt, recheckAt, resendAt time.Time
+	// shedBy holds the replicas that explicitly rejected an attempt without running it; a rejected attempt never runs
+	// later.
+	shedBy []*endpoints.Replica
 	// resent counts the attempts at replicas that had shed the request.
-	resent         int
-	answered, lost bool
-	// waiter is set while the shard waits for capacity, and what is the attempt that waits.
-	waiter *endpoints.Waiter
-	what   What
-	result exchange.Result
-	// through is the subquery to another host that sent the shard's first attempt, nil if there is none.
-	through *part
+	resent           int
+	answered, failed bool
+	// waiter is set while the shard waits for capacity, and waitAction is the attempt that waits.
+	waiter     *endpoints.Waiter
+	waitAction Action
+	result     exchange.Result
+	// viaPeer is the subquery to another host that sent the shard's first attempt, nil if there is none.
+	viaPeer *peerSubquery
 }
 
-// ended is the result of a finished attempt.
-type ended struct {
+// attemptResult is the result of a finished attempt.
+type attemptResult struct {
 	shard   int
 	replica *endpoints.Replica
 	res     exchange.Result
@@ -197,12 +197,12 @@
 func newPlan(run *Runner, q Query) *plan {
 	n := len(q.Shards)
 	p := &plan{
-		Query: q, run: run, timing: timingOf(q.Route, &q.Learned.Recent), unloaded: q.Learned.Unloaded.Get(), least: 1, now: run.opts.Clock.Now(), shards: make([]shard, n), open: n,
-		ends: make(chan ended, n*(q.Route.Attempts+unsentTries+resends)), room: make(chan int, n), told: make(chan told),
+		Query: q, runner: run, timing: newTiming(q.Route, &q.Learned.Recent), unloaded: q.Learned.Unloaded.Get(), minAnswered: 1, now: run.opts.Clock.Now(), shards: make([]shard, n), pendingShards: n,
+		results: make(chan attemptResult, n*(q.Route.Attempts+maxUnsentAttempts+maxResends)), capacityFreed: make(chan int, n), replies: make(chan peerReply),
 	}
-	p.report.Steps = make([]Step, 0, n+spareSteps)
+	p.report.Steps = make([]Step, 0, n+extraStepsCap)
 	if len(q.Route.Shards) > 0 {
-		p.least = q.Route.LeastShards()
+		p.minAnswered = q.Route.LeastShards()
 	}
 	return p
 }
@@ -214,26 +214,26 @@
 	for _, s := range p.Shards {
 		s.Budget.Request(p.now)
 	}
-	p.throughOthers()
+	p.sendSubqueries()
 	for i := range p.Shards {
-		if p.shards[i].through == nil {
-			p.try(i, First, "")
+		if p.shards[i].viaPeer == nil {
+			p.attempt(i, First, "")
 		}
 	}
 }
 
-// leave lets the attempts in flight run on for a while, or cancels them at once if an idempotent request has lost its
-// client.
-func (p *plan) leave(end Ending) {
+// releaseAttempts lets the attempts in flight run on for a while, or cancels them at once if an idempotent request has
+// lost its client.
+func (p *plan) releaseAttempts(end Ending) {
 	switch {
 	case p.running() == 0:
 		p.cancel()
 	case end == Gone && p.Route.Idempotent:
 		p.cancel()
 	case !p.Route.Idempotent:
-		p.run.opts.Clock.AfterFunc(max(0, p.Deadline.Sub(p.now)), p.cancel)
+		p.runner.opts.Clock.AfterFunc(max(0, p.Deadline.Sub(p.now)), p.cancel)
 	default:
-		p.run.opts.Clock.AfterFunc(lingerFor, p.cancel)
+		p.runner.opts.Clock.AfterFunc(outstandingGrace, p.cancel)
 	}
 }
 
@@ -252,31 +252,31 @@
 			return p.finish(end)
 		}
 		select {
-		case e := <-p.ends:
-			p.now = p.run.opts.Clock.Now()
-			p.take(e)
-		case t := <-p.told:
-			p.now = p.run.opts.Clock.Now()
-			p.hear(t)
-		case i := <-p.room:
-			p.now = p.run.opts.Clock.Now()
-			p.look(i)
-		case <-p.run.opts.Clock.After(p.wake().Sub(p.now)):
-			p.now = p.run.opts.Clock.Now()
+		case e := <-p.results:
+			p.now = p.runner.opts.Clock.Now()
+			p.handleResult(e)
+		case r := <-p.replies:
+			p.now = p.runner.opts.Clock.Now()
+			p.handleReply(r)
+		case i := <-p.capacityFreed:
+			p.now = p.runner.opts.Clock.Now()
+			p.recheck(i)
+		case <-p.runner.opts.Clock.After(p.nextWake().Sub(p.now)):
+			p.now = p.runner.opts.Clock.Now()
 			p.tick()
 		case <-ctx.Done():
-			p.now = p.run.opts.Clock.Now()
+			p.now = p.runner.opts.Clock.Now()
 			return p.finish(Gone)
 		}
 	}
 }
 
-// passOn passes capacity that was announced to this request, which no longer needs it, to the next waiter. Otherwise it
-// stays unused until the next reply.
-func (p *plan) passOn() {
+// passOnCapacity passes capacity that was announced to this request, which no longer needs it, to the next waiter.
+// Otherwise it stays unused until the next reply.
+func (p *plan) passOnCapacity() {
 	for {
 		select {
-		case i := <-p.room:
+		case i := <-p.capacityFreed:
 			p.Shards[i].Wake(p.now)
 		default:
 			return
@@ -286,17 +286,17 @@
 
 // decided reports whether waiting can no longer improve the result in time, and returns the ending.
 func (p *plan) decided() (Ending, bool) {
-	have := p.report.Answered
+	answered := p.report.Answered
 	switch {
-	case have == len(p.shards):
+	case answered == len(p.shards):
 		return Complete, true
-	case len(p.shards)-p.lost < p.least:
+	case len(p.shards)-p.failedShards < p.minAnswered:
 		return Lost, true
-	case p.open == 0:
+	case p.pendingShards == 0:
 		return Partial, true
-	case have >= p.least && !p.now.Before(p.cutoff()):
+	case answered >= p.minAnswered && !p.now.Before(p.cutoff()):
 		return Partial, true
-	case !p.now.Before(p.end()):
+	case !p.now.Before(p.giveUpAt()):
 		return Expired, true
 	}
 	return "", false
@@ -305,20 +305,20 @@
 // cutoff returns the time at which an answer with enough but not all parts is sent.
 func (p *plan) cutoff() time.Time { return p.Arrived.Add(p.timing.cutoff) }
 
-func (p *plan) end() time.Time { return p.Deadline.Add(-answerBefore) }
+func (p *plan) giveUpAt() time.Time { return p.Deadline.Add(-deadlineMargin) }
 
-// wake returns the time of the next scheduled check.
-func (p *plan) wake() time.Time {
-	next := p.end()
+// nextWake returns the time of the next scheduled check.
+func (p *plan) nextWake() time.Time {
+	next := p.giveUpAt()
 	if cutoff := p.cutoff(); p.now.Before(cutoff) && cutoff.Before(next) {
 		next = cutoff
 	}
 	for i := range p.shards {
 		s := &p.shards[i]
-		if s.answered || s.lost {
+		if s.answered || s.failed {
 			continue
 		}
-		for _, at := range []time.Time{s.hedgeAt, s.lookAt, s.resendAt} {
+		for _, at := range []time.Time{s.hedgeAt, s.recheckAt, s.resendAt} {
 			if !at.IsZero() && at.Before(next) {
 				next = at
 			}
@@ -331,11 +331,11 @@
 func (p *plan) tick() {
 	for i := range p.shards {
 		s := &p.shards[i]
-		if s.answered || s.lost {
+		if s.answered || s.failed {
 			continue
 		}
-		if !s.lookAt.IsZero() && !p.now.Before(s.lookAt) {
-			p.look(i)
+		if !s.recheckAt.IsZero() && !p.now.Before(s.recheckAt) {
+			p.recheck(i)
 		}
 		if !s.hedgeAt.IsZero() && !p.now.Before(s.hedgeAt) {
 			s.hedgeAt = time.Time{}
@@ -349,13 +349,13 @@
 }
 
 func (p *plan) finish(end Ending) Report {
-	p.forget()
+	p.endSubqueries()
 	p.report.Ending = end
-	p.report.Usual, p.report.Hedge = p.timing.usual, p.timing.hedge
+	p.report.Usual, p.report.Hedge = p.timing.medianLatency, p.timing.hedgeDelay
 	for i := range p.shards {
 		p.stopWaiting(i)
 	}
-	p.passOn()
+	p.passOnCapacity()
 	p.report.Results = make([]exchange.Result, len(p.shards))
 	for i := range p.shards {
 		p.report.Results[i] = p.shards[i].result
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -28,33 +28,33 @@
 	"guavaspring.org/platform/wire"
 )
 
-// bed is a host that sends requests to the replicas of a farm.
-type bed struct {
+// testHost is a host that sends requests to the replicas of a farm.
+type testHost struct {
 	farm    *replicatest.Farm
 	table   *endpoints.Table
-	run     *scatter.Runner
+	runner  *scatter.Runner
 	learned *learned.Route
 	n       atomic.Int64
-	// crashers holds the requests that crash replicas.
-	crashers *quarantine.Quarantine
+	// quarantine holds the requests that crash replicas.
+	quarantine *quarantine.Quarantine
 	// evacuated is the name of the evacuated availability zone.
 	evacuated atomic.Value
 }
 
-func newBed(t *testing.T, slack float64) *bed {
+func newTestHost(t *testing.T, slack float64) *testHost {
 	farm := replicatest.New()
 	t.Cleanup(farm.Close)
-	return newHost(farm, slack, 1)
+	return newHostOnFarm(farm, slack, 1)
 }
 
-// newHost returns a host in zone a with a part, 0 to 1, of the limits that all hosts share.
-func newHost(farm *replicatest.Farm, slack, part float64) *bed {
-	return newHostIn("a", farm, slack, part, scatter.Subqueries{})
+// newHostOnFarm returns a host in zone a with a part, 0 to 1, of the limits that all hosts share.
+func newHostOnFarm(farm *replicatest.Farm, slack, part float64) *testHost {
+	return newHostInZone("a", farm, slack, part, scatter.Subqueries{})
 }
 
-// newHostIn returns a host in an availability zone that sends subqueries to other hosts.
-func newHostIn(zone string, farm *replicatest.Farm, slack, part float64, sub scatter.Subqueries) *bed {
-	b := &bed{farm: farm, learned: &learned.Route{}}
+// newHostInZone returns a host in an availability zone that sends subqueries to other hosts.
+func newHostInZone(zone string, farm *replicatest.Farm, slack, part float64, sub scatter.Subqueries) *testHost {
+	b := &testHost{farm: farm, learned: &learned.Route{}}
 	b.evacuated.Store("")
 	codec := wire.Codec()
 	share := func() float64 { return part }
@@ -63,31 +63,31 @@
 		Evacuated: func(zone string) bool { return b.evacuated.Load() == zone },
 		Spend:     spend.Options{Ratio: 0.2, Slack: slack, Window: 10 * time.Second},
 	})
-	b.crashers = quarantine.New(quarantine.Options{Clock: clock.System{}, Service: "opaque"})
-	b.run = scatter.New(scatter.Options{Clock: clock.System{}, Share: share, Draw: func() float64 { return 0 }, Quarantine: b.crashers, Subqueries: sub})
+	b.quarantine = quarantine.New(quarantine.Options{Clock: clock.System{}, Service: "opaque"})
+	b.runner = scatter.New(scatter.Options{Clock: clock.System{}, Share: share, Draw: func() float64 { return 0 }, Quarantine: b.quarantine, Subqueries: sub})
 	return b
 }
 
-// usual lists the replicas and records 100 recent replies of 30 ms for the route.
-func (b *bed) usual() {
+// seedLatency lists the replicas and records 100 recent replies of 30 ms for the route.
+func (b *testHost) seedLatency() {
 	b.table.Replace(b.farm.Batch(), false)
 	for range 100 {
 		b.learned.Replied(time.Now(), 30*time.Millisecond)
 	}
 }
 
-func (b *bed) ask(ctx context.Context, rt *route.Route) (scatter.Report, time.Duration) {
+func (b *testHost) ask(ctx context.Context, rt *route.Route) (scatter.Report, time.Duration) {
 	return b.askFor(ctx, rt, "/x")
 }
 
-func (b *bed) askFor(ctx context.Context, rt *route.Route, target string) (scatter.Report, time.Duration) {
+func (b *testHost) askFor(ctx context.Context, rt *route.Route, target string) (scatter.Report, time.Duration) {
 	n := b.n.Add(1)
 	began := time.Now()
 	q := scatter.Query{
 		Request: &opaque.Request{ID: fmt.Sprintf("q%d", n), Method: http.MethodGet, Target: target, Host: "h", Header: http.Header{}},
 		Route:   rt, Learned: b.learned, Arrived: began, Deadline: began.Add(rt.Timeout), Fingerprint: target,
 	}
-	verdict := b.crashers.Check(target)
+	verdict := b.quarantine.Check(target)
 	if verdict.Refused {
 		return scatter.Report{Ending: scatter.Lost}, 0
 	}
@@ -95,24 +95,24 @@
 	for _, name := range rt.Services() {
 		q.Shards = append(q.Shards, b.table.Service(name))
 	}
-	rep := b.run.Run(ctx, q)
+	rep := b.runner.Run(ctx, q)
 	return rep, time.Since(began)
 }
 
-// shortShard adds ten shards of three replicas that run five requests of 28 ms at a time. One shard has a single
+// addScarceShard adds ten shards of three replicas that run five requests of 28 ms at a time. One shard has a single
 // replica, which serves 178 requests per second.
-func (b *bed) shortShard() {
+func (b *testHost) addScarceShard() {
 	for i := range 10 {
 		for n := range 3 {
 			if i != 4 || n == 0 {
-				b.farm.Add(fmt.Sprintf("s%d", i), n, slots(5, 28*time.Millisecond))
+				b.farm.Add(fmt.Sprintf("s%d", i), n, slotLimited(5, 28*time.Millisecond))
 			}
 		}
 	}
 }
 
-// overShards returns a route over ten shards.
-func overShards(least float64) *route.Route {
+// tenShardRoute returns a route over ten shards.
+func tenShardRoute(least float64) *route.Route {
 	rt := &route.Route{Idempotent: true, Timeout: 2 * time.Second, Objective: 200 * time.Millisecond, Attempts: 2, TopK: 5, LeastShare: least}
 	for i := range 10 {
 		rt.Shards = append(rt.Shards, fmt.Sprintf("s%d", i))
@@ -120,7 +120,7 @@
 	return rt
 }
 
-func plain(idempotent bool) *route.Route {
+func singleServiceRoute(idempotent bool) *route.Route {
 	return &route.Route{Idempotent: idempotent, Timeout: 2 * time.Second, Objective: 800 * time.Millisecond, Attempts: 2, Split: []route.Share{{Service: "s0", Weight: 1}}}
 }
 
@@ -128,7 +128,7 @@
 // to a second replica of that shard as soon as the reply is later than nine in ten are.
 func TestPausedReplicaIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
+		b := newTestHost(t, 50)
 		for i := range 10 {
 			took := 30 * time.Millisecond
 			if i == 4 {
@@ -138,8 +138,8 @@
 			other := b.farm.Add(fmt.Sprintf("s%d", i), 2, replicatest.OK("far", 30*time.Millisecond, "x"))
 			slow.Row.Zone, other.Row.Zone = "a", "b"
 		}
-		b.usual()
-		rep, took := b.ask(t.Context(), overShards(0.9))
+		b.seedLatency()
+		rep, took := b.ask(t.Context(), tenShardRoute(0.9))
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Complete)
 		qt.Assert(t, rep.Hedges, qt.Equals, 1)
 		qt.Assert(t, took < 80*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
@@ -157,7 +157,7 @@
 	}{{0.9, scatter.Partial, 200 * time.Millisecond}, {1, scatter.Expired, 2 * time.Second}}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t, 50)
+			b := newTestHost(t, 50)
 			for i := range 10 {
 				for n := range 2 {
 					r := b.farm.Add(fmt.Sprintf("s%d", i), n, replicatest.OK("r", 30*time.Millisecond, "x"))
@@ -166,8 +166,8 @@
 					}
 				}
 			}
-			b.usual()
-			rep, took := b.ask(t.Context(), overShards(test.least))
+			b.seedLatency()
+			rep, took := b.ask(t.Context(), tenShardRoute(test.least))
 			qt.Check(t, rep.Ending, qt.Equals, test.want)
 			qt.Check(t, rep.Answered, qt.Equals, 9)
 			qt.Check(t, took <= test.by, qt.IsTrue, qt.Commentf("%v", took))
@@ -180,12 +180,12 @@
 // once and reported as not run.
 func TestShardWithoutReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
+		b := newTestHost(t, 50)
 		for i := range 9 {
 			b.farm.Add(fmt.Sprintf("s%d", i), 1, replicatest.OK("r", 30*time.Millisecond, "x"))
 		}
-		b.usual()
-		rep, took := b.ask(t.Context(), overShards(0.9))
+		b.seedLatency()
+		rep, took := b.ask(t.Context(), tenShardRoute(0.9))
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Partial)
 		qt.Assert(t, took, qt.Equals, 30*time.Millisecond)
 		rep, took = b.ask(t.Context(), &route.Route{Idempotent: false, Timeout: time.Second, Attempts: 2, Split: []route.Share{{Service: "none"}}})
@@ -207,7 +207,7 @@
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			farm := replicatest.New()
-			b := newHost(farm, 10, 1)
+			b := newHostOnFarm(farm, 10, 1)
 			rt := &route.Route{Idempotent: true, Timeout: 2 * time.Second, Objective: 200 * time.Millisecond, Attempts: 2, TopK: 3, LeastShare: 0.9}
 			var replicas []*replicatest.Replica
 			for i := range 10 {
@@ -219,7 +219,7 @@
 				}
 				replicas = append(replicas, r)
 			}
-			b.usual()
+			b.seedLatency()
 			b.evacuated.Store("emptied")
 			b.table.Refresh()
 			rep, took := b.ask(t.Context(), rt)
@@ -251,12 +251,12 @@
 	}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t, 50)
+			b := newTestHost(t, 50)
 			one := b.farm.Add("s0", 1, test.first)
 			two := b.farm.Add("s0", 2, replicatest.OK("two", 10*time.Millisecond, "x"))
 			two.Row.Zone = "b"
-			b.usual()
-			rep, _ := b.ask(t.Context(), plain(false))
+			b.seedLatency()
+			rep, _ := b.ask(t.Context(), singleServiceRoute(false))
 			qt.Check(t, rep.Answered == 1, qt.Equals, test.answer, qt.Commentf("%s", test.name))
 			qt.Check(t, rep.Ran, qt.Equals, test.ran, qt.Commentf("%s", test.name))
 			qt.Check(t, len(one.Runs())+len(two.Runs()), qt.Equals, test.runs, qt.Commentf("%s", test.name))
@@ -271,7 +271,7 @@
 // and the resends must stay within the budget.
 func TestPagesWhereReplicasTurnAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 1000)
+		b := newTestHost(t, 1000)
 		rng := rand.New(rand.NewPCG(3, 4))
 		var mu sync.Mutex
 		rt := &route.Route{Idempotent: true, Timeout: time.Second, Objective: 200 * time.Millisecond, Attempts: 2, TopK: 3, LeastShare: 0.95}
@@ -293,7 +293,7 @@
 				}))
 			}
 		}
-		b.usual()
+		b.seedLatency()
 		const pages = 200
 		inTime := 0
 		for range pages {
@@ -325,7 +325,7 @@
 // must wait for one of the two replicas that shed it: a third replica exceeds the attempts of the route.
 func TestResendStaysWithinAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 1000)
+		b := newTestHost(t, 1000)
 		var mu sync.Mutex
 		reached := map[string]map[int]bool{}
 		for n := range 3 {
@@ -341,11 +341,11 @@
 				return full(r, body)
 			})
 		}
-		b.usual()
+		b.seedLatency()
 		b.table.SetLimits(map[string]route.Service{"s0": {MaxConns: 2}})
 		var asks sync.WaitGroup
 		for range 12 {
-			asks.Go(func() { b.ask(t.Context(), plain(true)) })
+			asks.Go(func() { b.ask(t.Context(), singleServiceRoute(true)) })
 		}
 		asks.Wait()
 		for id, replicas := range reached {
@@ -358,12 +358,12 @@
 // Every replica is full. The request must be reported as not run.
 func TestFullReplicasRanNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
+		b := newTestHost(t, 50)
 		for n := range 3 {
 			b.farm.Add("s0", n, replicatest.Full())
 		}
-		b.usual()
-		rep, _ := b.ask(t.Context(), plain(false))
+		b.seedLatency()
+		rep, _ := b.ask(t.Context(), singleServiceRoute(false))
 		qt.Assert(t, rep.Ran, qt.IsFalse)
 		qt.Assert(t, rep.Results[0].Kind, qt.Equals, upstream.KindShed)
 		time.Sleep(time.Second)
@@ -374,15 +374,15 @@
 // replicas; the budget must limit the retries.
 func TestRetriesStayInTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 10)
+		b := newTestHost(t, 10)
 		var replicas []*replicatest.Replica
 		for n := range 3 {
 			replicas = append(replicas, b.farm.Add("s0", n, replicatest.Broken(time.Millisecond)))
 		}
-		b.usual()
+		b.seedLatency()
 		const requests = 200
 		for range requests {
-			b.ask(t.Context(), plain(true))
+			b.ask(t.Context(), singleServiceRoute(true))
 			time.Sleep(20 * time.Millisecond)
 		}
 		arrivals := 0
@@ -398,13 +398,13 @@
 // receive nothing.
 func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
+		b := newTestHost(t, 50)
 		var replicas []*replicatest.Replica
 		for n := range 5 {
 			replicas = append(replicas, b.farm.Add("s0", n, replicatest.Broken(time.Millisecond)))
 		}
-		b.usual()
-		b.ask(t.Context(), plain(true))
+		b.seedLatency()
+		b.ask(t.Context(), singleServiceRoute(true))
 		runs := 0
 		for _, r := range replicas {
 			runs += len(r.Runs())
@@ -418,14 +418,14 @@
 // budget must limit the hedges.
 func TestHedgesStayInTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 4)
+		b := newTestHost(t, 4)
 		for n := range 3 {
 			b.farm.Add("s0", n, replicatest.OK("r", 600*time.Millisecond, "x"))
 		}
-		b.usual()
+		b.seedLatency()
 		hedges, denied := 0, 0
 		for range 20 {
-			rep, _ := b.ask(t.Context(), plain(true))
+			rep, _ := b.ask(t.Context(), singleServiceRoute(true))
 			hedges += rep.Hedges
 			denied += rep.Denied
 		}
@@ -440,12 +440,12 @@
 func TestClientGone(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t, 50)
+			b := newTestHost(t, 50)
 			b.farm.Add("s0", 1, replicatest.OK("r", time.Second, "x"))
-			b.usual()
+			b.seedLatency()
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			rep, took := b.ask(ctx, plain(idempotent))
+			rep, took := b.ask(ctx, singleServiceRoute(idempotent))
 			qt.Check(t, rep.Ending, qt.Equals, scatter.Gone)
 			qt.Check(t, took, qt.Equals, 100*time.Millisecond)
 			time.Sleep(time.Millisecond)
@@ -467,10 +467,10 @@
 // without that shard.
 func TestOverloadedShardThinsPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
-		b.shortShard()
-		b.usual()
-		rt := overShards(0.89)
+		b := newTestHost(t, 50)
+		b.addScarceShard()
+		b.seedLatency()
+		rt := tenShardRoute(0.89)
 		type outcome struct {
 			ending scatter.Ending
 			took   time.Duration
@@ -501,8 +501,8 @@
 	})
 }
 
-// slots returns a handler that runs n requests at a time and queues the others.
-func slots(n int, work time.Duration) func(*http.Request, []byte) replicatest.Answer {
+// slotLimited returns a handler that runs n requests at a time and queues the others.
+func slotLimited(n int, work time.Duration) func(*http.Request, []byte) replicatest.Answer {
 	free := make(chan struct{}, n)
 	return func(req *http.Request, body []byte) replicatest.Answer {
 		free <- struct{}{}
@@ -517,10 +517,10 @@
 // with nothing sent, so that clients can retry, while the replica stays busy.
 func TestShortShardRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
-		b.shortShard()
-		b.usual()
-		rt := overShards(1)
+		b := newTestHost(t, 50)
+		b.addScarceShard()
+		b.seedLatency()
+		rt := tenShardRoute(1)
 		const n = 1200
 		ends := make(chan scatter.Report, n)
 		for range n {
@@ -553,17 +553,17 @@
 		speeds := []float64{0.8, 1, 1.3}
 		for i := range 10 {
 			for n := range 3 {
-				farm.Add(fmt.Sprintf("s%d", i), n, slots(5, time.Duration(28*speeds[n])*time.Millisecond))
+				farm.Add(fmt.Sprintf("s%d", i), n, slotLimited(5, time.Duration(28*speeds[n])*time.Millisecond))
 			}
 		}
 		const all = 7
-		var hosts []*bed
+		var hosts []*testHost
 		for range all {
-			h := newHost(farm, 50, 1.0/all)
-			h.usual()
+			h := newHostOnFarm(farm, 50, 1.0/all)
+			h.seedLatency()
 			hosts = append(hosts, h)
 		}
-		rt := overShards(0.89)
+		rt := tenShardRoute(0.89)
 		type outcome struct {
 			rep  scatter.Report
 			took time.Duration
@@ -579,7 +579,7 @@
 			}()
 			time.Sleep(time.Second / rate)
 		}
-		inTime, refused, held, failed := 0, 0, 0, 0
+		inTime, refused, refusedLate, failed := 0, 0, 0, 0
 		for range rate * seconds {
 			o := <-ends
 			switch {
@@ -590,7 +590,7 @@
 				qt.Check(t, o.rep.Ran, qt.IsFalse)
 				qt.Check(t, o.rep.RetryAfter > 0, qt.IsTrue)
 				if o.took > 0 {
-					held++
+					refusedLate++
 				}
 			case o.rep.Answered < 9:
 				failed++
@@ -598,17 +598,17 @@
 		}
 		t.Logf("in time %d, refused %d, failed %d of %d", inTime, refused, failed, rate*seconds)
 		qt.Check(t, inTime > capacity*seconds*9/10, qt.IsTrue, qt.Commentf("%d in time", inTime))
-		qt.Check(t, held, qt.Equals, 0)
+		qt.Check(t, refusedLate, qt.Equals, 0)
 		qt.Check(t, failed < rate*seconds/50, qt.IsTrue, qt.Commentf("%d failed", failed))
 		time.Sleep(5 * time.Second)
 	})
 }
 
-const poison = "/poison"
+const poisonPath = "/poison"
 
-// crashy answers all requests except poison, which crashes the replica for two seconds.
-func crashy(req *http.Request, body []byte) replicatest.Answer {
-	if req.URL.Path == poison {
+// crashOnPoison answers all requests except poisonPath, which crashes the replica for two seconds.
+func crashOnPoison(req *http.Request, body []byte) replicatest.Answer {
+	if req.URL.Path == poisonPath {
 		return replicatest.Answer{After: 10 * time.Millisecond, CrashFor: 2 * time.Second}
 	}
 	return replicatest.OK("r", 30*time.Millisecond, "x")(req, body)
@@ -620,11 +620,11 @@
 // quarantined.
 func TestCrashingRequestEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
+		b := newTestHost(t, 50)
 		var replicas []*replicatest.Replica
 		for i := range 10 {
 			for n := range 3 {
-				replicas = append(replicas, b.farm.Add(fmt.Sprintf("s%d", i), n, crashy))
+				replicas = append(replicas, b.farm.Add(fmt.Sprintf("s%d", i), n, crashOnPoison))
 			}
 		}
 		crashes := func() int {
@@ -634,13 +634,13 @@
 			}
 			return n
 		}
-		b.usual()
-		rt := overShards(0.75)
+		b.seedLatency()
+		rt := tenShardRoute(0.75)
 		began := time.Now()
 		var callers sync.WaitGroup
 		callers.Go(func() {
 			for time.Since(began) < 20*time.Second {
-				b.askFor(t.Context(), rt, poison)
+				b.askFor(t.Context(), rt, poisonPath)
 				time.Sleep(300 * time.Millisecond)
 			}
 		})
@@ -676,14 +676,14 @@
 // that met this twice must not be refused when its client sends it again.
 func TestBrokenConnectionsAreNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, 50)
+		b := newTestHost(t, 50)
 		for n := range 3 {
 			b.farm.Add("s0", n, replicatest.Broken(time.Millisecond))
 		}
-		b.usual()
+		b.seedLatency()
 		for range 5 {
-			b.ask(t.Context(), plain(true))
-			qt.Check(t, b.crashers.Check("/x").Suspect, qt.IsFalse)
+			b.ask(t.Context(), singleServiceRoute(true))
+			qt.Check(t, b.quarantine.Check("/x").Suspect, qt.IsFalse)
 		}
 		time.Sleep(3 * time.Second)
 	})
--- a/entry/internal/scatter/subqueries_test.go
+++ b/entry/internal/scatter/subqueries_test.go
@@ -23,26 +23,26 @@
 )
 
 const (
-	// manyShards is the number of shards of a query; those from farFrom on, half of them, have no replica in the zone
-	// of the host that receives the query.
-	manyShards = 20
-	farFrom    = manyShards / 2
+	// manyShards is the number of shards of a query; those from firstFarShard on, half of them, have no replica in the
+	// zone of the host that receives the query.
+	manyShards    = 20
+	firstFarShard = manyShards / 2
 )
 
-// pair is a host in zone a that receives queries, and one in zone b that gathers parts of them. Shards from farFrom on
-// have replicas in zones b and c only, the others in a and c.
-type pair struct {
-	*bed
-	other                     *bed
+// hostPair is a host in zone a that receives queries, and one in zone b that gathers parts of them. Shards from
+// firstFarShard on have replicas in zones b and c only, the others in a and c.
+type hostPair struct {
+	*testHost
+	other                     *testHost
 	server                    *subquery.Server
-	near                      []*replicatest.Replica
-	far                       []*replicatest.Replica
-	distant                   []*replicatest.Replica
+	inZoneA                   []*replicatest.Replica
+	inZoneB                   []*replicatest.Replica
+	inZoneC                   []*replicatest.Replica
 	dropped, failed, gathered atomic.Int64
 }
 
-// seams intercept the calls from the host in zone a to the other one; nil means that a call is made directly.
-type seams struct {
+// peerHooks intercept the calls from the host in zone a to the other one; nil means that a call is made directly.
+type peerHooks struct {
 	gather func(ctx context.Context, args *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error)
 	rest   func(ctx context.Context, args *subquery.RestArgs, direct func() (subquery.Reply, error)) (subquery.Reply, error)
 }
@@ -50,21 +50,21 @@
 // recordOf returns the only record of a shard.
 func recordOf(shard int) string { return fmt.Sprintf("record-of-s%05d", shard)[:16] }
 
-func newPair(t *testing.T, s seams) *pair {
+func newHostPair(t *testing.T, s peerHooks) *hostPair {
 	farm := replicatest.New()
 	t.Cleanup(farm.Close)
-	p := &pair{other: newHostIn("b", farm, 50, 0.5, scatter.Subqueries{})}
+	p := &hostPair{other: newHostInZone("b", farm, 50, 0.5, scatter.Subqueries{})}
 	p.server = subquery.NewServer(subquery.Options{
 		Clock: clock.System{}, Service: p.other.table.Service, Version: func() int64 { return 0 }, Leaving: func() bool { return false },
-		Quarantine: p.other.crashers, Draw: func() float64 { return 0 },
+		Quarantine: p.other.quarantine, Draw: func() float64 { return 0 },
 	})
-	p.bed = newHostIn("a", farm, 50, 0.5, scatter.Subqueries{
+	p.testHost = newHostInZone("a", farm, 50, 0.5, scatter.Subqueries{
 		Zones: func() []string { return []string{"b"} }, Peer: func(zone string) (subquery.Peer, bool) { return p.peer(s), zone == "b" },
 		Failed: func(subquery.Peer, error) { p.failed.Add(1) },
 	})
 	for i := range manyShards {
 		zone := "a"
-		if i >= farFrom {
+		if i >= firstFarShard {
 			zone = "b"
 		}
 		name := fmt.Sprintf("s%d", i)
@@ -72,19 +72,19 @@
 		first.Row.Zone = zone
 		second := farm.Add(name, 2, replicatest.OK(name+"-2", 30*time.Millisecond, recordOf(i)))
 		second.Row.Zone = "c"
-		p.distant = append(p.distant, second)
-		if i < farFrom {
-			p.near = append(p.near, first)
+		p.inZoneC = append(p.inZoneC, second)
+		if i < firstFarShard {
+			p.inZoneA = append(p.inZoneA, first)
 		} else {
-			p.far = append(p.far, first)
+			p.inZoneB = append(p.inZoneB, first)
 		}
 	}
-	p.usual()
+	p.seedLatency()
 	p.other.table.Replace(farm.Batch(), false)
 	return p
 }
 
-func (p *pair) peer(s seams) subquery.Peer {
+func (p *hostPair) peer(s peerHooks) subquery.Peer {
 	return subquery.Peer{
 		ID: "other", Name: "other", Zone: "b",
 		Gather: func(ctx context.Context, args *subquery.Args) (subquery.Reply, error) {
@@ -117,7 +117,7 @@
 	}
 }
 
-func overMany() *route.Route {
+func manyShardRoute() *route.Route {
 	rt := &route.Route{Idempotent: true, Timeout: 2 * time.Second, Objective: 200 * time.Millisecond, Attempts: 2, TopK: 50, LeastShare: 0.9}
 	for i := range manyShards {
 		rt.Shards = append(rt.Shards, fmt.Sprintf("s%d", i))
@@ -125,8 +125,8 @@
 	return rt
 }
 
-// page returns the merged records that a client receives, and the number of distinct shards among the results.
-func page(rep *scatter.Report, rt *route.Route) ([]byte, int) {
+// mergedPage returns the merged records that a client receives, and the number of distinct shards among the results.
+func mergedPage(rep *scatter.Report, rt *route.Route) ([]byte, int) {
 	var parts [][]byte
 	named := map[string]bool{}
 	for _, res := range rep.Results {
@@ -141,7 +141,7 @@
 // checkPage fails unless the merged records are exactly those of the shards reported as answered, once each.
 func checkPage(t *testing.T, rep *scatter.Report, rt *route.Route) {
 	t.Helper()
-	body, named := page(rep, rt)
+	body, named := mergedPage(rep, rt)
 	var want [][]byte
 	for i, res := range rep.Results {
 		if res.Kind == upstream.KindOK {
@@ -153,14 +153,14 @@
 	qt.Check(t, string(body), qt.Equals, string(records.Top(want, rt.TopK)))
 }
 
-// checkTries fails if a shard's request reached more replicas than the route allows, ran twice at one of them, was
+// checkAttempts fails if a shard's request reached more replicas than the route allows, ran twice at one of them, was
 // resent to a replica that had not shed it, or was resent more than three times in all.
-func (p *pair) checkTries(t *testing.T, rt *route.Route) {
+func (p *hostPair) checkAttempts(t *testing.T, rt *route.Route) {
 	t.Helper()
 	for i := range manyShards {
-		all := append(append([]*replicatest.Replica{}, p.near...), p.far...)
+		all := append(append([]*replicatest.Replica{}, p.inZoneA...), p.inZoneB...)
 		replicas, again := 0, 0
-		for _, r := range []*replicatest.Replica{all[i], p.distant[i]} {
+		for _, r := range []*replicatest.Replica{all[i], p.inZoneC[i]} {
 			runs, arrivals := len(r.Runs()), r.Arrivals()
 			qt.Check(t, runs <= 1, qt.IsTrue, qt.Commentf("shard %d: %d runs at one replica", i, runs))
 			if arrivals > 0 {
@@ -178,17 +178,17 @@
 // be asked twice.
 func TestFarShardsComeThroughOneHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{})
-		rt := overMany()
+		p := newHostPair(t, peerHooks{})
+		rt := manyShardRoute()
 		rep, took := p.ask(t.Context(), rt)
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Complete)
-		qt.Check(t, rep.Through, qt.Equals, manyShards-farFrom)
+		qt.Check(t, rep.Through, qt.Equals, manyShards-firstFarShard)
 		qt.Check(t, p.gathered.Load(), qt.Equals, int64(1))
 		qt.Check(t, rep.Hedges+rep.Retries, qt.Equals, 0)
 		qt.Check(t, took < 40*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
-		qt.Check(t, p.table.Dialed(), qt.Equals, uint64(farFrom))
+		qt.Check(t, p.table.Dialed(), qt.Equals, uint64(firstFarShard))
 		checkPage(t, &rep, rt)
-		p.checkTries(t, rt)
+		p.checkAttempts(t, rt)
 		time.Sleep(time.Second)
 		qt.Check(t, p.server.Running(), qt.Equals, 0)
 	})
@@ -198,8 +198,8 @@
 // each shard must be asked directly.
 func TestUrgentRoutesAskDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{})
-		rt := overMany()
+		p := newHostPair(t, peerHooks{})
+		rt := manyShardRoute()
 		rt.Objective = 80 * time.Millisecond
 		rep, _ := p.ask(t.Context(), rt)
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Complete)
@@ -215,15 +215,15 @@
 // a second time.
 func TestPauseBehindAnotherHostIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{})
-		p.far[3].Handle = replicatest.OK("late", 280*time.Millisecond, recordOf(farFrom+3))
-		rt := overMany()
+		p := newHostPair(t, peerHooks{})
+		p.inZoneB[3].Handle = replicatest.OK("late", 280*time.Millisecond, recordOf(firstFarShard+3))
+		rt := manyShardRoute()
 		rep, took := p.ask(t.Context(), rt)
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Complete)
 		qt.Check(t, rep.Hedges, qt.Equals, 1)
 		qt.Check(t, took < 75*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 		checkPage(t, &rep, rt)
-		p.checkTries(t, rt)
+		p.checkAttempts(t, rt)
 		time.Sleep(2 * time.Second)
 		qt.Check(t, p.server.Running(), qt.Equals, 0)
 	})
@@ -233,16 +233,16 @@
 // merged as they arrive and not after the pause: otherwise nearly all of them would be requested twice.
 func TestPartsDoNotWaitForAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{})
-		for i, r := range p.far {
+		p := newHostPair(t, peerHooks{})
+		for i, r := range p.inZoneB {
 			// Hedges are sent after 34.5 ms.
 			took := 37 * time.Millisecond
 			if i == 3 {
 				took = 280 * time.Millisecond
 			}
-			r.Handle = replicatest.OK(r.Row.ID, took, recordOf(farFrom+i))
+			r.Handle = replicatest.OK(r.Row.ID, took, recordOf(firstFarShard+i))
 		}
-		rt := overMany()
+		rt := manyShardRoute()
 		rt.Attempts = 1
 		rt.LeastShare = 0.95
 		rep, took := p.ask(t.Context(), rt)
@@ -254,7 +254,7 @@
 	})
 }
 
-var errLost = errors.New("the connection broke")
+var errConnectionBroke = errors.New("the connection broke")
 
 // The other host is unreachable, is leaving, does not answer, fails after sending its attempts, or replies late. In
 // each case the answer must be in time, within the attempts that the route allows, and from replicas that the other
@@ -262,44 +262,44 @@
 func TestOtherHostIsLost(t *testing.T) {
 	tests := []struct {
 		name string
-		s    seams
+		s    peerHooks
 		by   time.Duration
 		// extra is the number of shards that need a second attempt, and failed the number of reported failures of the
 		// host.
 		extra  int
 		failed int64
 	}{
-		{"gone", seams{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
+		{"gone", peerHooks{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
 			return subquery.Reply{}, fmt.Errorf("%w: refused", subquery.ErrUnreached)
 		}}, 40 * time.Millisecond, 0, 1},
-		{"leaving", seams{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
+		{"leaving", peerHooks{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
 			return subquery.Reply{Declined: "the host is leaving"}, nil
 		}}, 40 * time.Millisecond, 0, 0},
-		{"silent", seams{gather: func(ctx context.Context, _ *subquery.Args, _ func() (subquery.Reply, error)) (subquery.Reply, error) {
+		{"silent", peerHooks{gather: func(ctx context.Context, _ *subquery.Args, _ func() (subquery.Reply, error)) (subquery.Reply, error) {
 			<-ctx.Done()
 			return subquery.Reply{}, ctx.Err()
-		}}, 100 * time.Millisecond, manyShards - farFrom, 1},
-		{"lost with its tries", seams{gather: func(_ context.Context, _ *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error) {
+		}}, 100 * time.Millisecond, manyShards - firstFarShard, 1},
+		{"lost after sending its attempts", peerHooks{gather: func(_ context.Context, _ *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error) {
 			_, _ = direct()
-			return subquery.Reply{}, errLost
-		}}, 100 * time.Millisecond, manyShards - farFrom, 1},
-		{"late with all parts", seams{gather: func(_ context.Context, _ *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error) {
+			return subquery.Reply{}, errConnectionBroke
+		}}, 100 * time.Millisecond, manyShards - firstFarShard, 1},
+		{"late with all parts", peerHooks{gather: func(_ context.Context, _ *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error) {
 			rep, err := direct()
 			time.Sleep(40 * time.Millisecond)
 			return rep, err
-		}}, 100 * time.Millisecond, manyShards - farFrom, 1},
+		}}, 100 * time.Millisecond, manyShards - firstFarShard, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPair(t, test.s)
-				rt := overMany()
+				p := newHostPair(t, test.s)
+				rt := manyShardRoute()
 				rep, took := p.ask(t.Context(), rt)
 				qt.Check(t, rep.Ending, qt.Equals, scatter.Complete)
 				qt.Check(t, took <= test.by, qt.IsTrue, qt.Commentf("%v", took))
 				qt.Check(t, rep.Hedges+min(rep.Retries, test.extra), qt.Equals, test.extra)
 				checkPage(t, &rep, rt)
-				p.checkTries(t, rt)
+				p.checkAttempts(t, rt)
 				time.Sleep(3 * time.Second)
 				qt.Check(t, p.failed.Load(), qt.Equals, test.failed)
 			})
@@ -309,20 +309,20 @@
 
 // The other host reports pending shards, and then restarts or is too busy to keep the subquery. The shards must not be
 // waited for in vain: their attempts count as failed, and shards without a second attempt get one.
-func TestForgottenSubquery(t *testing.T) {
+func TestSubqueryEndedByPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{rest: func(context.Context, *subquery.RestArgs, func() (subquery.Reply, error)) (subquery.Reply, error) {
+		p := newHostPair(t, peerHooks{rest: func(context.Context, *subquery.RestArgs, func() (subquery.Reply, error)) (subquery.Reply, error) {
 			return subquery.Reply{Forgotten: true}, nil
 		}})
-		p.far[3].Handle = replicatest.OK("never", time.Hour, recordOf(farFrom+3))
-		p.distant[farFrom+3].Handle = replicatest.Broken(10 * time.Millisecond)
-		rt := overMany()
+		p.inZoneB[3].Handle = replicatest.OK("never", time.Hour, recordOf(firstFarShard+3))
+		p.inZoneC[firstFarShard+3].Handle = replicatest.Broken(10 * time.Millisecond)
+		rt := manyShardRoute()
 		rep, took := p.ask(t.Context(), rt)
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Partial)
 		qt.Check(t, rep.Answered, qt.Equals, manyShards-1)
 		qt.Check(t, took < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 		checkPage(t, &rep, rt)
-		p.checkTries(t, rt)
+		p.checkAttempts(t, rt)
 		time.Sleep(2 * time.Hour)
 	})
 }
@@ -330,16 +330,16 @@
 // A route allows three attempts and requires all shards. One replica behind another host hangs for 900 ms, is reported
 // as pending repeatedly, and then fails; the hedge fails at once. Meanwhile a third replica is listed. It must be
 // tried: four reports of the same pending attempt are not four attempts.
-func TestPendingToldAgainIsOneTry(t *testing.T) {
+func TestRepeatedPendingIsOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{})
-		const shard = farFrom + 3
-		p.far[3].Handle = replicatest.Broken(900 * time.Millisecond)
-		p.distant[shard].Handle = replicatest.Broken(10 * time.Millisecond)
+		p := newHostPair(t, peerHooks{})
+		const shard = firstFarShard + 3
+		p.inZoneB[3].Handle = replicatest.Broken(900 * time.Millisecond)
+		p.inZoneC[shard].Handle = replicatest.Broken(10 * time.Millisecond)
 		third := p.farm.Add(fmt.Sprintf("s%d", shard), 3, replicatest.OK("third", 30*time.Millisecond, recordOf(shard)))
 		third.Row.Zone = "d"
 		time.AfterFunc(800*time.Millisecond, func() { p.table.Replace(p.farm.Batch(), false) })
-		rt := overMany()
+		rt := manyShardRoute()
 		rt.Attempts, rt.LeastShare = 3, 1
 		rep, _ := p.ask(t.Context(), rt)
 		qt.Check(t, rep.Ending, qt.Equals, scatter.Complete)
@@ -352,13 +352,13 @@
 // A client disconnects while another host gathers parts from slow replicas. Their attempts must be canceled.
 func TestClientGoneEndsTheTriesOfOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, seams{})
-		for i, r := range p.far {
-			r.Handle = replicatest.OK("slow", time.Second, recordOf(farFrom+i))
+		p := newHostPair(t, peerHooks{})
+		for i, r := range p.inZoneB {
+			r.Handle = replicatest.OK("slow", time.Second, recordOf(firstFarShard+i))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		rep, _ := p.ask(ctx, overMany())
+		rep, _ := p.ask(ctx, manyShardRoute())
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Gone)
 		time.Sleep(100 * time.Millisecond)
 		qt.Check(t, p.dropped.Load(), qt.Equals, int64(1))
@@ -376,7 +376,7 @@
 			rnd := rand.New(rand.NewPCG(seed, 7))
 			delay := func(most int) time.Duration { return time.Duration(rnd.IntN(most)) * time.Millisecond }
 			there, back, restBack, breaks := delay(60), delay(90), delay(200), rnd.IntN(4) == 0
-			p := newPair(t, seams{
+			p := newHostPair(t, peerHooks{
 				gather: func(_ context.Context, _ *subquery.Args, direct func() (subquery.Reply, error)) (subquery.Reply, error) {
 					time.Sleep(there)
 					rep, err := direct()
@@ -387,26 +387,26 @@
 					rep, err := direct()
 					time.Sleep(restBack)
 					if breaks {
-						return subquery.Reply{}, errLost
+						return subquery.Reply{}, errConnectionBroke
 					}
 					return rep, err
 				},
 			})
-			for _, list := range [][]*replicatest.Replica{p.near, p.far, p.distant} {
+			for _, list := range [][]*replicatest.Replica{p.inZoneA, p.inZoneB, p.inZoneC} {
 				for i, r := range list {
 					shard := i
-					if len(list) == len(p.far) && r.Row.Zone == "b" {
-						shard += farFrom
+					if len(list) == len(p.inZoneB) && r.Row.Zone == "b" {
+						shard += firstFarShard
 					}
-					r.Handle = anyAnswer(rnd, r.Row.ID, shard)
+					r.Handle = randomHandler(rnd, r.Row.ID, shard)
 				}
 			}
-			rt := overMany()
+			rt := manyShardRoute()
 			rep, _ := p.ask(t.Context(), rt)
 			if rep.Ending == scatter.Complete || rep.Ending == scatter.Partial {
 				checkPage(t, &rep, rt)
 			}
-			p.checkTries(t, rt)
+			p.checkAttempts(t, rt)
 			time.Sleep(5 * time.Second)
 			if t.Failed() {
 				t.Logf("seed %d", seed)
@@ -415,8 +415,8 @@
 	}
 }
 
-// anyAnswer returns a randomly chosen behavior of a replica.
-func anyAnswer(rnd *rand.Rand, name string, shard int) func(*http.Request, []byte) replicatest.Answer {
+// randomHandler returns a randomly chosen behavior of a replica.
+func randomHandler(rnd *rand.Rand, name string, shard int) func(*http.Request, []byte) replicatest.Answer {
 	switch rnd.IntN(8) {
 	case 0:
 		return replicatest.OK(name, time.Duration(rnd.IntN(400))*time.Millisecond, recordOf(shard))
