--- a/entry/internal/choice/choice.go
+++ b/entry/internal/choice/choice.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// unknownLatency stands for a replica that has not answered yet, so that it is tried but not flooded.
+	// unknownLatency is the assumed latency of a replica that has not answered yet. It is low enough that the replica
+	// is tried and high enough that it is not flooded.
 	unknownLatency = 5 * time.Millisecond
-	// distinct is the least difference in cost that counts, as one part in distinct: more than the smoothed mean
-	// of like replicas differs by chance, less than what one more running try makes. The availability zone
-	// decides only below it, since the time that zones are apart is in the measured latency already.
+	// distinct sets the smallest cost difference that counts: 1/distinct of the higher cost. That is more than the
+	// smoothed means of equal replicas differ by chance, and less than the effect of one more try in flight. The
+	// availability zone decides only below it, since the measured latency already includes the delay between zones.
 	distinct = 4
-	// window is how many holders are looked at; a shard with more is looked at from a random start.
+	// window is the number of replicas considered. For a shard with more, they are taken from a random start.
 	window = 8
 )
 
-// Verdict says what became of a choice.
+// Verdict is the outcome of a selection.
 type Verdict string
 
-// The verdicts.
+// The outcomes of a selection.
 const (
 	// Found means that a replica was chosen.
 	Found Verdict = "found"
-	// Busy means that every replica left is at this host's limit; one may be free soon.
+	// Busy means that every remaining replica is at this host's concurrency limit; one may become free soon.
 	Busy Verdict = "busy"
-	// None means that no replica is left.
+	// None means that no replica remains.
 	None Verdict = "none"
 )
 
-// Pick returns the better of two random holders that are not in tried.
+// Pick returns the cheaper of two random holders of a shard that are not in tried.
 //
-// It answers load that is spread unevenly over the replicas of a shard, and replicas of unequal speed.
-// Always taking the best-looking replica sends every query, and every host, to the same one at once; two
-// random candidates avoid that herd. A replica's cost is what this host saw itself: the mean time of its
-// answers or the age of the tries it runs, whichever is larger, for each try running and the new one. What
-// a replica claims of its load is not used, since it lags or misleads. Replicas that are out are chosen
-// only where no other holds the shard; replicas at their limit are not chosen at all.
+// It balances uneven load and replicas of unequal speed. Selecting the cheapest of all replicas would send the queries
+// of every host to the same replica at once; two random candidates avoid this herd effect. The cost of a replica is
+// its mean latency or the age of its tries in flight, whichever is larger, times the number of tries in flight
+// including the new one. Only measurements of this host count: the load that a replica reports lags or misleads.
+// Ejected replicas are selected only if no other replica holds the shard, replicas at their limit never.
 func Pick(intN func(n int) int, now time.Time, holders, tried []*replica.Replica) (*replica.Replica, Verdict) {
 	var list [window]*replica.Replica
 	n, busy := candidates(intN, now, holders, tried, &list)
@@ -58,7 +58,7 @@
 	return better(list[i], list[j], now), Found
 }
 
-// Trial returns a holder that is out and due for a single try, or nil.
+// Trial returns an ejected holder that is due for a single probing try, or nil.
 func Trial(now time.Time, holders []*replica.Replica) *replica.Replica {
 	for _, r := range holders {
 		if !r.Eject.In() && !r.Draining() && r.Running() == 0 && r.Eject.Trial(now) {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// candidates fills list with the holders that may be chosen and reports whether any was left out for its limit. Holders
-// that are out come in only where there is no other, limits aside.
+// candidates fills list with the holders that may be selected and reports whether any was left out because of its
+// limit. Ejected holders are candidates only if there is no other, whether or not the others are at their limit.
 func candidates(intN func(n int) int, now time.Time, holders, tried []*replica.Replica, list *[window]*replica.Replica) (n int, busy bool) {
 	start := 0
 	if len(holders) > window {
@@ -98,9 +98,9 @@
 	return n, busy
 }
 
-// better returns a unless b is distinctly cheaper, or about as cheap and nearer. The candidates come in random
-// order, so equals share the load. Were the least difference decisive, the replica with the luckiest last
-// answers would get two thirds of a shard's tries from this host, and none would go to the unluckiest.
+// better returns a unless b is clearly cheaper, or about as cheap and in the own zone. The candidates come in random
+// order, so equal replicas share the load. If any difference decided, the replica whose last answers happened to be
+// quickest would get two thirds of the shard's tries from this host, and the one with the slowest last answers none.
 func better(a, b *replica.Replica, now time.Time) *replica.Replica {
 	ca, cb := cost(a, now), cost(b, now)
 	switch {
@@ -115,6 +115,7 @@
 	}
 }
 
+// cost returns the expected latency of one more try, scaled by the tries in flight.
 func cost(r *replica.Replica, now time.Time) time.Duration {
 	est, running := r.Estimate(now)
 	if est == 0 {
--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -34,8 +34,8 @@
 
 func draw() func(n int) int { return rand.New(rand.NewPCG(1, 1)).IntN }
 
-// A replica's host swaps to disk: what it is sent doesn't come back, so there is no answer to learn its
-// slowness from. The age of what it still runs tells at once, and the next pages go elsewhere.
+// Guards against sending more tries to a replica that has stopped answering, for example since its machine swaps. It
+// returns no answer that would raise its mean latency, so the age of its tries in flight has to count.
 func TestStuckReplicaIsNoticedBeforeItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hs := holders(1)
@@ -55,8 +55,8 @@
 	})
 }
 
-// A replica was slow for a moment and has recovered, but nobody sends there any more, since its last answers
-// were slow. Its neighbours carry its load for good. What was learned must fade while nothing new is learned.
+// Guards against avoiding a replica forever after a short slowdown. It gets no tries that would lower its mean latency,
+// so the estimate has to decay with time.
 func TestRecoveredReplicaIsFoundAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hs := holders(1)
@@ -78,8 +78,8 @@
 	})
 }
 
-// Three replicas are equally quick. The one in the host's own zone gets more, but not all: once it runs more
-// than the others they get the next tries, and when it is slower than the way to another zone it gets few.
+// Guards against a zone preference that outweighs load or latency. Of three equally fast replicas, the one in the own
+// zone gets more tries but not all; if it is clearly slower than those in other zones, it gets few.
 func TestNearestOnlyWhileItDoesNotHurt(t *testing.T) {
 	for _, test := range []struct {
 		near        time.Duration
@@ -97,13 +97,13 @@
 					near++
 				}
 			}
-			qt.Assert(t, near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d", near))
+			qt.Assert(t, near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d of 1000 tries went to the own zone", near))
 		})
 	}
 }
 
-// All replicas of a shard are out, since the whole shard had a bad second. A page without the shard helps
-// nobody, so they are used; and a full replica says busy, so that the shard waits instead of being missed.
+// Guards against omitting a shard that could still be queried. If all of its replicas are ejected, they are used all the
+// same; if the only healthy one is at its limit, the outcome is Busy, so that the shard waits.
 func TestVerdicts(t *testing.T) {
 	hs := holders(1)
 	now := time.Now()
@@ -134,7 +134,7 @@
 	}
 }
 
-// BenchmarkPickAll is the whole choice of a query over 69 shards x 3.
+// BenchmarkPickAll measures all selections of a query over 69 shards with 3 replicas each.
 func BenchmarkPickAll(b *testing.B) {
 	hs := holders(69)
 	now := time.Now()
--- a/entry/internal/choice/doc.go
+++ b/entry/internal/choice/doc.go
@@ -1,2 +1,2 @@
-// Package choice decides which replica of a shard a try goes to.
+// Package choice selects the replica of a shard that receives a try.
 package choice
