--- a/entry/internal/pick/doc.go
+++ b/entry/internal/pick/doc.go
@@ -1,2 +1,2 @@
-// Package pick decides which replica a request is sent to.
+// Package pick estimates replica latencies and ranks replicas for a request.
 package pick
--- a/entry/internal/pick/pick.go
+++ b/entry/internal/pick/pick.go
@@ -5,62 +5,67 @@
 )
 
 const (
-	// queueWeight is how much each request of this host that runs at a replica lengthens the expected time of one more.
-	// A replica runs five at once and most hosts send to it, so one of this host's stands for several.
+	// queueWeight is the share by which each request that this host has in flight at a replica lengthens the expected
+	// time of one more. A replica runs five requests at once and most hosts send to it, so one request of this host
+	// stands for several.
 	queueWeight = 0.35
-	// zoneDelay is what the way to another availability zone and back takes.
+	// zoneDelay is the round-trip time to another availability zone.
 	zoneDelay = 2 * time.Millisecond
-	// nearTimes and nearPart bound the expected time at which the replica in the own zone goes first whatever the
-	// others would take: in times of the usual reply, which leaves out a replica that is slow or overdue, though not
-	// one after a single pause, and as a part of the time in which the reply is of use, which leaves room for a second
-	// try. nearRunning is how many requests of this host make a queue there.
+	// nearTimes and nearPart bound the estimate up to which a replica in the own zone ranks first, whatever the
+	// estimates of the others. nearTimes is a multiple of the usual reply time: it excludes a replica that is slow or
+	// overdue, though not one after a single pause. nearPart is a share of the time in which the reply is of use: it
+	// leaves time for a second try. nearRunning is the number of requests of this host in flight that counts as a
+	// queue there.
 	nearTimes   = 2.5
 	nearPart    = 0.4
 	nearRunning = 3
-	// Forget is the time in which what was learned of a replica's speed loses two thirds of its weight. A disruption
-	// lasts for seconds; a replica that was slow is tried again about as long after.
+	// Forget is the time after which measurements of a replica's speed have lost two thirds of their weight. A
+	// disruption lasts for seconds; a replica that was slow is tried again about as long after it.
 	Forget = 3 * time.Second
-	// spread is the random part of an estimate, so that hosts that know the same don't all choose the same replica.
+	// spread is the largest random addition to an estimate, as a share of it, so that hosts with the same measurements
+	// don't all select the same replica.
 	spread = 0.2
-	// failureCost is what a failed try costs in times of a usual reply: it has to be sent again, from a bounded budget.
+	// failureCost is the cost of a failed try, as a multiple of the usual reply time: it has to be retried, from a
+	// bounded budget.
 	failureCost = 4
 )
 
-// Replica is what one host knows of a replica at the time of a decision.
+// Replica is the state of a replica as one host sees it at the time of a decision.
 type Replica struct {
-	// Running is how many requests of this host it works on.
+	// Running is the number of requests of this host in flight there.
 	Running int
-	// Slots is how many requests it runs at once, zero where it didn't say.
+	// Slots is the number of requests it runs at once, zero if it has not reported it.
 	Slots int
-	// Oldest is the age of the oldest of them.
+	// Oldest is the age of the oldest request of this host in flight there.
 	Oldest time.Duration
-	// Slowness is how many times longer than usual its replies take.
+	// Slowness is its reply time as a multiple of the usual one.
 	Slowness float64
-	// Queued is how many requests of all hosts wait there, in times of its slots, zero where it doesn't say.
+	// Queued is the number of requests of all hosts that wait there, as a multiple of its slots, zero if it does not
+	// report it.
 	Queued float64
-	// Failures is the share of late tries, 0 to 1, that failed.
+	// Failures is the share of recent tries, 0 to 1, that failed.
 	Failures float64
-	// Near says that it is in the host's own availability zone.
+	// Near reports whether it is in the host's own availability zone.
 	Near bool
-	// Cold says that it has just started and is still slow.
+	// Cold reports whether it has just started and is still slow.
 	Cold bool
 }
 
-// coldSlowness stands for a replica that has just started and has not answered this host yet.
+// coldSlowness is the lowest Slowness that is assumed of a cold replica.
 const coldSlowness = 1.6
 
-// Estimate returns how long a request is expected to take at the replica, where usual is the time at a healthy one and
+// Estimate returns the expected reply time of a request at the replica. usual is the reply time of a healthy replica,
 // draw a random number between 0 and 1.
 //
-// It answers replicas that pause for a quarter of a second, or are ten times slower for a while: what is under way
-// there and has not come back is the first sign, before any reply could show it.
+// Replicas may pause for a quarter of a second, or be ten times slower for a while. The age of the requests in flight
+// shows it first, before any reply does.
 func Estimate(r Replica, usual time.Duration, draw float64) time.Duration {
 	slow := max(r.Slowness, 0.5)
 	if r.Cold {
 		slow = max(slow, coldSlowness)
 	}
 	t := time.Duration(float64(usual) * slow * (1 + queueWeight*float64(r.Running) + r.Queued))
-	// A request that is overdue says more than the replies before it: this one would wait behind it.
+	// An overdue request counts more than earlier replies: a new one would wait behind it.
 	if overdue := time.Duration(2 * float64(usual) * slow); r.Oldest > overdue {
 		t = max(t, 2*r.Oldest)
 	}
@@ -71,21 +76,21 @@
 	return t + time.Duration(float64(t)*spread*draw)
 }
 
-// Need is what a request asks of the replica.
+// Need holds the time limits of a request.
 type Need struct {
-	// Usual is the time that a healthy replica takes, Within the time in which the reply is of use.
+	// Usual is the reply time of a healthy replica, Within the time in which the reply is of use.
 	Usual, Within time.Duration
-	// Queues says that the replicas may have queues, so that the usual time holds a wait.
+	// Queues reports whether requests may queue at the replicas, so that the usual time includes a wait.
 	Queues bool
 }
 
-// Before reports whether a replica with an estimate goes before another one: the quicker one, and before all others one
-// in the host's own zone that is quick enough.
+// Before reports whether replica a, with its estimate, ranks before replica b, with the estimate other. A replica in the
+// host's own zone that is fast enough ranks first, then the one with the lower estimate.
 //
-// It answers the bytes between zones, which are paid for, and are most of what a page over many shards moves. A price
-// that is added to the estimate is outweighed by a request or two under way and the random part of it, so that most
-// parts come from elsewhere all the same. Where replicas have queues the shortest one goes first: whether a request is
-// answered in time is worth more than the bytes.
+// Traffic between zones is billed, and makes up most of the traffic of a query over many shards. A price added to the
+// estimate doesn't avoid it: one or two requests in flight and the random part outweigh the price, so that most replies
+// still come from other zones. Where requests queue at the replicas, the lowest estimate ranks first: an answer in time
+// is worth more than the saved traffic.
 func (n Need) Before(a Replica, estimate time.Duration, b Replica, other time.Duration) bool {
 	if near := n.nearEnough(a, estimate); near != n.nearEnough(b, other) {
 		return near
@@ -93,6 +98,7 @@
 	return estimate < other
 }
 
+// nearEnough reports whether a replica ranks first since it is in the own zone and fast enough.
 func (n Need) nearEnough(r Replica, estimate time.Duration) bool {
 	return !n.Queues && r.Near && !r.Cold && r.Running < nearRunning && estimate <= min(time.Duration(nearTimes*float64(n.Usual)), time.Duration(nearPart*float64(n.Within)))
 }
--- a/entry/internal/pick/pick_test.go
+++ b/entry/internal/pick/pick_test.go
@@ -15,7 +15,7 @@
 
 func estimate(r pick.Replica) time.Duration { return pick.Estimate(r, usual, 0) }
 
-// A host chooses between two replicas of a shard. Each row is a pair of which the first must be preferred.
+// Guards against a wrong ranking of two replicas of a shard. In each row, better must rank before worse.
 func TestPreference(t *testing.T) {
 	near := pick.Replica{Slowness: 1, Near: true}
 	with := func(change func(*pick.Replica)) pick.Replica {
@@ -30,11 +30,11 @@
 	}{
 		{"the own zone", near, far},
 		{"the own zone, though one request runs there", with(func(r *pick.Replica) { r.Running = 1 }), far},
-		{"the own zone, though one request runs there and another zone is twice as quick as usual", with(func(r *pick.Replica) { r.Running = 1 }),
+		{"the own zone, though one request runs there and another zone is twice as fast as usual", with(func(r *pick.Replica) { r.Running = 1 }),
 			pick.Replica{Slowness: 0.5}},
 		{"another zone rather than a queue", far, with(func(r *pick.Replica) { r.Running = 3 })},
 		{"another zone rather than a slow one", far, with(func(r *pick.Replica) { r.Slowness = 3 })},
-		{"another zone rather than one that pauses", far, with(func(r *pick.Replica) { r.Running, r.Oldest = 1, 80*time.Millisecond })},
+		{"another zone rather than one with an overdue request", far, with(func(r *pick.Replica) { r.Running, r.Oldest = 1, 80*time.Millisecond })},
 		{"another zone rather than one that fails", far, with(func(r *pick.Replica) { r.Failures = 0.5 })},
 		{"another zone rather than one that has just started", far, with(func(r *pick.Replica) { r.Cold = true })},
 		{"a cold one rather than one ten times slower", with(func(r *pick.Replica) { r.Cold = true }), with(func(r *pick.Replica) { r.Slowness = 10 })},
@@ -46,16 +46,16 @@
 	}
 }
 
-// All hosts know the same of two equal replicas. If each took the one with the least estimate to the nanosecond, all
-// would take the same; the random part has to be wider than what tells equals apart.
+// Guards against all hosts selecting the same of two equal replicas, since its estimate is lower by a trifle: the random
+// part of an estimate has to exceed such differences.
 func TestEqualsAreSpread(t *testing.T) {
 	r := pick.Replica{Slowness: 1, Near: true}
 	slightly := pick.Replica{Slowness: 1.05, Near: true}
 	qt.Assert(t, pick.Estimate(r, usual, 0.9) > pick.Estimate(slightly, usual, 0.1), qt.IsTrue)
 }
 
-// More comes than the replicas can do. The replica in the own zone is usable, and another has a shorter queue: the
-// pages that wait behind the first would be late for the sake of bytes.
+// Guards against late answers under overload for the sake of zone-local traffic: where requests queue at the replicas,
+// one in another zone with a shorter queue ranks before the one in the own zone.
 func TestShortestQueueGoesFirstUnderLoad(t *testing.T) {
 	near, far := pick.Replica{Slowness: 1.5, Near: true, Running: 1}, pick.Replica{Slowness: 1}
 	for _, queues := range []bool{false, true} {
