--- a/entry/internal/room/doc.go
+++ b/entry/internal/room/doc.go
@@ -1,2 +1,2 @@
-// Package room decides how many requests a host may have at one replica.
+// Package room limits the requests that a host may have in flight at one replica.
 package room
--- a/entry/internal/room/room.go
+++ b/entry/internal/room/room.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	// depth is how many requests all hosts together may have at a replica that may have a queue, in times of what it
-	// runs at once: what runs, and as much again that is there when a slot becomes free. More only makes the replica's
-	// queue longer, which keeps no order.
+	// depth is the number of requests that all hosts together may have at a replica that may have a queue, as a
+	// multiple of its slots: those that run, and as many again to take slots as they become free. More would only
+	// lengthen the replica's queue, which is not ordered.
 	depth = 2
-	// idle is how much of what the replicas run at once is in use, as a part, below which a host may have one request
-	// more than its part.
+	// idle is the utilization of the replicas' slots, 0 to 1, below which a host may have one request more than its
+	// share.
 	idle = 0.5
-	// defaultSlots stands in for a replica that does not say how many requests it runs at once.
+	// defaultSlots is the assumed number of slots of a replica that does not report it.
 	defaultSlots = 4
 )
 
-// Slots returns how many requests a replica runs at once that says so, or doesn't.
+// Slots returns the number of requests that a replica runs at once: the number it reports, or a default if that is zero.
 func Slots(said int) int {
 	if said <= 0 {
 		return defaultSlots
@@ -22,15 +22,13 @@
 	return said
 }
 
-// Most returns how many requests a host may have at a replica that says that it runs a number of them at once; part is
-// the part of all requests that the host sends, and use how much of what the replicas of the service run at once is in
-// use.
+// Most returns the number of requests that a host may have in flight at a replica that reports said slots. part is the
+// share of all requests that this host sends, use the utilization of the slots of all replicas of the service.
 //
-// It answers two loads. Where more comes than the replicas can do, the hosts together must not fill the replicas'
-// queues: each takes its part. Where little comes, a part of less than one request would divide what nobody uses: of 15
-// hosts that may have one request each at a replica of 7 slots, which has three quarters of one to do, each finds the
-// near one taken for every fourth try. One more is allowed at low use alone: where the replicas are just enough it
-// would fill their queues.
+// Under overload the hosts together must not fill the replicas' queues, so each is limited to its share. Under low load
+// a limit of one request is too strict: with 15 hosts, a limit of one each, and a replica of 7 slots that has 0.75
+// requests in flight on average, each host finds its limit reached for every fourth try. One more is allowed only at
+// low utilization: where the capacity is just sufficient, it would fill the queues.
 func Most(said int, part, use float64) int {
 	most := max(1, math.Ceil(depth*float64(Slots(said))*part))
 	if use < idle {
