--- a/entry/internal/patience/doc.go
+++ b/entry/internal/patience/doc.go
@@ -1,2 +1,2 @@
-// Package patience tells clients that come for the first time from those that come back.
+// Package patience distinguishes clients that retry a refused request from those that send it first.
 package patience
--- a/entry/internal/patience/usual.go
+++ b/entry/internal/patience/usual.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// kept is how many of the newest requests count, and sortEvery how many come between two looks at their median.
+	// kept is the number of newest requests that count, sortEvery the number of requests between updates of their
+	// median.
 	kept, sortEvery = 128, 16
 )
 
-// Usual is how long clients of a route say that they wait; the zero value has seen none.
+// Usual tracks the remaining time that clients of a route state in their requests. The zero value is ready to use.
 //
-// A client that was refused and comes back has less time left than when it came first, and says so. Nothing else tells
-// it: each attempt is a request of its own. The median is the time of those that come first, as long as they are the
-// more; a client with a time of its own that is shorter looks like one that comes back.
+// A client that retries after a refusal states less remaining time than in its first attempt. Nothing else marks a
+// retry: each attempt is a request of its own. The median is the time-out of first attempts as long as these are the
+// majority. A client with a shorter time-out of its own is indistinguishable from one that retries.
 type Usual struct {
 	mu     sync.Mutex
 	times  [kept]time.Duration
@@ -23,8 +24,8 @@
 	median time.Duration
 }
 
-// Waited takes over the time for which a client says that it waits, zero where it doesn't say, and returns how long it
-// has waited already.
+// Waited records the remaining time that a client states, zero if it states none, and returns how long the client has
+// waited already.
 func (u *Usual) Waited(left time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
--- a/entry/internal/patience/usual_test.go
+++ b/entry/internal/patience/usual_test.go
@@ -9,8 +9,8 @@
 	"guavaspring.org/entry/internal/patience"
 )
 
-// Four clients in ten come back with less time left, and one has minutes. Those that come first must never be taken for
-// those that come back: under load they would be refused for it.
+// Guards against first attempts being taken for retries, which are all refused under load. Four clients in ten retry
+// with less time left, and one in a hundred states minutes.
 func TestFirstComersHaveNotWaited(t *testing.T) {
 	const first = 600 * time.Millisecond
 	var u patience.Usual
