--- a/entry/internal/spend/doc.go
+++ b/entry/internal/spend/doc.go
@@ -1,2 +1,2 @@
-// Package spend bounds the tries beyond the first of each request, over all hosts together, in any window of time.
+// Package spend limits retries and hedges, over all hosts together, in any window of time.
 package spend
--- a/entry/internal/spend/spend.go
+++ b/entry/internal/spend/spend.go
@@ -6,57 +6,59 @@
 )
 
 const (
-	// steps is into how many parts a window is cut. Each part counts whole, so that the bound holds for windows that
-	// slide between them too.
+	// steps is the number of slots in a window. Each slot counts as a whole, so that the limit also holds for windows
+	// that begin within a slot.
 	steps = 20
-	// caution is the share of the bound that is used: hosts that join or are replaced count from nothing for a window.
+	// caution is the share of the limit that is used, since the counts of hosts that join or are replaced start at zero
+	// and miss a window.
 	caution = 0.9
-	// hedgeFloor is the share of a window's allowance that only retries may use. A retry mends a failure that was seen,
-	// a hedge one that is only feared.
+	// hedgeFloor is the share of a window's budget that is reserved for retries: a retry follows a failure, a hedge only
+	// a suspected one.
 	hedgeFloor = 0.25
 )
 
-// Options is the bound on extra tries.
+// Options configures the limit on extra tries, of all hosts together.
 type Options struct {
-	// Ratio is the share of the requests that may be tried again, and Slack a number besides, in each Window, of all
-	// hosts together.
+	// Ratio is the number of extra tries per request in each Window, Slack a number allowed in addition to it.
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Budget is one host's part of the bound for one service.
+// Budget is one host's share of the limit for one service.
 //
-// It answers a fault that makes many tries fail or be late at once. Each of them sent again doubles the load on
-// replicas that can bear it least. A token bucket alone lets a full burst pass on top of a full rate within one window;
-// this counts what was sent in the window itself.
+// A fault may make many tries fail or be late at once; retrying all of them doubles the load on replicas that are
+// already overloaded. A token bucket allows a full burst on top of the full rate within one window, so Budget counts the
+// tries in the window itself.
 type Budget struct {
 	opts Options
 
 	mu sync.Mutex
-	// epoch is when the budget was first used: parts are counted from it, since the time of day may jump.
+	// epoch is the time of first use. Slots are counted from it, since the wall clock may jump.
 	epoch    time.Time
 	at       int64
 	requests [2 * steps]float64
 	extra    [2 * steps]float64
 }
 
-// New returns a budget from which nothing was spent.
+// New returns an unused budget.
 func New(opts Options) *Budget { return &Budget{opts: opts} }
 
-// Request counts the first try of a request.
+// Request counts a request, on its first try.
 func (b *Budget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[b.turn(now)]++
 }
 
-// Retry takes one try after a failure, where this host has a share of the slack, and reports whether it may be sent.
+// Retry takes one retry from the budget, where share is this host's share of the slack, and reports whether it may be
+// sent.
 func (b *Budget) Retry(now time.Time, share float64) bool { return b.take(now, share, 1) }
 
-// Hedge takes one try beside another, and reports whether it may be sent.
+// Hedge takes one hedge from the budget, where share is this host's share of the slack, and reports whether it may be
+// sent.
 func (b *Budget) Hedge(now time.Time, share float64) bool { return b.take(now, share, 1-hedgeFloor) }
 
-// Unsend gives back a try that was never sent.
+// Unsend returns an extra try that was not sent to the budget.
 func (b *Budget) Unsend(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,6 +67,7 @@
 	}
 }
 
+// take takes one extra try if the budget, of which it may use part, allows it.
 func (b *Budget) take(now time.Time, share, part float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,8 +80,8 @@
 	return true
 }
 
-// known returns the requests of the last window, or of the one before it where those were more: the load may fall, but
-// what was allowed by it is not to be taken back at once.
+// known returns the number of requests in the last window, or in the one before if that is larger, so that a falling
+// load does not reduce the budget at once.
 func (b *Budget) known() float64 {
 	var last, before float64
 	for i := range int64(steps) {
@@ -88,7 +91,7 @@
 	return max(last, before)
 }
 
-// spent returns the extra tries in the running part and a whole window before it.
+// spent returns the number of extra tries in the current slot and the whole window before it.
 func (b *Budget) spent() float64 {
 	sum := 0.0
 	for i := range int64(steps + 1) {
@@ -97,7 +100,7 @@
 	return sum
 }
 
-// turn empties the parts that have become too old and returns the running one.
+// turn clears expired slots and returns the index of the current one.
 func (b *Budget) turn(now time.Time) int {
 	if b.epoch.IsZero() {
 		b.epoch = now
@@ -110,4 +113,5 @@
 	return slot(b.at)
 }
 
+// slot returns the index of a slot in the ring.
 func slot(at int64) int { return int(((at % (2 * steps)) + 2*steps) % (2 * steps)) }
--- a/entry/internal/spend/spend_test.go
+++ b/entry/internal/spend/spend_test.go
@@ -12,9 +12,8 @@
 
 const window = 10 * time.Second
 
-// Six hosts serve a shard whose replicas fail for a while at random moments, with a load that changes. Whatever the
-// hosts are asked to send again, the shard must not get more extra tries than the bound allows in any ten seconds,
-// wherever they begin.
+// Guards against more extra tries than the limit allows in any ten seconds, wherever they begin. Six hosts, with load
+// that changes, retry at random moments.
 func TestNoWindowExceedsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 6
@@ -40,7 +39,7 @@
 		for _, end := range events {
 			extra, known := around(events, end.at)
 			if allowed := opts.Ratio*known + opts.Slack; extra > allowed {
-				t.Fatalf("%v extra tries in the window to %v, where %v are allowed", extra, end.at, allowed)
+				t.Fatalf("%v extra tries in the window that ends at %v, %v allowed", extra, end.at, allowed)
 			}
 		}
 	})
@@ -51,8 +50,8 @@
 	extra bool
 }
 
-// around returns the extra tries in the window that ends at end, and the most requests of that window, the one before
-// it, or the one half a window before.
+// around returns the number of extra tries in the window that ends at end, and the largest number of requests in that
+// window, the one before it, or the one that ends half a window earlier.
 func around(events []event, end time.Duration) (extra, known float64) {
 	count := func(end time.Duration, extra bool) float64 {
 		n := 0.0
@@ -66,7 +65,7 @@
 	return count(end, true), max(count(end, false), count(end-window, false), count(end-window/2, false))
 }
 
-// Second tries beside slow ones must leave room for those after failures.
+// Guards against hedges using up the budget, so that none is left for retries after failures.
 func TestHedgesLeaveRoomForRetries(t *testing.T) {
 	b := spend.New(spend.Options{Ratio: 0.2, Slack: 0, Window: window})
 	now := time.Unix(0, 0)
@@ -85,7 +84,7 @@
 	qt.Assert(t, b.Retry(now.Add(window+window/20), 1), qt.IsTrue)
 }
 
-// A try that was never sent costs nothing.
+// Guards against charging the budget for a try that was not sent.
 func TestUnsend(t *testing.T) {
 	b := spend.New(spend.Options{Ratio: 0, Slack: 2, Window: window})
 	now := time.Unix(0, 0)
