--- a/entry/internal/bucket/bucket.go
+++ b/entry/internal/bucket/bucket.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// longestQueue bounds how long a refused request is told to wait: who would have to wait longer is as well off with
-// trying again then.
+// longestQueue is the longest wait returned for a refused request. A request that would have to wait longer can as well
+// be retried then.
 const longestQueue = 10 * time.Second
 
-// rounding is what the sum of many parts of a token may lack of a whole one.
+// rounding is the tolerance for rounding errors when many fractions of a token are added up to a whole one.
 const rounding = 1e-6
 
-// Bucket holds whole tokens that come back at a steady rate. The zero value is empty and gets none.
+// Bucket is a token bucket. Tokens are added at a steady rate and taken whole. The zero value is empty and is never
+// refilled.
 type Bucket struct {
-	// rate is tokens a second, depth the most that are held.
+	// rate is in tokens per second, depth is the largest number of tokens held.
 	rate, depth float64
 	tokens      float64
-	// queue counts those that were refused and told to come back, less those for which a token has come since.
+	// queue is the number of refused requests that are to be retried, less the tokens that have been added since.
 	queue float64
 	at    time.Time
 }
 
-// New returns a bucket that holds some tokens.
+// New returns a bucket that holds tokens, up to depth.
 func New(now time.Time, rate, depth, tokens float64) *Bucket {
 	return &Bucket{rate: rate, depth: depth, tokens: min(tokens, depth), at: now}
 }
 
-// Set changes the rate, in tokens a second, and the most tokens that are held.
+// Set changes the rate, in tokens per second, and the depth. Tokens beyond the new depth are dropped.
 func (b *Bucket) Set(now time.Time, rate, depth float64) {
 	b.Fill(now)
 	b.rate, b.depth = rate, depth
 	b.tokens = min(b.tokens, depth)
 }
 
-// Resume goes on at now as if no time had passed since the bucket was last used.
+// Resume continues at now without adding tokens for the time since the last use.
 func (b *Bucket) Resume(now time.Time) { b.at = now }
 
-// Add puts tokens in, up to the depth.
+// Add adds tokens, up to the depth.
 func (b *Bucket) Add(tokens float64) { b.tokens = min(b.depth, b.tokens+tokens) }
 
-// Take takes up to want tokens and returns how many it got.
+// Take takes up to want tokens and returns the number taken.
 func (b *Bucket) Take(now time.Time, want int) int {
 	b.Fill(now)
 	got := min(want, int(b.tokens+rounding))
@@ -45,7 +46,7 @@
 	return got
 }
 
-// TakeSpare takes up to want tokens and leaves half of what the bucket can hold, and returns how many it got.
+// TakeSpare takes up to want tokens, but leaves half of the depth, and returns the number taken.
 func (b *Bucket) TakeSpare(now time.Time, want int) int {
 	b.Fill(now)
 	got := max(0, min(want, int(b.tokens-b.depth/2+rounding)))
@@ -53,11 +54,11 @@
 	return got
 }
 
-// Refuse notes that one more was refused and returns when there will be a token for it, if those that were refused
-// before come back first.
+// Refuse counts a refused request and returns the time until a token is available for it, assuming that requests refused
+// earlier are retried first.
 //
-// It answers a caller that sends many times its limit: told only when the next token comes, all of them come back for
-// that one, and all but one are refused again.
+// A caller may exceed its limit many times over. If each refused request got the time until the next token, all would be
+// retried for that token, and all but one would be refused again.
 func (b *Bucket) Refuse(now time.Time) time.Duration {
 	b.Fill(now)
 	if b.rate <= 0 {
@@ -72,7 +73,7 @@
 	return max(wait, time.Millisecond)
 }
 
-// Fill adds the tokens that have come since the last use.
+// Fill adds the tokens for the time since the last use.
 func (b *Bucket) Fill(now time.Time) {
 	came := b.rate * max(0, now.Sub(b.at).Seconds())
 	b.at = now
--- a/entry/internal/bucket/bucket_test.go
+++ b/entry/internal/bucket/bucket_test.go
@@ -14,6 +14,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
+// Guards against tokens that are added at another rate than configured, or beyond the depth.
 func TestTokensComeBack(t *testing.T) {
 	b := bucket.New(start, 10, 5, 5)
 	qt.Assert(t, b.Take(start, 9), qt.Equals, 5)
@@ -22,6 +23,7 @@
 	qt.Assert(t, b.Take(at(time.Hour), 99), qt.Equals, 5)
 }
 
+// Guards against TakeSpare using the half of the depth that is reserved for Take.
 func TestSpareLeavesHalf(t *testing.T) {
 	b := bucket.New(start, 10, 6, 6)
 	qt.Assert(t, b.TakeSpare(start, 9), qt.Equals, 3)
@@ -30,14 +32,14 @@
 	qt.Assert(t, b.TakeSpare(start, 1), qt.Equals, 0)
 }
 
-// Guards against a bucket that was left alone and is full when it is used again.
+// Guards against a bucket that is full after a pause in which it was not used.
 func TestResumeAddsNothing(t *testing.T) {
 	b := bucket.New(start, 10, 5, 0)
 	b.Resume(at(time.Hour))
 	qt.Assert(t, b.Take(at(time.Hour), 1), qt.Equals, 0)
 }
 
-// Guards against a lower limit that leaves what was saved under the old one.
+// Guards against tokens saved under a higher limit remaining after the limit is lowered.
 func TestLowerDepthTakesTokens(t *testing.T) {
 	b := bucket.New(start, 10, 100, 100)
 	b.Set(start, 1, 2)
@@ -45,7 +47,8 @@
 	qt.Assert(t, b.Take(at(time.Second), 50), qt.Equals, 1)
 }
 
-// Guards against refused callers that all come back for one token: those that keep to what they were told are served.
+// Guards against refused requests that are all retried for the same token: each must be served if it is retried after
+// the wait that was returned for it.
 func TestRefusedComeBackInOrder(t *testing.T) {
 	b := bucket.New(start, 10, 5, 0)
 	var due []time.Time
@@ -58,7 +61,7 @@
 	}
 }
 
-// Guards against a caller far beyond its limit that is told to wait for hours.
+// Guards against waits of hours for a caller that is far beyond its limit.
 func TestWaitIsBounded(t *testing.T) {
 	b := bucket.New(start, 0.1, 1, 0)
 	for range 1000 {
@@ -67,7 +70,7 @@
 	qt.Assert(t, bucket.New(start, 0, 0, 0).Refuse(start), qt.Equals, 10*time.Second)
 }
 
-// No window may hold more than the rate and the depth allow, whatever is asked and when.
+// Guards against more tokens taken in any window than the rate and the depth allow.
 func TestNeverOverTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 5 * time.Second
@@ -89,7 +92,7 @@
 				}
 			}
 			if float64(n) > rate*window.Seconds()+depth+1e-6 {
-				t.Fatalf("%d in %v at %v a second and a depth of %v", n, window, rate, depth)
+				t.Fatalf("%d tokens taken in %v at a rate of %v per second and a depth of %v", n, window, rate, depth)
 			}
 		}
 	})
--- a/entry/internal/bucket/doc.go
+++ b/entry/internal/bucket/doc.go
@@ -1,2 +1,2 @@
-// Package bucket holds a token bucket that tells those it refuses when to come back.
+// Package bucket implements a token bucket that computes when refused requests should be retried.
 package bucket
