--- a/entry/internal/hedge/doc.go
+++ b/entry/internal/hedge/doc.go
@@ -1,2 +1,2 @@
-// Package hedge decides when a try that still runs gets a second one beside it.
+// Package hedge decides when a slow try is hedged by a second one.
 package hedge
--- a/entry/internal/hedge/hedge.go
+++ b/entry/internal/hedge/hedge.go
@@ -9,32 +9,30 @@
 )
 
 const (
-	// span is how long the older half of the window is kept: long enough for a few hundred samples at ten queries a
-	// second, short enough that the delay follows a change of load.
+	// span is the length of each of the two halves of the window: long enough for a few hundred samples at ten queries
+	// per second, short enough that the delay follows a change of load.
 	span = 2 * time.Second
-	// refresh is how often the quantiles are worked out anew; summing the buckets costs less than a microsecond.
+	// refresh is the interval between updates of the quantiles; summing the buckets takes less than a microsecond.
 	refresh = 50 * time.Millisecond
-	// fewest is the number of samples below which no quantile is trusted.
+	// fewest is the smallest number of samples from which quantiles are computed.
 	fewest = 50
-	// saturation is the share of refused tries above which the upstream is taken to be full: one in fifty is well over
+	// saturation is the share of refused tries above which the upstream counts as saturated. One in fifty is well above
 	// what a replica sheds by chance, and far below what it sheds when every slot is taken.
 	saturation = 0.02
-	// lateFactor is how many times the expected number of late shards a query may have before the load is taken to be
-	// the cause.
+	// lateFactor is the multiple of the expected number of late shards above which load is assumed to be the cause.
 	lateFactor = 4
-	// fewLate is the number of late shards that is never held for a sign of load.
+	// fewLate is the number of late shards that never counts as a sign of load.
 	fewLate = 2
-	// shortest is the smallest delay before a second try.
+	// shortest is the smallest delay before a hedge.
 	shortest = 500 * time.Microsecond
 )
 
-// Policy decides when second tries are sent, from the service's own recent replies.
+// Policy decides when hedges are sent, based on the recent replies of one service.
 //
-// It answers single stragglers: one slow replica holds up a whole page. Without it the page's time is the
-// worst of its shards' times. Sent too early or into a full upstream, second tries are the load that makes
-// the next tries late; so the delay is a measured quantile, and no second try goes out while tries are
-// being refused, and none at first where many shards of a query are late at once, since then the load is the
-// likely cause.
+// A single slow replica delays the answer to a whole query, which without hedges takes as long as its slowest shard.
+// Hedges that are sent too early, or to a saturated upstream, add load that makes further tries late. So the delay is a
+// measured quantile, no hedge is sent while tries are being refused, and none at first where many shards of a query are
+// late at once, since load is the likely cause then.
 type Policy struct {
 	mu      sync.Mutex
 	cur     window
@@ -48,23 +46,23 @@
 	full     atomic.Bool
 }
 
-// New returns a policy that has seen no reply and so sends no second try.
+// New returns a policy without samples: Delay is zero, so no hedge is due.
 func New() *Policy {
 	p := &Policy{}
 	p.SetQuantile(0.95, 3)
 	return p
 }
 
-// SetQuantile sets the quantile of reply times after which a second try is due, and the budget in percent.
+// SetQuantile sets the quantile of reply times after which a hedge is due, and the hedge budget in percent of tries.
 //
-// The quantile used leaves half of the budget unspent on ordinary days. With the 95th percentile and a
-// budget of 3 %, ordinary late tries would use all of it, and a true straggler would find none left.
+// The quantile is raised where needed so that normal operation uses at most half of the budget. With the 95th
+// percentile and a budget of 3 %, normal late tries would use all of it and leave none for a true straggler.
 func (p *Policy) SetQuantile(quantile, budgetPercent float64) {
 	p.quantile.Store(math.Float64bits(max(quantile, 1-budgetPercent/200)))
 }
 
-// Observe counts a reply that took so long; a try given up later than Delay counts with its age, since leaving it out
-// would make the delay shrink to what the winners took.
+// Observe records the time of a reply. A try that is canceled after Delay is recorded with its age: without it, the delay
+// would shrink to the times of the faster tries.
 func (p *Policy) Observe(now time.Time, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +71,7 @@
 	p.count(now)
 }
 
-// Refused counts a try that a replica shed.
+// Refused records a try that a replica shed.
 func (p *Policy) Refused(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,17 +80,18 @@
 	p.count(now)
 }
 
-// Delay returns how long a try may run before a second one is due, zero while too little is known.
+// Delay returns the time after which a try is hedged, zero while there are too few samples.
 func (p *Policy) Delay() time.Duration { return time.Duration(p.delay.Load()) }
 
-// Median returns the median reply time, zero while too little is known.
+// Median returns the median reply time, zero while there are too few samples.
 func (p *Policy) Median() time.Duration { return time.Duration(p.median.Load()) }
 
-// Allow reports whether a query of so many shards, of which so many are late and so many have answered, may send second
-// tries now; again says that the late ones have been so for another delay.
+// Allow reports whether a query may send hedges now, given the numbers of its late, answered and all shards. again
+// reports whether the late ones have stayed late for another delay.
 //
-// Many late at once are first taken for a sign of load. Where they stay late while half of the query has answered, it
-// isn't the load, nor a long query: replicas have gone silent together, as with a switch.
+// Many late shards at once are first taken as a sign of load. If they stay late while at least half of the shards have
+// answered, neither load nor an expensive query is the cause: several replicas have become unreachable together, as with
+// a failed switch.
 func (p *Policy) Allow(late, answered, shards int, again bool) bool {
 	if p.full.Load() {
 		return false
@@ -104,6 +103,7 @@
 	return late <= max(fewLate, int(lateFactor*expected))
 }
 
+// turn starts a new half of the window if the current one is full.
 func (p *Policy) turn(now time.Time) {
 	switch age := now.Sub(p.turned); {
 	case age < span:
@@ -117,6 +117,7 @@
 	p.turned = now
 }
 
+// count updates the quantiles and the saturation, at most once per refresh interval.
 func (p *Policy) count(now time.Time) {
 	if now.Sub(p.counted) < refresh {
 		return
@@ -132,6 +133,7 @@
 	p.delay.Store(int64(max(shortest, p.at(math.Float64frombits(p.quantile.Load()), n))))
 }
 
+// at returns a quantile of the n samples of both halves.
 func (p *Policy) at(quantile float64, n uint32) time.Duration {
 	left := int64(math.Ceil(quantile * float64(n)))
 	for i := range p.cur.buckets {
@@ -143,16 +145,17 @@
 	return upper(len(p.cur.buckets) - 1)
 }
 
-// The buckets are those of an HDR histogram: microseconds with four significant bits, so a quantile is right within a
-// sixteenth.
+// The buckets are those of an HDR histogram: microseconds with four significant bits, so that a quantile is accurate to
+// one sixteenth.
 const (
 	subBits = 4
 	subs    = 1 << subBits
-	// most is the longest time told apart, about an hour.
+	// most is the longest recorded time, about an hour; longer ones are recorded as this.
 	most    = 1<<32 - 1
 	buckets = (32 - subBits + 1) * subs
 )
 
+// window holds the samples of one half of the window.
 type window struct {
 	buckets [buckets]uint32
 	n       uint32
@@ -164,6 +167,7 @@
 	w.n++
 }
 
+// index returns the bucket of a time.
 func index(took time.Duration) int {
 	us := uint64(min(max(took.Microseconds(), 0), most))
 	if us < subs {
@@ -173,7 +177,7 @@
 	return (shift+1)*subs + int(us>>shift) - subs
 }
 
-// upper returns the upper end of a bucket.
+// upper returns the upper bound of a bucket.
 func upper(i int) time.Duration {
 	if i < subs {
 		return time.Duration(i+1) * time.Microsecond
--- a/entry/internal/hedge/hedge_test.go
+++ b/entry/internal/hedge/hedge_test.go
@@ -14,6 +14,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// Guards against a delay that is below the quantile of the samples, or more than one sixteenth above it.
 func TestDelayIsTheQuantileWithinASixteenth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		samples := rapid.SliceOfN(rapid.IntRange(1, 5_000_000), 60, 300).Draw(t, "microseconds")
@@ -35,9 +36,8 @@
 	})
 }
 
-// Every replica is full and sheds. A second try for each late shard would be refused too and cost the
-// slots of queries that could have been answered; the members waiting at the counter see more refusals,
-// not fewer. So none is sent until the refusals have stopped for a window.
+// Guards against hedges while all replicas are saturated and shed load. They would be refused too, or take the slots of
+// queries that could be answered, so none is sent until no refusal is left in the window.
 func TestNoSecondTriesIntoAFullUpstream(t *testing.T) {
 	p := hedge.New()
 	now := start
@@ -58,8 +58,8 @@
 	qt.Assert(t, p.Allow(1, 9, 10, false), qt.IsTrue)
 }
 
-// A collection of long queries, or a zone that answers slowly as a whole, makes most shards of a page late
-// at once. No other replica would be quicker; second tries would only add load.
+// Guards against hedges that only add load: where expensive queries or a slow zone make most shards of a query late at
+// once, no other replica would be faster.
 func TestNoSecondTriesWhereManyShardsAreLate(t *testing.T) {
 	for _, test := range []struct {
 		late, answered, shards int
@@ -67,9 +67,9 @@
 	}{
 		{1, 9, 10, false, true}, {2, 8, 10, false, true}, {3, 7, 10, false, false},
 		{4, 65, 69, false, true}, {20, 49, 69, false, false}, {1, 0, 1, false, true},
-		// A zone is silent: the other two thirds have answered, and the third is still late.
+		// A zone is unreachable: two thirds of the shards have answered, the others are still late.
 		{20, 49, 69, true, true},
-		// A long query is late everywhere, however long one waits.
+		// An expensive query stays late at all shards.
 		{10, 0, 10, true, false},
 	} {
 		qt.Assert(t, hedge.New().Allow(test.late, test.answered, test.shards, test.again), qt.Equals, test.want, qt.Commentf("%+v", test))
