--- a/entry/internal/idle/closer.go
+++ b/entry/internal/idle/closer.go
@@ -12,29 +12,29 @@
 // Options configures a Closer.
 type Options struct {
 	Clock clock.Clock
-	// Limit returns how long a connection may be unused; it is asked each time one becomes unused.
+	// Limit returns the idle time-out. It is called each time a connection becomes idle.
 	Limit func() time.Duration
 }
 
-// Closer watches the connections of a server.
+// Closer closes the idle connections of a server after a time-out.
 //
-// The limit belongs to the configuration, which changes while the server runs; the server's own is read at any time and
-// can't be changed then. A connection that is closed sooner than clients are told loses the request that one sends just
-// then.
+// The time-out is part of the configuration, which changes while the server runs. http.Server.IdleTimeout can't be
+// changed then without a race, since the server may read it at any time. A connection that is closed before the
+// time-out that clients rely on loses a request sent at that moment.
 type Closer struct {
 	opts Options
 
 	mu sync.Mutex
-	// stops holds, for each unused connection, the function that keeps it open.
+	// stops holds, for each idle connection, the function that stops its timer.
 	stops map[net.Conn]func() bool
 }
 
-// New returns a closer that watches nothing yet.
+// New returns a closer without connections.
 func New(opts Options) *Closer {
 	return &Closer{opts: opts, stops: map[net.Conn]func() bool{}}
 }
 
-// State takes in that a connection changed its state, as http.Server.ConnState tells it.
+// State records the new state of a connection; it is used as http.Server.ConnState.
 func (c *Closer) State(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/internal/idle/closer_test.go
+++ b/entry/internal/idle/closer_test.go
@@ -13,8 +13,8 @@
 	"guavaspring.org/entry/internal/idle"
 )
 
-// A client comes back on its connection after four fifths of the time that operators allow, after they have raised it
-// to two minutes. The connection must still be there; one that is never used again must not stay.
+// Guards against closing a connection before the time-out, also after the time-out is raised to two minutes: a request
+// after four fifths of it must find the connection open. A connection that is not used again must be closed.
 func TestUnusedConnectionsEndWithTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := 15 * time.Second
--- a/entry/internal/idle/doc.go
+++ b/entry/internal/idle/doc.go
@@ -1,2 +1,2 @@
-// Package idle closes the connections of clients that have been unused for too long.
+// Package idle closes client connections that have been idle for too long.
 package idle
