--- a/entry/internal/queueing/delay.go
+++ b/entry/internal/queueing/delay.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// kept is how many of the newest replies count, and fresh for how long: a burst fills queues within a tenth of a
-	// second, and a host of a large fleet gets a few replies a second from each service.
+	// kept is the number of newest replies that count, fresh the longest age at which they count. A burst fills queues
+	// within 0.1 s, and a host of a large fleet gets only a few replies per second from each service.
 	kept  = 12
 	fresh = time.Second
-	// least is how many replies make a sign; one or two may just be long work.
+	// least is the smallest number of replies that count as evidence; one or two may just have been expensive.
 	least = 3
-	// part is the quantile of the replies' waits that counts. One replica in twenty-five pauses, and in a disruption
-	// half of them are slow; what three in ten replies stay below says what the replicas that are well have queued.
+	// part is the quantile of the waits that is used. One replica in twenty-five pauses, and in a disruption half of
+	// them are slow; the 0.3 quantile is the wait at the healthy replicas.
 	part = 0.3
 )
 
-// Delay is how long requests queue at the replicas of one service, seen from the replies; the zero value has seen none.
+// Delay estimates from reply times how long requests queue at the replicas of one service. The zero value is ready to
+// use.
 //
-// It answers a load that no host sees: 84 hosts that send three requests a second each fill the queues of replicas at
-// which none of them ever has more than one. Replies are what all hosts have in common, so that each refuses its part
-// without hearing of the others.
+// Overload may not show in the requests of a single host: 84 hosts that send three requests per second each fill the
+// queues of replicas at which none of them ever has more than one request in flight. Reply times show it to all hosts,
+// so that each refuses its share without coordination.
 type Delay struct {
 	mu    sync.Mutex
 	waits [kept]time.Duration
@@ -30,7 +31,7 @@
 	next  int
 }
 
-// Observe takes over how long a reply took, where unloaded is how long it takes while nothing queues, zero for unknown.
+// Observe records a reply that took a time, where unloaded is the reply time without queueing, zero if unknown.
 func (d *Delay) Observe(now time.Time, took, unloaded time.Duration) {
 	if unloaded <= 0 {
 		return
@@ -41,7 +42,7 @@
 	d.next = (d.next + 1) % kept
 }
 
-// At returns the delay as of now.
+// At returns the queueing delay at the time now, zero while there are too few replies.
 func (d *Delay) At(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,7 +57,7 @@
 	return Quantile(waits[:n])
 }
 
-// Newest returns the wait of the newest reply, and whether it is fresh.
+// Newest returns the wait of the newest reply, and whether that reply is recent enough to count.
 func (d *Delay) Newest(now time.Time) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +65,7 @@
 	return d.waits[last], !d.at[last].IsZero() && now.Sub(d.at[last]) < fresh
 }
 
-// Quantile returns the wait that counts of a number of waits, which it sorts.
+// Quantile returns the 0.3 quantile of waits, zero if there are fewer than three. It sorts waits.
 func Quantile(waits []time.Duration) time.Duration {
 	if len(waits) < least {
 		return 0
--- a/entry/internal/queueing/delay_test.go
+++ b/entry/internal/queueing/delay_test.go
@@ -9,8 +9,8 @@
 	"guavaspring.org/entry/internal/queueing"
 )
 
-// Replies of ten milliseconds of work come back from replicas in several states. Only a queue that the well ones have,
-// too, counts: what is refused for a pause or for a slow replica could have been served beside it.
+// Guards against taking pauses or slow replicas for queues: requests refused for them could have been served by the
+// others. Replies take 10 ms of work; only a wait that the healthy replicas have too counts as queueing.
 func TestDelay(t *testing.T) {
 	const work = 10 * time.Millisecond
 	tests := []struct {
--- a/entry/internal/queueing/doc.go
+++ b/entry/internal/queueing/doc.go
@@ -1,2 +1,2 @@
-// Package queueing measures how long requests queue at the replicas of a service.
+// Package queueing estimates how long requests queue at the replicas of a service.
 package queueing
