--- a/entry/internal/unloaded/doc.go
+++ b/entry/internal/unloaded/doc.go
@@ -1,2 +1,2 @@
-// Package unloaded keeps how long replies take while nothing queues at the replicas.
+// Package unloaded estimates reply times without queueing at the replicas.
 package unloaded
--- a/entry/internal/unloaded/time.go
+++ b/entry/internal/unloaded/time.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// creep is how fast the time may rise, as a share of it a second: work that has become longer for good is known as
-	// such after a minute or two, and a burst of twenty seconds, whose queues look the same, raises it by a fifth at
-	// the most.
+	// creep is the largest rate at which the estimate rises, as a share of it per second. Work that has become slower for
+	// good is reflected within a minute or two; a burst of 20 s, whose queues look the same, raises the estimate by at
+	// most a fifth.
 	creep = 0.01
-	// creepRefused is how fast it may rise while nearly all requests are refused for it. A queue is gone within a
-	// fraction of a second then; what still takes long is slow, and refusing more brings nothing.
+	// creepRefused is that rate while nearly all requests are refused because of slow replies. Queues drain within a
+	// fraction of a second then, so replies that still take long come from slow replicas, and refusing more does not
+	// help.
 	creepRefused = 0.5
-	// refusedFor is how long after such a refusal the time rises faster.
+	// refusedFor is the time after such a refusal in which the higher rate applies.
 	refusedFor = time.Second
 )
 
-// Time is how long a reply takes while nothing queues; the zero value knows nothing yet.
+// Time estimates the reply time without queueing. The zero value is ready to use.
 //
-// It is the least median seen, which may rise slowly. The replicas don't say how long a request waited there, and no
-// host sees what the others have sent; but the longest calm that was seen tells what of a reply's time is work.
+// The estimate is the lowest median observed, which rises slowly. Replicas don't report how long a request waited there,
+// and no host sees the requests of the others, but the median in the calmest period is the time of the work alone.
 type Time struct {
 	mu      sync.Mutex
 	value   time.Duration
@@ -29,14 +30,14 @@
 	refused time.Time
 }
 
-// Get returns the time, zero where nothing is known.
+// Get returns the estimate, zero before the first observation.
 func (t *Time) Get() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.value
 }
 
-// Note takes over the median of the newest replies.
+// Note records the median of the newest reply times.
 func (t *Time) Note(now time.Time, median time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,7 +54,7 @@
 	t.value = time.Duration(risen)
 }
 
-// Refused says that nearly all requests are refused since replies take longer than this.
+// Refused records that nearly all requests are being refused because replies take longer than the estimate.
 func (t *Time) Refused(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/internal/unloaded/time_test.go
+++ b/entry/internal/unloaded/time_test.go
@@ -11,7 +11,7 @@
 
 const calm = 10 * time.Millisecond
 
-// noted returns the time after calm replies and then replies of another median, ten a second.
+// noted returns the estimate after a calm median and then, for span, ten observations per second of another median.
 func noted(t *unloaded.Time, median, span time.Duration, refused bool) time.Duration {
 	now := time.Unix(1000, 0)
 	t.Note(now, calm)
@@ -25,16 +25,16 @@
 	return t.Get()
 }
 
-// A burst of twenty seconds lets requests queue, and replies take three times as long. What work takes must not be
-// forgotten over it: the queue would count as work, and ever more would be let in.
+// Guards against taking queueing for work: during a burst of 20 s, in which replies take three times as long, the
+// estimate must rise little, or more and more requests would be admitted.
 func TestBurstIsNotTakenForWork(t *testing.T) {
 	got := noted(&unloaded.Time{}, 3*calm, 20*time.Second, false)
 	qt.Assert(t, got < calm*5/4, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// All replicas turn four times slower for good, with little to do. Taken for a queue, that would have all requests
-// refused for as long as it lasts; while they are, it has to be found out within seconds, and the calm after it at
-// once.
+// Guards against taking slow replicas for queueing, which would refuse all requests for good. All replicas become four
+// times slower under low load: while requests are refused, the estimate must reach the new time within seconds, and it
+// must fall at once after they recover.
 func TestSlownessIsFoundOut(t *testing.T) {
 	var u unloaded.Time
 	got := noted(&u, 4*calm, 3*time.Second, true)
