--- a/entry/internal/latency/doc.go
+++ b/entry/internal/latency/doc.go
@@ -1,2 +1,2 @@
-// Package latency keeps what is known of how long the replies of one route take.
+// Package latency keeps recent reply times of one route and their quantiles.
 package latency
--- a/entry/internal/latency/latency.go
+++ b/entry/internal/latency/latency.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// kept is how many of the newest samples count: at 18 queries a second over ten shards they are little more than a
-	// second old.
+	// kept is the number of newest samples that are kept. At 18 queries per second over ten shards they cover little
+	// more than a second.
 	kept = 256
-	// sortEvery is how many samples come between two looks at the quantiles, which cost a sort.
+	// sortEvery is the number of samples between updates of the quantiles, each of which sorts the samples.
 	sortEvery = 32
 )
 
-// Recent holds the newest samples and their quantiles.
+// Recent holds the newest reply times and computes their quantiles. The zero value is ready to use.
 type Recent struct {
 	mu      sync.Mutex
 	samples [kept]time.Duration
@@ -38,7 +38,7 @@
 	}
 }
 
-// Quantile returns the q-quantile, 0 to 1, or fallback while nothing was observed.
+// Quantile returns the q-quantile of the samples, with q from 0 to 1, or fallback while there are none.
 func (r *Recent) Quantile(q float64, fallback time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,7 +48,7 @@
 	return r.sorted[min(len(r.sorted)-1, int(q*float64(len(r.sorted))))]
 }
 
-// Median returns the median, and whether there are samples enough to trust it.
+// Median returns the median of the samples, and false while there are too few of them.
 func (r *Recent) Median() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
