--- a/entry/internal/learned/doc.go
+++ b/entry/internal/learned/doc.go
@@ -1,2 +1,2 @@
-// Package learned holds what a host has learned from the requests of one route.
+// Package learned holds the time statistics that a host collects per route.
 package learned
--- a/entry/internal/learned/route.go
+++ b/entry/internal/learned/route.go
@@ -8,18 +8,18 @@
 	"guavaspring.org/entry/internal/unloaded"
 )
 
-// Route is what was learned of one route; the zero value knows nothing yet.
+// Route holds the statistics of one route. The zero value is ready to use.
 type Route struct {
-	// Recent holds how long replies took lately, Unloaded how long they take while nothing queues.
+	// Recent holds the newest reply times, Unloaded the estimated reply time without queueing.
 	Recent   latency.Recent
 	Unloaded unloaded.Time
-	// Patience holds how long clients say that they wait.
+	// Patience tracks the remaining time that clients state.
 	Patience patience.Usual
-	// Arriving is how long the clients of all requests wait, those included that are refused before they are sent.
+	// Arriving tracks it for all requests, including those that are refused before any try is sent.
 	Arriving patience.Usual
 }
 
-// Replied takes over how long a reply took.
+// Replied records the time that a reply took.
 func (r *Route) Replied(now time.Time, took time.Duration) {
 	r.Recent.Observe(took)
 	if median, ok := r.Recent.Median(); ok {
