--- a/entry/internal/traffic/doc.go
+++ b/entry/internal/traffic/doc.go
@@ -1,3 +1,3 @@
-// Package traffic counts what a host sends and receives, by what it is for and by whether it leaves the host's
+// Package traffic counts the bytes that a host sends and receives, by cause and by whether they cross the border of its
 // availability zone.
 package traffic
--- a/entry/internal/traffic/meter.go
+++ b/entry/internal/traffic/meter.go
@@ -7,44 +7,45 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Cause says what bytes are for.
+// Cause is the purpose of a connection.
 type Cause string
 
-// The causes of traffic. What hosts tell each other is counted by the host that opened the connection, in both
-// directions.
+// The causes of traffic. Traffic between hosts is counted by the host that opened the connection, in both directions.
 const (
 	// Replicas is for requests to replicas and their replies.
 	Replicas Cause = "replicas"
-	// Members is for probes between hosts, and for the news and repairs that travel beside them.
+	// Members is for probes between hosts, and for the gossip and anti-entropy messages of the same protocol.
 	Members Cause = "members"
-	// Relay is for configurations and replicas that hosts hear from each other.
+	// Relay is for configurations and replica lists that hosts receive from each other.
 	Relay Cause = "relay"
-	// Subqueries is for parts of queries that other hosts gather.
+	// Subqueries is for parts of queries that other hosts run.
 	Subqueries Cause = "subqueries"
-	// Store is for calls to the platform's store.
+	// Store is for calls to the platform's object store.
 	Store Cause = "store"
 )
 
 var causes = [...]Cause{Replicas, Members, Relay, Subqueries, Store}
 
-// Bytes is what was sent and received, without TCP and IP headers.
+// Bytes is the number of bytes sent and received, without TCP and IP headers.
 type Bytes struct{ Sent, Received int64 }
 
-// Meter counts the bytes of connections; the zero value is ready.
+// Meter counts the bytes of connections. The zero value is ready to use.
 type Meter struct {
 	counts [2][len(causes)]count
 }
 
+// count holds the totals of one cause on one side of the zone's border.
 type count struct{ sent, received, opened atomic.Int64 }
 
-// Conn returns c, whose bytes are counted from now on; crosses says that its other end is in another availability zone.
+// Conn returns a connection that counts the bytes of c. crosses reports whether the remote end is in another
+// availability zone.
 func (m *Meter) Conn(c net.Conn, cause Cause, crosses bool) net.Conn {
 	n := m.count(cause, crosses)
 	n.opened.Add(1)
 	return &conn{Conn: c, count: n}
 }
 
-// Read returns the bytes of a cause, inside the host's availability zone or across its border.
+// Read returns the bytes of a cause, within the host's availability zone or, with crosses, to and from other zones.
 func (m *Meter) Read(cause Cause, crosses bool) Bytes {
 	n := m.count(cause, crosses)
 	return Bytes{Sent: n.sent.Load(), Received: n.received.Load()}
@@ -63,7 +64,7 @@
 	panic("traffic: unknown cause " + string(cause))
 }
 
-// Collectors returns the metrics.
+// Collectors returns the metrics of all causes, for both sides of the zone's border.
 func (m *Meter) Collectors() []prometheus.Collector {
 	var list []prometheus.Collector
 	for _, cause := range causes {
@@ -79,7 +80,7 @@
 	return list
 }
 
-// place is the label that tells the two sides of a zone's border apart.
+// place returns the label value for traffic within the own zone or to and from other zones.
 func place(crosses bool) string {
 	if crosses {
 		return "other_zone"
@@ -91,8 +92,7 @@
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}, func() float64 { return float64(n.Load()) })
 }
 
-// Fields returns what crossed the border of the zone and what stayed inside, by cause, as key-value pairs for a log
-// line, in bytes both ways.
+// Fields returns the bytes of both directions, by cause and side of the zone's border, as key-value pairs for a log line.
 func (m *Meter) Fields() []any {
 	var kv []any
 	for _, cause := range causes {
@@ -104,20 +104,20 @@
 	return kv
 }
 
-// conn is a connection whose bytes are counted.
+// conn is a connection that counts its bytes.
 type conn struct {
 	net.Conn
 	count *count
 }
 
-// Read counts what arrives.
+// Read counts the bytes received.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.count.received.Add(int64(n))
 	return n, err
 }
 
-// Write counts what is sent.
+// Write counts the bytes sent.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.count.sent.Add(int64(n))
--- a/entry/internal/traffic/meter_test.go
+++ b/entry/internal/traffic/meter_test.go
@@ -12,8 +12,8 @@
 	"guavaspring.org/entry/internal/traffic"
 )
 
-// An operator is billed for bytes between zones and wants to know what they are for. Each byte must be found under its
-// cause, on the right side of the zone's border, once.
+// Guards against bytes that are counted twice, not at all, under the wrong cause or on the wrong side of the zone's
+// border: traffic between zones is billed, and the metrics are to show its causes.
 func TestBytesAreFoundUnderTheirCause(t *testing.T) {
 	var m traffic.Meter
 	near, far := net.Pipe()
