--- a/entry/internal/warmup/doc.go
+++ b/entry/internal/warmup/doc.go
@@ -1,2 +1,2 @@
-// Package warmup decides when a host that has just started opens its port for callers.
+// Package warmup delays the opening of the callers' port of a starting host until it can answer queries.
 package warmup
--- a/entry/internal/warmup/warmup.go
+++ b/entry/internal/warmup/warmup.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// Limit is the longest wait: a host whose services have no replica at all must still answer operators and say so.
+	// Limit is the longest wait. A host whose services have no replicas at all must still start, to report that to
+	// operators.
 	Limit = 5 * time.Second
-	// every is how often the host looks; replicas answer within milliseconds of being listed.
+	// every is the polling interval; replicas answer within milliseconds of being listed.
 	every = 20 * time.Millisecond
 )
 
-// Reason says how a wait ended.
+// Reason is the reason why a wait ended.
 type Reason string
 
-// The ways in which a wait ends: the host can serve, it has waited for Limit, or it was told to stop.
+// The reasons why a wait ends: the host can serve, Limit has passed, or the context has ended.
 const (
 	Reached Reason = "reached"
 	Expired Reason = "expired"
@@ -26,17 +27,16 @@
 
 // Options configures a Warmup.
 type Options struct {
-	// Clock tells the time.
 	Clock clock.Clock
-	// Known reports whether the host could answer a query of every service that it knows of.
+	// Known reports whether the host can answer queries of every configured service.
 	Known func() bool
 }
 
 // Warmup keeps the port for callers closed until the host can serve.
 //
-// It answers the load that comes with a replaced host: callers keep its address and connect as soon as its port
-// is open. A host that knows no index version yet can only refuse what another host would have answered at once;
-// a closed port sends those callers on within one connection attempt.
+// Callers keep the address of a host that is replaced and connect as soon as its port is open. A host without any index
+// version yet can only refuse requests that another host would answer at once. If the port is closed, callers move on to
+// another host within one connection attempt.
 type Warmup struct{ opts Options }
 
 // New returns a warm-up; both options must be set.
@@ -57,17 +57,17 @@
 	return Reached
 }
 
-// Service is what a host that starts knows of one service.
+// Service is the state of one service on a starting host.
 type Service struct {
-	// Listed is how many replicas the platform's list names, Versions how many index versions they hold.
+	// Listed is the number of replicas in the platform's list, Versions the number of index versions that they hold.
 	Listed, Versions int
 }
 
-// Ready reports whether a host can answer as well as another: it has the list of replicas, and knows a version of each
-// service that has any.
+// Ready reports whether a host can serve: it has read the list of replicas, and knows an index version of each service
+// that has any replicas.
 //
-// A service whose document came before its replicas must not count, or each start of any host would last for Limit
-// until somebody starts them.
+// Services without replicas don't count: a service may be configured before its replicas start, and until then each
+// start of a host would take Limit.
 func Ready(listRead bool, services []Service) bool {
 	if !listRead || len(services) == 0 {
 		return false
--- a/entry/internal/warmup/warmup_test.go
+++ b/entry/internal/warmup/warmup_test.go
@@ -12,10 +12,10 @@
 	"guavaspring.org/entry/internal/warmup"
 )
 
-// A host is replaced while callers keep its address. It learns the configuration from a peer after 300 ms and
-// what the replicas hold after another 400 ms. If its port were open before that, a greeter's lookup would be
-// refused here though the other hosts could answer it. A host that never learns anything must open all the same,
-// or its operator could not even ask it why; and one that is told to stop must not wait at all.
+// Guards against a port that opens too early or never. A restarted host has the configuration after 300 ms and the
+// holdings of the replicas after another 400 ms; a request before that would be refused here although other hosts could
+// answer it. A host that never becomes ready must open its port after Limit, so that operators can query its state, and
+// one that is stopped must not wait any longer.
 func TestPortOpensOnceTheHostCanServe(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -27,7 +27,7 @@
 		{"known at once", 0, time.Hour, 0, warmup.Reached},
 		{"known later", 700 * time.Millisecond, time.Hour, 700 * time.Millisecond, warmup.Reached},
 		{"never known", time.Hour, time.Hour, warmup.Limit, warmup.Expired},
-		{"told to stop", time.Hour, time.Second, time.Second, warmup.Stopped},
+		{"stopped while waiting", time.Hour, time.Second, time.Second, warmup.Stopped},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// A team proposes the document of a service whose servers come next week. Hosts are replaced meanwhile, and each
-// keeps its port closed for the whole limit though it could serve all other services.
+// Guards against hosts that wait for the whole Limit at each start because one service is configured but has no replicas
+// yet, although they could serve all others.
 func TestReady(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -51,11 +51,11 @@
 		services []warmup.Service
 		want     bool
 	}{
-		{"nothing is configured", true, nil, false},
-		{"the list was not read", false, []warmup.Service{{Listed: 0, Versions: 0}}, false},
-		{"replicas that were not asked yet", true, []warmup.Service{{Listed: 3, Versions: 1}, {Listed: 3, Versions: 0}}, false},
-		{"a service without replicas", true, []warmup.Service{{Listed: 3, Versions: 1}, {Listed: 0, Versions: 0}}, true},
-		{"all known", true, []warmup.Service{{Listed: 3, Versions: 2}}, true},
+		{"no service is configured", true, nil, false},
+		{"the list of replicas has not been read", false, []warmup.Service{{Listed: 0, Versions: 0}}, false},
+		{"the replicas of one service have not answered yet", true, []warmup.Service{{Listed: 3, Versions: 1}, {Listed: 3, Versions: 0}}, false},
+		{"one service has no replicas", true, []warmup.Service{{Listed: 3, Versions: 1}, {Listed: 0, Versions: 0}}, true},
+		{"a version of every service is known", true, []warmup.Service{{Listed: 3, Versions: 2}}, true},
 	} {
 		qt.Check(t, warmup.Ready(test.listRead, test.services), qt.Equals, test.want, qt.Commentf("%s", test.name))
 	}
