--- a/entry/internal/coldshare/doc.go
+++ b/entry/internal/coldshare/doc.go
@@ -1,2 +1,2 @@
-// Package coldshare decides how many requests a second a host may send to a replica that is cold.
+// Package coldshare divides the request rate that a cold replica can take among the hosts.
 package coldshare
--- a/entry/internal/coldshare/shares.go
+++ b/entry/internal/coldshare/shares.go
@@ -9,8 +9,9 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// rememberFor is how long hosts count that this one knew and does not know any more. A host that was cut off sees the
-// others vanish within seconds, while they go on; hosts that are gone for good are replaced within a minute.
+// rememberFor is the time for which hosts that have disappeared from the list still count. A host that is partitioned
+// from the others sees them disappear within seconds, while they keep running; hosts that are gone for good are replaced
+// within a minute.
 const rememberFor = time.Minute
 
 // Options configures Shares.
@@ -18,41 +19,42 @@
 	Clock clock.Clock
 	// Self returns the host's own id.
 	Self func() string
-	// Hosts returns all hosts that are known, and those of them that clients are sent to; it returns the same slices
-	// until one of them changes.
+	// Hosts returns all known hosts, and those of them that serve clients. It returns the same slices until one of them
+	// changes.
 	Hosts func() (all, serving []member.Host)
-	// Settled reports whether this host has had the time to meet the others.
+	// Settled reports whether this host has had enough time since its start to discover the others.
 	Settled func() bool
 }
 
-// Shares divides among the hosts what a cold replica bears.
+// Shares divides the request rate that a cold replica can take among the hosts.
 //
-// It answers replicas that come back: a zone that was evacuated or lost power, a release. A cold replica crashes when
-// it gets more than so many requests a second, and no host sees what the others send there within that second. So each
-// has a whole number of its own, worked out from the list of hosts, and the numbers add up to what the replica bears:
-// where there are more hosts than that, the hosts that rank first for the replica send it one each, and the others
-// none. What the bound allows beyond that is for hosts whose lists differ while others come and go.
+// Replicas are cold after a release, or when their zone returns from an evacuation or a power failure. A cold replica
+// crashes when it gets more than a certain number of requests per second, and no host sees the requests that the others
+// send within that second. So each host derives a whole number of requests from the list of hosts, and the numbers add
+// up to the rate that the replica can take. Where there are more hosts than requests, the hosts that rank first for the
+// replica send one each and the others none. The margin of the limit above that rate is for hosts whose lists differ
+// while others join and leave.
 //
-// A host that was cut off from the others takes them for dead, and would take what is theirs though they go on. So only
-// one that sees more than half of the hosts that it knew a minute ago has a share; so does none that has just started
-// and knows only itself.
+// A partitioned host considers the others dead and would take their shares although they keep running. So only a host
+// that sees more than half of the hosts it knew a minute ago has a share. Neither has a host that has just started and
+// knows only itself.
 type Shares struct {
 	opts Options
 
 	mu sync.Mutex
-	// shares holds what was worked out for one list of hosts, by replica, and known the first host of that list.
+	// shares caches the share of this host for one list of hosts, by replica; known is the first host of that list.
 	shares map[string]int
 	known  *member.Host
-	// most is the largest number of hosts that was known lately, as of at.
+	// most is the largest number of hosts known recently, at the time at which it was recorded.
 	most int
 	at   time.Time
 }
 
-// New returns the shares of one host.
+// New returns the Shares of one host.
 func New(opts Options) *Shares { return &Shares{opts: opts, shares: map[string]int{}} }
 
-// Of returns how many requests this host may send in any second to a cold replica that bears a number of them from all
-// hosts together.
+// Of returns the number of requests that this host may send in any second to a cold replica that can take perSecond
+// requests from all hosts together.
 func (s *Shares) Of(replica string, perSecond float64) int {
 	all, serving := s.opts.Hosts()
 	s.mu.Lock()
@@ -72,7 +74,7 @@
 	return share
 }
 
-// majority reports whether a number of hosts is more than half of those that were known lately.
+// majority reports whether a number of hosts is more than half of the hosts known recently.
 func (s *Shares) majority(hosts int) bool {
 	now := s.opts.Clock.Now()
 	if hosts >= s.most || now.Sub(s.at) > rememberFor {
@@ -81,7 +83,8 @@
 	return 2*hosts > s.most
 }
 
-// shareOf divides a number among the serving hosts; what is left over goes to those that rank first for the replica.
+// shareOf returns the part of a number for the host self when it is divided among the serving hosts. The remainder goes
+// to the hosts that rank first for the replica.
 func shareOf(replica string, serving []member.Host, self string, number int) int {
 	is := func(h member.Host) bool { return h.ID == self }
 	if !slices.ContainsFunc(serving, is) {
--- a/entry/internal/coldshare/shares_test.go
+++ b/entry/internal/coldshare/shares_test.go
@@ -22,7 +22,7 @@
 	return list
 }
 
-// of returns the shares of a host that knows some others, all of which serve.
+// of returns the Shares of a host whose list of hosts is known, all of which serve.
 func of(self string, known []member.Host) *coldshare.Shares {
 	return coldshare.New(coldshare.Options{
 		Clock: clock.System{}, Self: func() string { return self },
@@ -31,11 +31,12 @@
 	})
 }
 
-// asked is how many hosts of a large fleet are asked; ranking all of them for each takes seconds.
+// asked is the number of hosts of a large fleet whose shares are computed: each ranks all hosts, which takes seconds for
+// all of them.
 const asked = 80
 
-// A zone comes back cold, and all hosts send there. Whatever their number, the replica must get what it bears and no
-// more, and what hosts are allowed must be a whole number: none can send a part of a request.
+// Guards against overloading a cold replica, or leaving its capacity unused, when all hosts send to it. Shares are whole
+// numbers, since a host can't send a part of a request, and must add up to the rate for any number of hosts.
 func TestSharesAddUp(t *testing.T) {
 	for _, n := range []int{1, 6, 73, 295, 5600} {
 		for _, bears := range []float64{0.4, 1, 10, 10.9, 300} {
@@ -53,8 +54,8 @@
 	}
 }
 
-// Hosts come and go while a zone comes back, and each host has another list: it lacks up to a sixth of the others.
-// Together they must stay within half as much again and five requests more than the replica bears.
+// Guards against overloading a cold replica while hosts join and leave, so that their lists differ: each host lacks each
+// other one with a chance of one in six. The sum of the shares must stay within 1.5 times the rate plus five requests.
 func TestSharesOfListsThatDiffer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, n := range []int{6, 12, 73, 295} {
@@ -78,8 +79,8 @@
 	}
 }
 
-// A part of the hosts is cut off from the others, who are all alive and go on. Whoever sees half of them or less must
-// send a cold replica nothing, and may again once those have been gone for so long that they are not coming back.
+// Guards against a partitioned host taking the shares of the others, which keep running. A host that sees half of the
+// hosts or fewer must have no share until the others have been gone for a minute.
 func TestHostCutOffHasNoShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known := hosts(6)
@@ -101,8 +102,8 @@
 	})
 }
 
-// All hosts start at once beside replicas that are cold. Each knows only itself at first, and must not send what is
-// meant for all.
+// Guards against overloading cold replicas when all hosts start at once: each knows only itself at first, and must not
+// take the whole rate.
 func TestHostThatHasJustStartedHasNoShare(t *testing.T) {
 	settled := false
 	known := hosts(1)
