--- a/entry/internal/choice/choice.go
+++ b/entry/internal/choice/choice.go
@@ -10,12 +10,13 @@
 	// unknownLatency is the assumed latency of a replica that has not answered yet. It is low enough that the replica
 	// is tried and high enough that it is not flooded.
 	unknownLatency = 5 * time.Millisecond
-	// distinct sets the smallest cost difference that counts: 1/distinct of the higher cost. That is more than the
-	// smoothed means of equal replicas differ by chance, and less than the effect of one more try in flight. The
-	// availability zone decides only below it, since the measured latency already includes the delay between zones.
-	distinct = 4
-	// window is the number of replicas considered. For a shard with more, they are taken from a random start.
-	window = 8
+	// costMarginDivisor sets the smallest cost difference that counts: 1/costMarginDivisor of the higher cost. That is
+	// more than the smoothed means of equal replicas differ by chance, and less than the effect of one more try in
+	// flight. The availability zone decides only below it, since the measured latency already includes the delay between
+	// zones.
+	costMarginDivisor = 4
+	// maxCandidates is the number of replicas considered. For a shard with more, they are taken from a random start.
+	maxCandidates = 8
 )
 
 // Verdict is the outcome of a selection.
@@ -31,16 +32,16 @@
 	None Verdict = "none"
 )
 
-// Pick returns the cheaper of two random holders of a shard that are not in tried.
+// Pick returns the cheaper of two random replicas of a shard that are not in tried.
 //
 // It balances uneven load and replicas of unequal speed. Selecting the cheapest of all replicas would send the queries
 // of every host to the same replica at once; two random candidates avoid this herd effect. The cost of a replica is
 // its mean latency or the age of its tries in flight, whichever is larger, times the number of tries in flight
 // including the new one. Only measurements of this host count: the load that a replica reports lags or misleads.
 // Ejected replicas are selected only if no other replica holds the shard, replicas at their limit never.
-func Pick(intN func(n int) int, now time.Time, holders, tried []*replica.Replica) (*replica.Replica, Verdict) {
-	var list [window]*replica.Replica
-	n, busy := candidates(intN, now, holders, tried, &list)
+func Pick(intN func(n int) int, now time.Time, replicas, tried []*replica.Replica) (*replica.Replica, Verdict) {
+	var list [maxCandidates]*replica.Replica
+	n, busy := candidates(intN, now, replicas, tried, &list)
 	switch n {
 	case 0:
 		if busy {
@@ -58,9 +59,9 @@
 	return better(list[i], list[j], now), Found
 }
 
-// Trial returns an ejected holder that is due for a single probing try, or nil.
-func Trial(now time.Time, holders []*replica.Replica) *replica.Replica {
-	for _, r := range holders {
+// Trial returns an ejected replica that is due for a single probing try, or nil.
+func Trial(now time.Time, replicas []*replica.Replica) *replica.Replica {
+	for _, r := range replicas {
 		if !r.Eject.In() && !r.Draining() && r.Running() == 0 && r.Eject.Trial(now) {
 			return r
 		}
@@ -68,25 +69,25 @@
 	return nil
 }
 
-// candidates fills list with the holders that may be selected and reports whether any was left out because of its
-// limit. Ejected holders are candidates only if there is no other, whether or not the others are at their limit.
-func candidates(intN func(n int) int, now time.Time, holders, tried []*replica.Replica, list *[window]*replica.Replica) (n int, busy bool) {
+// candidates fills list with the replicas that may be selected and reports whether any was left out because of its
+// limit. Ejected replicas are candidates only if there is no other, whether or not the others are at their limit.
+func candidates(intN func(n int) int, now time.Time, replicas, tried []*replica.Replica, list *[maxCandidates]*replica.Replica) (n int, busy bool) {
 	start := 0
-	if len(holders) > window {
-		start = intN(len(holders))
+	if len(replicas) > maxCandidates {
+		start = intN(len(replicas))
 	}
-	in := false
-	for k := range min(len(holders), window) {
-		r := holders[(start+k)%len(holders)]
+	anyHealthy := false
+	for k := range min(len(replicas), maxCandidates) {
+		r := replicas[(start+k)%len(replicas)]
 		if r.Draining() || contains(tried, r) {
 			continue
 		}
-		isIn := r.Eject.In()
-		if in && !isIn {
+		healthy := r.Eject.In()
+		if anyHealthy && !healthy {
 			continue
 		}
-		if isIn && !in {
-			in, n, busy = true, 0, false
+		if healthy && !anyHealthy {
+			anyHealthy, n, busy = true, 0, false
 		}
 		if !r.Limit.Free(now, r.Running()) {
 			busy = true
@@ -104,9 +105,9 @@
 func better(a, b *replica.Replica, now time.Time) *replica.Replica {
 	ca, cb := cost(a, now), cost(b, now)
 	switch {
-	case ca-ca/distinct > cb:
+	case ca-ca/costMarginDivisor > cb:
 		return b
-	case cb-cb/distinct > ca:
+	case cb-cb/costMarginDivisor > ca:
 		return a
 	case b.Near && !a.Near:
 		return b
--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -15,7 +15,7 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-func holders(shards int) [][]*replica.Replica {
+func newReplicas(shards int) [][]*replica.Replica {
 	table := replica.New(replica.Options{Zone: "osborne-hall"})
 	var list []platform.Replica
 	for i := range 3 * shards {
@@ -32,18 +32,18 @@
 	return table.View().Versions[0].Holders
 }
 
-func draw() func(n int) int { return rand.New(rand.NewPCG(1, 1)).IntN }
+func newIntN() func(n int) int { return rand.New(rand.NewPCG(1, 1)).IntN }
 
 // Guards against sending more tries to a replica that has stopped answering, for example since its machine swaps. It
 // returns no answer that would raise its mean latency, so the age of its tries in flight has to count.
 func TestStuckReplicaIsNoticedBeforeItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hs := holders(1)
+		hs := newReplicas(1)
 		for _, r := range hs[0] {
 			r.Begin(time.Now())
 			r.End(time.Now(), 5*time.Millisecond, true)
 		}
-		stuck, intN := hs[0][1], draw()
+		stuck, intN := hs[0][1], newIntN()
 		stuck.Begin(time.Now())
 		time.Sleep(50 * time.Millisecond)
 		hs[0][0].Begin(time.Now())
@@ -59,8 +59,8 @@
 // so the estimate has to decay with time.
 func TestRecoveredReplicaIsFoundAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hs := holders(1)
-		slow, intN := hs[0][2], draw()
+		hs := newReplicas(1)
+		slow, intN := hs[0][2], newIntN()
 		var found time.Duration
 		slow.Begin(time.Now())
 		slow.End(time.Now(), 100*time.Millisecond, true)
@@ -86,11 +86,11 @@
 		least, most int
 	}{{5 * time.Millisecond, 550, 750}, {8 * time.Millisecond, 0, 50}} {
 		synctest.Test(t, func(t *testing.T) {
-			hs := holders(1)
+			hs := newReplicas(1)
 			for i, r := range hs[0] {
 				r.SetLatency([]time.Duration{test.near, 5 * time.Millisecond, 5 * time.Millisecond}[i])
 			}
-			intN, near := draw(), 0
+			intN, near := newIntN(), 0
 			for range 1000 {
 				r, _ := choice.Pick(intN, time.Now(), hs[0], nil)
 				if r.Near {
@@ -102,31 +102,31 @@
 	}
 }
 
-// Guards against omitting a shard that could still be queried. If all of its replicas are ejected, they are used all the
-// same; if the only healthy one is at its limit, the outcome is Busy, so that the shard waits.
+// Guards against omitting a shard that could still be queried. If all of its replicas are ejected, they are used
+// nevertheless; if the only healthy one is at its limit, the outcome is Busy, so that the shard waits.
 func TestVerdicts(t *testing.T) {
-	hs := holders(1)
+	hs := newReplicas(1)
 	now := time.Now()
 	for _, r := range hs[0] {
 		r.Eject.Hold(now)
 	}
-	r, verdict := choice.Pick(draw(), now, hs[0], nil)
+	r, verdict := choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Found)
 	qt.Assert(t, r, qt.IsNotNil)
 	hs[0][0].Eject.Good()
-	r, _ = choice.Pick(draw(), now, hs[0], nil)
+	r, _ = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, r, qt.Equals, hs[0][0])
 	for range r.Limit.Most() {
 		r.Begin(now)
 	}
-	_, verdict = choice.Pick(draw(), now, hs[0], nil)
+	_, verdict = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Busy)
-	_, verdict = choice.Pick(draw(), now, hs[0], hs[0])
+	_, verdict = choice.Pick(newIntN(), now, hs[0], hs[0])
 	qt.Assert(t, verdict, qt.Equals, choice.None)
 }
 
 func BenchmarkPick(b *testing.B) {
-	hs := holders(1)
+	hs := newReplicas(1)
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -136,7 +136,7 @@
 
 // BenchmarkPickAll measures all selections of a query over 69 shards with 3 replicas each.
 func BenchmarkPickAll(b *testing.B) {
-	hs := holders(69)
+	hs := newReplicas(69)
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
