--- a/entry/internal/pick/pick.go
+++ b/entry/internal/pick/pick.go
@@ -9,22 +9,22 @@
 	// time of one more. A replica runs five requests at once and most hosts send to it, so one request of this host
 	// stands for several.
 	queueWeight = 0.35
-	// zoneDelay is the round-trip time to another availability zone.
-	zoneDelay = 2 * time.Millisecond
-	// nearTimes and nearPart bound the estimate up to which a replica in the own zone ranks first, whatever the
-	// estimates of the others. nearTimes is a multiple of the usual reply time: it excludes a replica that is slow or
-	// overdue, though not one after a single pause. nearPart is a share of the time in which the reply is of use: it
-	// leaves time for a second try. nearRunning is the number of requests of this host in flight that counts as a
-	// queue there.
-	nearTimes   = 2.5
-	nearPart    = 0.4
-	nearRunning = 3
+	// crossZoneRTT is the round-trip time to another availability zone.
+	crossZoneRTT = 2 * time.Millisecond
+	// nearMaxSlowdown and nearMaxTimeShare bound the estimate up to which a replica in the own zone ranks first,
+	// whatever the estimates of the others. nearMaxSlowdown is a multiple of the usual reply time: it excludes a replica
+	// that is slow or overdue, though not one after a single pause. nearMaxTimeShare is a share of the time in which the
+	// reply is of use: it leaves time for a second try. nearQueueLength is the number of requests of this host in flight
+	// that counts as a queue there.
+	nearMaxSlowdown  = 2.5
+	nearMaxTimeShare = 0.4
+	nearQueueLength  = 3
 	// Forget is the time after which measurements of a replica's speed have lost two thirds of their weight. A
 	// disruption lasts for seconds; a replica that was slow is tried again about as long after it.
 	Forget = 3 * time.Second
-	// spread is the largest random addition to an estimate, as a share of it, so that hosts with the same measurements
+	// jitter is the largest random addition to an estimate, as a share of it, so that hosts with the same measurements
 	// don't all select the same replica.
-	spread = 0.2
+	jitter = 0.2
 	// failureCost is the cost of a failed try, as a multiple of the usual reply time: it has to be retried, from a
 	// bounded budget.
 	failureCost = 4
@@ -71,9 +71,9 @@
 	}
 	t += time.Duration(float64(usual) * failureCost * r.Failures)
 	if !r.Near {
-		t += zoneDelay
+		t += crossZoneRTT
 	}
-	return t + time.Duration(float64(t)*spread*draw)
+	return t + time.Duration(float64(t)*jitter*draw)
 }
 
 // Need holds the time limits of a request.
@@ -84,21 +84,21 @@
 	Queues bool
 }
 
-// Before reports whether replica a, with its estimate, ranks before replica b, with the estimate other. A replica in the
+// Before reports whether replica a, with its estimate, ranks before replica b, with otherEstimate. A replica in the
 // host's own zone that is fast enough ranks first, then the one with the lower estimate.
 //
 // Traffic between zones is billed, and makes up most of the traffic of a query over many shards. A price added to the
 // estimate doesn't avoid it: one or two requests in flight and the random part outweigh the price, so that most replies
 // still come from other zones. Where requests queue at the replicas, the lowest estimate ranks first: an answer in time
 // is worth more than the saved traffic.
-func (n Need) Before(a Replica, estimate time.Duration, b Replica, other time.Duration) bool {
-	if near := n.nearEnough(a, estimate); near != n.nearEnough(b, other) {
+func (n Need) Before(a Replica, estimate time.Duration, b Replica, otherEstimate time.Duration) bool {
+	if near := n.nearAndFast(a, estimate); near != n.nearAndFast(b, otherEstimate) {
 		return near
 	}
-	return estimate < other
+	return estimate < otherEstimate
 }
 
-// nearEnough reports whether a replica ranks first since it is in the own zone and fast enough.
-func (n Need) nearEnough(r Replica, estimate time.Duration) bool {
-	return !n.Queues && r.Near && !r.Cold && r.Running < nearRunning && estimate <= min(time.Duration(nearTimes*float64(n.Usual)), time.Duration(nearPart*float64(n.Within)))
+// nearAndFast reports whether a replica ranks first since it is in the own zone and fast enough.
+func (n Need) nearAndFast(r Replica, estimate time.Duration) bool {
+	return !n.Queues && r.Near && !r.Cold && r.Running < nearQueueLength && estimate <= min(time.Duration(nearMaxSlowdown*float64(n.Usual)), time.Duration(nearMaxTimeShare*float64(n.Within)))
 }
