--- a/entry/internal/room/room.go
+++ b/entry/internal/room/room.go
@@ -3,36 +3,37 @@
 import "math"
 
 const (
-	// depth is the number of requests that all hosts together may have at a replica that may have a queue, as a
+	// queueFactor is the number of requests that all hosts together may have at a replica that may have a queue, as a
 	// multiple of its slots: those that run, and as many again to take slots as they become free. More would only
 	// lengthen the replica's queue, which is not ordered.
-	depth = 2
-	// idle is the utilization of the replicas' slots, 0 to 1, below which a host may have one request more than its
-	// share.
-	idle = 0.5
+	queueFactor = 2
+	// lowUtilization is the utilization of the replicas' slots, 0 to 1, below which a host may have one request more
+	// than its share.
+	lowUtilization = 0.5
 	// defaultSlots is the assumed number of slots of a replica that does not report it.
 	defaultSlots = 4
 )
 
-// Slots returns the number of requests that a replica runs at once: the number it reports, or a default if that is zero.
-func Slots(said int) int {
-	if said <= 0 {
+// Slots returns the number of requests that a replica runs at once: the number it reports, or a default if that is zero
+// or less.
+func Slots(reported int) int {
+	if reported <= 0 {
 		return defaultSlots
 	}
-	return said
+	return reported
 }
 
-// Most returns the number of requests that a host may have in flight at a replica that reports said slots. part is the
-// share of all requests that this host sends, use the utilization of the slots of all replicas of the service.
+// Most returns the number of requests that a host may have in flight at a replica, given the number of slots that the
+// replica reports, the host's share of all requests, and the utilization of the slots of all replicas of the service.
 //
 // Under overload the hosts together must not fill the replicas' queues, so each is limited to its share. Under low load
 // a limit of one request is too strict: with 15 hosts, a limit of one each, and a replica of 7 slots that has 0.75
 // requests in flight on average, each host finds its limit reached for every fourth try. One more is allowed only at
 // low utilization: where the capacity is just sufficient, it would fill the queues.
-func Most(said int, part, use float64) int {
-	most := max(1, math.Ceil(depth*float64(Slots(said))*part))
-	if use < idle {
-		most++
+func Most(reported int, share, utilization float64) int {
+	limit := max(1, math.Ceil(queueFactor*float64(Slots(reported))*share))
+	if utilization < lowUtilization {
+		limit++
 	}
-	return int(most)
+	return int(limit)
 }
