--- a/entry/internal/choice/choice.go
+++ b/entry/internal/choice/choice.go
@@ -19,17 +19,17 @@
 	maxCandidates = 8
 )
 
-// Verdict is the outcome of a selection.
-type Verdict string
+// Outcome is the outcome of a selection.
+type Outcome string
 
 // The outcomes of a selection.
 const (
 	// Found means that a replica was chosen.
-	Found Verdict = "found"
+	Found Outcome = "found"
 	// Busy means that every remaining replica is at this host's concurrency limit; one may become free soon.
-	Busy Verdict = "busy"
+	Busy Outcome = "busy"
 	// None means that no replica remains.
-	None Verdict = "none"
+	None Outcome = "none"
 )
 
 // Pick returns the cheaper of two random replicas of a shard that are not in tried.
@@ -39,7 +39,7 @@
 // its mean latency or the age of its tries in flight, whichever is larger, times the number of tries in flight
 // including the new one. Only measurements of this host count: the load that a replica reports lags or misleads.
 // Ejected replicas are selected only if no other replica holds the shard, replicas at their limit never.
-func Pick(intN func(n int) int, now time.Time, replicas, tried []*replica.Replica) (*replica.Replica, Verdict) {
+func Pick(intN func(n int) int, now time.Time, replicas, tried []*replica.Replica) (*replica.Replica, Outcome) {
 	var list [maxCandidates]*replica.Replica
 	n, busy := candidates(intN, now, replicas, tried, &list)
 	switch n {
--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -36,7 +36,7 @@
 
 // Guards against sending more tries to a replica that has stopped answering, for example since its machine swaps. It
 // returns no answer that would raise its mean latency, so the age of its tries in flight has to count.
-func TestStuckReplicaIsNoticedBeforeItAnswers(t *testing.T) {
+func TestStuckReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hs := newReplicas(1)
 		for _, r := range hs[0] {
@@ -57,7 +57,7 @@
 
 // Guards against avoiding a replica forever after a short slowdown. It gets no tries that would lower its mean latency,
 // so the estimate has to decay with time.
-func TestRecoveredReplicaIsFoundAgain(t *testing.T) {
+func TestRecoveredReplicaIsSelectedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hs := newReplicas(1)
 		slow, intN := hs[0][2], newIntN()
@@ -80,7 +80,7 @@
 
 // Guards against a zone preference that outweighs load or latency. Of three equally fast replicas, the one in the own
 // zone gets more tries but not all; if it is clearly slower than those in other zones, it gets few.
-func TestNearestOnlyWhileItDoesNotHurt(t *testing.T) {
+func TestOwnZoneIsPreferredOnlyIfNotSlower(t *testing.T) {
 	for _, test := range []struct {
 		near        time.Duration
 		least, most int
@@ -104,7 +104,7 @@
 
 // Guards against omitting a shard that could still be queried. If all of its replicas are ejected, they are used
 // nevertheless; if the only healthy one is at its limit, the outcome is Busy, so that the shard waits.
-func TestVerdicts(t *testing.T) {
+func TestOutcomesForEjectedAndFullReplicas(t *testing.T) {
 	hs := newReplicas(1)
 	now := time.Now()
 	for _, r := range hs[0] {
