--- a/entry/internal/pick/pick_test.go
+++ b/entry/internal/pick/pick_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Guards against all hosts selecting the same of two equal replicas, since its estimate is lower by a trifle: the random
+// Guards against all hosts selecting the same of two equal replicas because its estimate is slightly lower: the random
 // part of an estimate has to exceed such differences.
 func TestEqualsAreSpread(t *testing.T) {
 	r := pick.Replica{Slowness: 1, Near: true}
