--- a/entry/internal/spend/spend_test.go
+++ b/entry/internal/spend/spend_test.go
@@ -37,8 +37,8 @@
 			}
 		}
 		for _, end := range events {
-			extra, known := around(events, end.at)
-			if allowed := opts.Ratio*known + opts.Slack; extra > allowed {
+			extra, requests := windowCounts(events, end.at)
+			if allowed := opts.Ratio*requests + opts.Slack; extra > allowed {
 				t.Fatalf("%v extra tries in the window that ends at %v, %v allowed", extra, end.at, allowed)
 			}
 		}
@@ -50,9 +50,9 @@
 	extra bool
 }
 
-// around returns the number of extra tries in the window that ends at end, and the largest number of requests in that
-// window, the one before it, or the one that ends half a window earlier.
-func around(events []event, end time.Duration) (extra, known float64) {
+// windowCounts returns the number of extra tries in the window that ends at end, and the largest number of requests in
+// that window, the one before it, or the one that ends half a window earlier.
+func windowCounts(events []event, end time.Duration) (extra, requests float64) {
 	count := func(end time.Duration, extra bool) float64 {
 		n := 0.0
 		for _, e := range events {
