--- a/entry/internal/bucket/bucket_test.go
+++ b/entry/internal/bucket/bucket_test.go
@@ -49,7 +49,7 @@
 
 // Guards against refused requests that are all retried for the same token: each must be served if it is retried after
 // the wait that was returned for it.
-func TestRefusedComeBackInOrder(t *testing.T) {
+func TestRefusedAreServedAfterTheirWait(t *testing.T) {
 	b := bucket.New(start, 10, 5, 0)
 	var due []time.Time
 	for range 20 {
