--- a/entry/internal/hedge/hedge_test.go
+++ b/entry/internal/hedge/hedge_test.go
@@ -38,7 +38,7 @@
 
 // Guards against hedges while all replicas are saturated and shed load. They would be refused too, or take the slots of
 // queries that could be answered, so none is sent until no refusal is left in the window.
-func TestNoSecondTriesIntoAFullUpstream(t *testing.T) {
+func TestNoHedgesIntoSaturatedUpstream(t *testing.T) {
 	p := hedge.New()
 	now := start
 	for range 1000 {
@@ -60,7 +60,7 @@
 
 // Guards against hedges that only add load: where expensive queries or a slow zone make most shards of a query late at
 // once, no other replica would be faster.
-func TestNoSecondTriesWhereManyShardsAreLate(t *testing.T) {
+func TestNoHedgesWhenManyShardsAreLate(t *testing.T) {
 	for _, test := range []struct {
 		late, answered, shards int
 		again, want            bool
