--- a/entry/internal/idle/closer.go
+++ b/entry/internal/idle/closer.go
@@ -25,24 +25,24 @@
 	opts Options
 
 	mu sync.Mutex
-	// stops holds, for each idle connection, the function that stops its timer.
-	stops map[net.Conn]func() bool
+	// stopTimers holds, for each idle connection, the function that stops its timer.
+	stopTimers map[net.Conn]func() bool
 }
 
 // New returns a closer without connections.
 func New(opts Options) *Closer {
-	return &Closer{opts: opts, stops: map[net.Conn]func() bool{}}
+	return &Closer{opts: opts, stopTimers: map[net.Conn]func() bool{}}
 }
 
 // State records the new state of a connection; it is used as http.Server.ConnState.
 func (c *Closer) State(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if stop := c.stops[conn]; stop != nil {
+	if stop := c.stopTimers[conn]; stop != nil {
 		stop()
-		delete(c.stops, conn)
+		delete(c.stopTimers, conn)
 	}
 	if state == http.StateIdle {
-		c.stops[conn] = c.opts.Clock.AfterFunc(c.opts.Limit(), func() { _ = conn.Close() })
+		c.stopTimers[conn] = c.opts.Clock.AfterFunc(c.opts.Limit(), func() { _ = conn.Close() })
 	}
 }
--- a/entry/internal/idle/closer_test.go
+++ b/entry/internal/idle/closer_test.go
@@ -15,7 +15,7 @@
 
 // Guards against closing a connection before the time-out, also after the time-out is raised to two minutes: a request
 // after four fifths of it must find the connection open. A connection that is not used again must be closed.
-func TestUnusedConnectionsEndWithTheLimit(t *testing.T) {
+func TestIdleConnectionsAreClosedAfterTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := 15 * time.Second
 		c := idle.New(idle.Options{Clock: clock.System{}, Limit: func() time.Duration { return limit }})
