--- a/entry/internal/queueing/delay.go
+++ b/entry/internal/queueing/delay.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// kept is the number of newest replies that count, fresh the longest age at which they count. A burst fills queues
-	// within 0.1 s, and a host of a large fleet gets only a few replies per second from each service.
-	kept  = 12
-	fresh = time.Second
-	// least is the smallest number of replies that count as evidence; one or two may just have been expensive.
-	least = 3
-	// part is the quantile of the waits that is used. One replica in twenty-five pauses, and in a disruption half of
-	// them are slow; the 0.3 quantile is the wait at the healthy replicas.
-	part = 0.3
+	// maxSamples is the number of newest replies that count, maxAge the longest age at which they count. A burst fills
+	// queues within 0.1 s, and a host of a large fleet gets only a few replies per second from each service.
+	maxSamples = 12
+	maxAge     = time.Second
+	// minSamples is the smallest number of replies that count as evidence; one or two may just have been expensive.
+	minSamples = 3
+	// waitQuantile is the quantile of the waits that is used. One replica in twenty-five pauses, and in a disruption half
+	// of them are slow; the 0.3 quantile is the wait at the healthy replicas.
+	waitQuantile = 0.3
 )
 
 // Delay estimates from reply times how long requests queue at the replicas of one service. The zero value is ready to
@@ -25,10 +25,10 @@
 // queues of replicas at which none of them ever has more than one request in flight. Reply times show it to all hosts,
 // so that each refuses its share without coordination.
 type Delay struct {
-	mu    sync.Mutex
-	waits [kept]time.Duration
-	at    [kept]time.Time
-	next  int
+	mu         sync.Mutex
+	waits      [maxSamples]time.Duration
+	observedAt [maxSamples]time.Time
+	next       int
 }
 
 // Observe records a reply that took a time, where unloaded is the reply time without queueing, zero if unknown.
@@ -38,18 +38,18 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.waits[d.next], d.at[d.next] = max(0, took-unloaded), now
-	d.next = (d.next + 1) % kept
+	d.waits[d.next], d.observedAt[d.next] = max(0, took-unloaded), now
+	d.next = (d.next + 1) % maxSamples
 }
 
 // At returns the queueing delay at the time now, zero while there are too few replies.
 func (d *Delay) At(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var waits [kept]time.Duration
+	var waits [maxSamples]time.Duration
 	n := 0
-	for i, at := range d.at {
-		if !at.IsZero() && now.Sub(at) < fresh {
+	for i, at := range d.observedAt {
+		if !at.IsZero() && now.Sub(at) < maxAge {
 			waits[n] = d.waits[i]
 			n++
 		}
@@ -61,15 +61,15 @@
 func (d *Delay) Newest(now time.Time) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last := (d.next - 1 + kept) % kept
-	return d.waits[last], !d.at[last].IsZero() && now.Sub(d.at[last]) < fresh
+	last := (d.next - 1 + maxSamples) % maxSamples
+	return d.waits[last], !d.observedAt[last].IsZero() && now.Sub(d.observedAt[last]) < maxAge
 }
 
 // Quantile returns the 0.3 quantile of waits, zero if there are fewer than three. It sorts waits.
 func Quantile(waits []time.Duration) time.Duration {
-	if len(waits) < least {
+	if len(waits) < minSamples {
 		return 0
 	}
 	slices.Sort(waits)
-	return waits[int(part*float64(len(waits)))]
+	return waits[int(waitQuantile*float64(len(waits)))]
 }
