--- a/entry/internal/latency/latency.go
+++ b/entry/internal/latency/latency.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// kept is the number of newest samples that are kept. At 18 queries per second over ten shards they cover little
-	// more than a second.
-	kept = 256
-	// sortEvery is the number of samples between updates of the quantiles, each of which sorts the samples.
-	sortEvery = 32
+	// maxSamples is the number of newest samples that are kept. At 18 queries per second over ten shards they cover
+	// little more than a second.
+	maxSamples = 256
+	// sortInterval is the number of samples between updates of the quantiles, each of which sorts the samples.
+	sortInterval = 32
 )
 
 // Recent holds the newest reply times and computes their quantiles. The zero value is ready to use.
 type Recent struct {
-	mu      sync.Mutex
-	samples [kept]time.Duration
-	n, next int
-	since   int
-	sorted  []time.Duration
+	mu       sync.Mutex
+	samples  [maxSamples]time.Duration
+	n, next  int
+	unsorted int
+	sorted   []time.Duration
 }
 
 // Observe adds one sample.
@@ -28,11 +28,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.samples[r.next] = took
-	r.next = (r.next + 1) % kept
-	r.n = min(r.n+1, kept)
-	r.since++
-	if r.since >= sortEvery || r.n < sortEvery {
-		r.since = 0
+	r.next = (r.next + 1) % maxSamples
+	r.n = min(r.n+1, maxSamples)
+	r.unsorted++
+	if r.unsorted >= sortInterval || r.n < sortInterval {
+		r.unsorted = 0
 		r.sorted = append(r.sorted[:0], r.samples[:r.n]...)
 		slices.Sort(r.sorted)
 	}
@@ -52,7 +52,7 @@
 func (r *Recent) Median() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.n < sortEvery {
+	if r.n < sortInterval {
 		return 0, false
 	}
 	return r.sorted[len(r.sorted)/2], true
