--- a/entry/internal/traffic/meter.go
+++ b/entry/internal/traffic/meter.go
@@ -37,23 +37,23 @@
 // count holds the totals of one cause on one side of the zone's border.
 type count struct{ sent, received, opened atomic.Int64 }
 
-// Conn returns a connection that counts the bytes of c. crosses reports whether the remote end is in another
+// Conn returns a connection that counts the bytes of c. crossZone reports whether the remote end is in another
 // availability zone.
-func (m *Meter) Conn(c net.Conn, cause Cause, crosses bool) net.Conn {
-	n := m.count(cause, crosses)
+func (m *Meter) Conn(c net.Conn, cause Cause, crossZone bool) net.Conn {
+	n := m.count(cause, crossZone)
 	n.opened.Add(1)
 	return &conn{Conn: c, count: n}
 }
 
-// Read returns the bytes of a cause, within the host's availability zone or, with crosses, to and from other zones.
-func (m *Meter) Read(cause Cause, crosses bool) Bytes {
-	n := m.count(cause, crosses)
+// Read returns the bytes of a cause, within the host's availability zone or, with crossZone, to and from other zones.
+func (m *Meter) Read(cause Cause, crossZone bool) Bytes {
+	n := m.count(cause, crossZone)
 	return Bytes{Sent: n.sent.Load(), Received: n.received.Load()}
 }
 
-func (m *Meter) count(cause Cause, crosses bool) *count {
+func (m *Meter) count(cause Cause, crossZone bool) *count {
 	side := 0
-	if crosses {
+	if crossZone {
 		side = 1
 	}
 	for i, c := range causes {
@@ -68,9 +68,9 @@
 func (m *Meter) Collectors() []prometheus.Collector {
 	var list []prometheus.Collector
 	for _, cause := range causes {
-		for _, crosses := range []bool{false, true} {
-			n := m.count(cause, crosses)
-			labels := prometheus.Labels{"cause": string(cause), "to": place(crosses)}
+		for _, crossZone := range []bool{false, true} {
+			n := m.count(cause, crossZone)
+			labels := prometheus.Labels{"cause": string(cause), "to": zoneLabel(crossZone)}
 			list = append(list,
 				counter("guavaspring_traffic_sent_bytes_total", "Bytes sent, without TCP and IP headers, by cause and by whether they leave the availability zone.", labels, &n.sent),
 				counter("guavaspring_traffic_received_bytes_total", "Bytes received, without TCP and IP headers, by cause and by whether they come from another availability zone.", labels, &n.received),
@@ -80,9 +80,9 @@
 	return list
 }
 
-// place returns the label value for traffic within the own zone or to and from other zones.
-func place(crosses bool) string {
-	if crosses {
+// zoneLabel returns the label value for traffic within the own zone or to and from other zones.
+func zoneLabel(crossZone bool) string {
+	if crossZone {
 		return "other_zone"
 	}
 	return "own_zone"
@@ -92,13 +92,14 @@
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}, func() float64 { return float64(n.Load()) })
 }
 
-// Fields returns the bytes of both directions, by cause and side of the zone's border, as key-value pairs for a log line.
+// Fields returns the bytes of both directions, by cause and side of the zone's border, as key-value pairs for a log
+// line.
 func (m *Meter) Fields() []any {
 	var kv []any
 	for _, cause := range causes {
-		for _, crosses := range []bool{false, true} {
-			b := m.Read(cause, crosses)
-			kv = append(kv, string(cause)+"_"+place(crosses), b.Sent+b.Received)
+		for _, crossZone := range []bool{false, true} {
+			b := m.Read(cause, crossZone)
+			kv = append(kv, string(cause)+"_"+zoneLabel(crossZone), b.Sent+b.Received)
 		}
 	}
 	return kv
--- a/entry/internal/traffic/meter_test.go
+++ b/entry/internal/traffic/meter_test.go
@@ -14,7 +14,7 @@
 
 // Guards against bytes that are counted twice, not at all, under the wrong cause or on the wrong side of the zone's
 // border: traffic between zones is billed, and the metrics are to show its causes.
-func TestBytesAreFoundUnderTheirCause(t *testing.T) {
+func TestBytesAreCountedByCause(t *testing.T) {
 	var m traffic.Meter
 	near, far := net.Pipe()
 	c := m.Conn(near, traffic.Relay, true)
