--- a/entry/internal/warmup/warmup.go
+++ b/entry/internal/warmup/warmup.go
@@ -11,8 +11,8 @@
 	// Limit is the longest wait. A host whose services have no replicas at all must still start, to report that to
 	// operators.
 	Limit = 5 * time.Second
-	// every is the polling interval; replicas answer within milliseconds of being listed.
-	every = 20 * time.Millisecond
+	// pollInterval is the polling interval; replicas answer within milliseconds of being listed.
+	pollInterval = 20 * time.Millisecond
 )
 
 // Reason is the reason why a wait ended.
@@ -35,8 +35,8 @@
 // Warmup keeps the port for callers closed until the host can serve.
 //
 // Callers keep the address of a host that is replaced and connect as soon as its port is open. A host without any index
-// version yet can only refuse requests that another host would answer at once. If the port is closed, callers move on to
-// another host within one connection attempt.
+// version yet can only refuse requests that another host would answer at once. If the port is closed, callers move on
+// to another host within one connection attempt.
 type Warmup struct{ opts Options }
 
 // New returns a warm-up; both options must be set.
@@ -47,7 +47,7 @@
 	limit := w.opts.Clock.After(Limit)
 	for !w.opts.Known() {
 		select {
-		case <-w.opts.Clock.After(every):
+		case <-w.opts.Clock.After(pollInterval):
 		case <-limit:
 			return Expired
 		case <-ctx.Done():
--- a/entry/internal/warmup/warmup_test.go
+++ b/entry/internal/warmup/warmup_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against hosts that wait for the whole Limit at each start because one service is configured but has no replicas
-// yet, although they could serve all others.
+// Guards against hosts that wait for the whole Limit at each start because one service is configured but has no
+// replicas yet, although they could serve all others.
 func TestReady(t *testing.T) {
 	for _, test := range []struct {
 		name     string
