--- a/entry/internal/coldshare/shares.go
+++ b/entry/internal/coldshare/shares.go
@@ -9,10 +9,10 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// rememberFor is the time for which hosts that have disappeared from the list still count. A host that is partitioned
-// from the others sees them disappear within seconds, while they keep running; hosts that are gone for good are replaced
-// within a minute.
-const rememberFor = time.Minute
+// peakWindow is the time for which hosts that have disappeared from the list still count. A host that is partitioned
+// from the others sees them disappear within seconds, while they keep running; hosts that are gone for good are
+// replaced within a minute.
+const peakWindow = time.Minute
 
 // Options configures Shares.
 type Options struct {
@@ -42,12 +42,12 @@
 	opts Options
 
 	mu sync.Mutex
-	// shares caches the share of this host for one list of hosts, by replica; known is the first host of that list.
-	shares map[string]int
-	known  *member.Host
-	// most is the largest number of hosts known recently, at the time at which it was recorded.
-	most int
-	at   time.Time
+	// shares caches the share of this host for one list of hosts, by replica; listHead is the first host of that list.
+	shares   map[string]int
+	listHead *member.Host
+	// peakHosts is the largest number of hosts known recently, peakAt the time at which it was recorded.
+	peakHosts int
+	peakAt    time.Time
 }
 
 // New returns the Shares of one host.
@@ -62,8 +62,8 @@
 	if !s.opts.Settled() || !s.majority(len(all)) {
 		return 0
 	}
-	if s.known != &all[0] {
-		s.known = &all[0]
+	if s.listHead != &all[0] {
+		s.listHead = &all[0]
 		clear(s.shares)
 	}
 	share, ok := s.shares[replica]
@@ -77,21 +77,21 @@
 // majority reports whether a number of hosts is more than half of the hosts known recently.
 func (s *Shares) majority(hosts int) bool {
 	now := s.opts.Clock.Now()
-	if hosts >= s.most || now.Sub(s.at) > rememberFor {
-		s.most, s.at = hosts, now
+	if hosts >= s.peakHosts || now.Sub(s.peakAt) > peakWindow {
+		s.peakHosts, s.peakAt = hosts, now
 	}
-	return 2*hosts > s.most
+	return 2*hosts > s.peakHosts
 }
 
-// shareOf returns the part of a number for the host self when it is divided among the serving hosts. The remainder goes
+// shareOf returns the share of the host self when total is divided among the serving hosts. The remainder goes
 // to the hosts that rank first for the replica.
-func shareOf(replica string, serving []member.Host, self string, number int) int {
-	is := func(h member.Host) bool { return h.ID == self }
-	if !slices.ContainsFunc(serving, is) {
+func shareOf(replica string, serving []member.Host, self string, total int) int {
+	isSelf := func(h member.Host) bool { return h.ID == self }
+	if !slices.ContainsFunc(serving, isSelf) {
 		return 0
 	}
-	share := number / len(serving)
-	if slices.IndexFunc(member.Ranked(serving, replica), is) < number%len(serving) {
+	share := total / len(serving)
+	if slices.IndexFunc(member.Ranked(serving, replica), isSelf) < total%len(serving) {
 		share++
 	}
 	return share
--- a/entry/internal/coldshare/shares_test.go
+++ b/entry/internal/coldshare/shares_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// of returns the Shares of a host whose list of hosts is known, all of which serve.
-func of(self string, known []member.Host) *coldshare.Shares {
+// newShares returns the Shares of the host self, for which known is the list of all hosts and of those that serve.
+func newShares(self string, known []member.Host) *coldshare.Shares {
 	return coldshare.New(coldshare.Options{
 		Clock: clock.System{}, Self: func() string { return self },
 		Hosts:   func() (all, serving []member.Host) { return known, known },
@@ -31,35 +31,36 @@
 	})
 }
 
-// asked is the number of hosts of a large fleet whose shares are computed: each ranks all hosts, which takes seconds for
-// all of them.
-const asked = 80
+// sampledHosts is the number of hosts of a large fleet whose shares are computed. Each of them ranks all hosts, which
+// takes seconds for the whole fleet.
+const sampledHosts = 80
 
-// Guards against overloading a cold replica, or leaving its capacity unused, when all hosts send to it. Shares are whole
-// numbers, since a host can't send a part of a request, and must add up to the rate for any number of hosts.
+// Guards against overloading a cold replica, or leaving its capacity unused, when all hosts send to it. Shares are
+// whole numbers, since a host can't send a part of a request, and must add up to the rate for any number of hosts.
 func TestSharesAddUp(t *testing.T) {
 	for _, n := range []int{1, 6, 73, 295, 5600} {
-		for _, bears := range []float64{0.4, 1, 10, 10.9, 300} {
+		for _, rate := range []float64{0.4, 1, 10, 10.9, 300} {
 			list, sum := hosts(n), 0
-			for i := range min(n, asked) {
-				sum += of(list[i].ID, list).Of("i-1", bears)
+			for i := range min(n, sampledHosts) {
+				sum += newShares(list[i].ID, list).Of("i-1", rate)
 			}
-			c := qt.Commentf("%d hosts, %v a second", n, bears)
-			if n <= asked {
-				qt.Check(t, sum, qt.Equals, max(1, int(bears)), c)
+			c := qt.Commentf("%d hosts, %v requests per second", n, rate)
+			if n <= sampledHosts {
+				qt.Check(t, sum, qt.Equals, max(1, int(rate)), c)
 			} else {
-				qt.Check(t, sum <= max(1, int(bears)), qt.IsTrue, c)
+				qt.Check(t, sum <= max(1, int(rate)), qt.IsTrue, c)
 			}
 		}
 	}
 }
 
-// Guards against overloading a cold replica while hosts join and leave, so that their lists differ: each host lacks each
-// other one with a chance of one in six. The sum of the shares must stay within 1.5 times the rate plus five requests.
-func TestSharesOfListsThatDiffer(t *testing.T) {
+// Guards against overloading a cold replica while hosts join and leave, so that their lists differ: each host lacks
+// each other one with a chance of one in six. The sum of the shares must stay within 1.5 times the rate plus five
+// requests.
+func TestSharesOfDifferingLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, n := range []int{6, 12, 73, 295} {
-		for _, bears := range []float64{1, 5, 10, 40} {
+		for _, rate := range []float64{1, 5, 10, 40} {
 			list, most := hosts(n), 0
 			for replica := range 20 {
 				sum := 0
@@ -70,18 +71,18 @@
 							known = append(known, h)
 						}
 					}
-					sum += of(list[i].ID, known).Of(fmt.Sprintf("i-%d", replica), bears)
+					sum += newShares(list[i].ID, known).Of(fmt.Sprintf("i-%d", replica), rate)
 				}
 				most = max(most, sum)
 			}
-			qt.Check(t, float64(most) <= 1.5*bears+5, qt.IsTrue, qt.Commentf("%d hosts, %v a second: %d", n, bears, most))
+			qt.Check(t, float64(most) <= 1.5*rate+5, qt.IsTrue, qt.Commentf("%d hosts, %v requests per second, sum of shares %d", n, rate, most))
 		}
 	}
 }
 
 // Guards against a partitioned host taking the shares of the others, which keep running. A host that sees half of the
 // hosts or fewer must have no share until the others have been gone for a minute.
-func TestHostCutOffHasNoShare(t *testing.T) {
+func TestPartitionedHostHasNoShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known := hosts(6)
 		s := coldshare.New(coldshare.Options{
