--- a/entry/internal/learned/route.go
+++ b/entry/internal/learned/route.go
@@ -12,17 +12,17 @@
 type Route struct {
 	// Recent holds the newest reply times, Unloaded the estimated reply time without queueing.
 	Recent   latency.Recent
-	Unloaded unloaded.Time
+	Unloaded unloaded.Estimator
 	// Patience tracks the remaining time that clients state.
-	Patience patience.Usual
+	Patience patience.Tracker
 	// Arriving tracks it for all requests, including those that are refused before any try is sent.
-	Arriving patience.Usual
+	Arriving patience.Tracker
 }
 
 // Replied records the time that a reply took.
 func (r *Route) Replied(now time.Time, took time.Duration) {
 	r.Recent.Observe(took)
 	if median, ok := r.Recent.Median(); ok {
-		r.Unloaded.Note(now, median)
+		r.Unloaded.Observe(now, median)
 	}
 }
