--- a/entry/internal/spend/spend.go
+++ b/entry/internal/spend/spend.go
@@ -58,7 +58,7 @@
 // sent.
 func (b *Budget) Hedge(now time.Time, share float64) bool { return b.take(now, share, 1-retryReserve) }
 
-// Unsend returns an extra try that was not sent to the budget.
+// Unsend refunds an extra try that was not sent.
 func (b *Budget) Unsend(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
