--- a/entry/internal/hedge/hedge.go
+++ b/entry/internal/hedge/hedge.go
@@ -53,7 +53,7 @@
 	return p
 }
 
-// SetQuantile sets the quantile of reply times after which a hedge is due, and the hedge budget in percent of tries.
+// SetQuantile sets the quantile of reply times after which a hedge is due, and the hedge budget in percent.
 //
 // The quantile is raised where needed so that normal operation uses at most half of the budget. With the 95th
 // percentile and a budget of 3 %, normal late tries would use all of it and leave none for a true straggler.
