--- a/entry/internal/room/room_test.go
+++ b/entry/internal/room/room_test.go
@@ -9,8 +9,8 @@
 )
 
 // Guards against two wrong limits. Under a burst, or where the capacity is just sufficient, each host sends up to its
-// limit: the queues at the replicas must stay short whatever the number of hosts, down to one request for each. Under
-// low load, a host must not be limited to one request while six of seven slots are unused.
+// limit: the queues at the replicas must stay as short as with six hosts, whatever the number of hosts, down to one
+// request for each. Under low load, a host must not be limited to one request while six of seven slots are unused.
 func TestInFlightLimit(t *testing.T) {
 	tests := []struct{ hosts, slots, busy, quiet int }{
 		{6, 5, 2, 3}, {6, 2, 1, 2}, {6, 0, 2, 3}, {15, 7, 1, 2}, {84, 4, 1, 2}, {295, 7, 1, 2}, {5600, 7, 1, 2}, {1, 7, 14, 15},
