--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -15,7 +15,7 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-func holders(shards int) [][]*replica.Replica {
+func newReplicas(shards int) [][]*replica.Replica {
 	table := replica.New(replica.Options{Zone: "osborne-hall"})
 	var list []platform.Replica
 	for i := range 3 * shards {
@@ -32,18 +32,18 @@
 	return table.View().Versions[0].Holders
 }
 
-func draw() func(n int) int { return rand.New(rand.NewPCG(1, 1)).IntN }
+func newIntN() func(n int) int { return rand.New(rand.NewPCG(1, 1)).IntN }
 
-// A replica's host swaps to disk: what it is sent doesn't come back, so there is no answer to learn its
-// slowness from. The age of what it still runs tells at once, and the next pages go elsewhere.
-func TestStuckReplicaIsNoticedBeforeItAnswers(t *testing.T) {
+// Guards against sending more tries to a replica that has stopped answering, for example since its machine swaps. It
+// returns no answer that would raise its mean latency, so the age of its tries in flight has to count.
+func TestStuckReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hs := holders(1)
+		hs := newReplicas(1)
 		for _, r := range hs[0] {
 			r.Begin(time.Now())
 			r.End(time.Now(), 5*time.Millisecond, true)
 		}
-		stuck, intN := hs[0][1], draw()
+		stuck, intN := hs[0][1], newIntN()
 		stuck.Begin(time.Now())
 		time.Sleep(50 * time.Millisecond)
 		hs[0][0].Begin(time.Now())
@@ -55,12 +55,12 @@
 	})
 }
 
-// A replica was slow for a moment and has recovered, but nobody sends there any more, since its last answers
-// were slow. Its neighbours carry its load for good. What was learned must fade while nothing new is learned.
-func TestRecoveredReplicaIsFoundAgain(t *testing.T) {
+// Guards against avoiding a replica forever after a short slowdown. It gets no tries that would lower its mean latency,
+// so the estimate has to decay with time.
+func TestRecoveredReplicaIsSelectedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hs := holders(1)
-		slow, intN := hs[0][2], draw()
+		hs := newReplicas(1)
+		slow, intN := hs[0][2], newIntN()
 		var found time.Duration
 		slow.Begin(time.Now())
 		slow.End(time.Now(), 100*time.Millisecond, true)
@@ -78,55 +78,55 @@
 	})
 }
 
-// Three replicas are equally quick. The one in the host's own zone gets more, but not all: once it runs more
-// than the others they get the next tries, and when it is slower than the way to another zone it gets few.
-func TestNearestOnlyWhileItDoesNotHurt(t *testing.T) {
+// Guards against a zone preference that outweighs load or latency. Of three equally fast replicas, the one in the own
+// zone gets more tries but not all; if it is clearly slower than those in other zones, it gets few.
+func TestOwnZoneIsPreferredOnlyIfNotSlower(t *testing.T) {
 	for _, test := range []struct {
 		near        time.Duration
 		least, most int
 	}{{5 * time.Millisecond, 550, 750}, {8 * time.Millisecond, 0, 50}} {
 		synctest.Test(t, func(t *testing.T) {
-			hs := holders(1)
+			hs := newReplicas(1)
 			for i, r := range hs[0] {
 				r.SetLatency([]time.Duration{test.near, 5 * time.Millisecond, 5 * time.Millisecond}[i])
 			}
-			intN, near := draw(), 0
+			intN, near := newIntN(), 0
 			for range 1000 {
 				r, _ := choice.Pick(intN, time.Now(), hs[0], nil)
 				if r.Near {
 					near++
 				}
 			}
-			qt.Assert(t, near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d", near))
+			qt.Assert(t, near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d of 1000 tries went to the own zone", near))
 		})
 	}
 }
 
-// All replicas of a shard are out, since the whole shard had a bad second. A page without the shard helps
-// nobody, so they are used; and a full replica says busy, so that the shard waits instead of being missed.
-func TestVerdicts(t *testing.T) {
-	hs := holders(1)
+// Guards against omitting a shard that could still be queried. If all of its replicas are ejected, they are used
+// nevertheless; if the only healthy one is at its limit, the outcome is Busy, so that the shard waits.
+func TestOutcomesForEjectedAndFullReplicas(t *testing.T) {
+	hs := newReplicas(1)
 	now := time.Now()
 	for _, r := range hs[0] {
 		r.Eject.Hold(now)
 	}
-	r, verdict := choice.Pick(draw(), now, hs[0], nil)
+	r, verdict := choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Found)
 	qt.Assert(t, r, qt.IsNotNil)
 	hs[0][0].Eject.Good()
-	r, _ = choice.Pick(draw(), now, hs[0], nil)
+	r, _ = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, r, qt.Equals, hs[0][0])
 	for range r.Limit.Most() {
 		r.Begin(now)
 	}
-	_, verdict = choice.Pick(draw(), now, hs[0], nil)
+	_, verdict = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Busy)
-	_, verdict = choice.Pick(draw(), now, hs[0], hs[0])
+	_, verdict = choice.Pick(newIntN(), now, hs[0], hs[0])
 	qt.Assert(t, verdict, qt.Equals, choice.None)
 }
 
 func BenchmarkPick(b *testing.B) {
-	hs := holders(1)
+	hs := newReplicas(1)
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -134,9 +134,9 @@
 	}
 }
 
-// BenchmarkPickAll is the whole choice of a query over 69 shards x 3.
+// BenchmarkPickAll measures all selections of a query over 69 shards with 3 replicas each.
 func BenchmarkPickAll(b *testing.B) {
-	hs := holders(69)
+	hs := newReplicas(69)
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/entry/internal/coldshare/shares_test.go
+++ b/entry/internal/coldshare/shares_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// of returns the shares of a host that knows some others, all of which serve.
-func of(self string, known []member.Host) *coldshare.Shares {
+// newShares returns the Shares of the host self, for which known is the list of all hosts and of those that serve.
+func newShares(self string, known []member.Host) *coldshare.Shares {
 	return coldshare.New(coldshare.Options{
 		Clock: clock.System{}, Self: func() string { return self },
 		Hosts:   func() (all, serving []member.Host) { return known, known },
@@ -31,34 +31,36 @@
 	})
 }
 
-// asked is how many hosts of a large fleet are asked; ranking all of them for each takes seconds.
-const asked = 80
+// sampledHosts is the number of hosts of a large fleet whose shares are computed. Each of them ranks all hosts, which
+// takes seconds for the whole fleet.
+const sampledHosts = 80
 
-// A zone comes back cold, and all hosts send there. Whatever their number, the replica must get what it bears and no
-// more, and what hosts are allowed must be a whole number: none can send a part of a request.
+// Guards against overloading a cold replica, or leaving its capacity unused, when all hosts send to it. Shares are
+// whole numbers, since a host can't send a part of a request, and must add up to the rate for any number of hosts.
 func TestSharesAddUp(t *testing.T) {
 	for _, n := range []int{1, 6, 73, 295, 5600} {
-		for _, bears := range []float64{0.4, 1, 10, 10.9, 300} {
+		for _, rate := range []float64{0.4, 1, 10, 10.9, 300} {
 			list, sum := hosts(n), 0
-			for i := range min(n, asked) {
-				sum += of(list[i].ID, list).Of("i-1", bears)
+			for i := range min(n, sampledHosts) {
+				sum += newShares(list[i].ID, list).Of("i-1", rate)
 			}
-			c := qt.Commentf("%d hosts, %v a second", n, bears)
-			if n <= asked {
-				qt.Check(t, sum, qt.Equals, max(1, int(bears)), c)
+			c := qt.Commentf("%d hosts, %v requests per second", n, rate)
+			if n <= sampledHosts {
+				qt.Check(t, sum, qt.Equals, max(1, int(rate)), c)
 			} else {
-				qt.Check(t, sum <= max(1, int(bears)), qt.IsTrue, c)
+				qt.Check(t, sum <= max(1, int(rate)), qt.IsTrue, c)
 			}
 		}
 	}
 }
 
-// Hosts come and go while a zone comes back, and each host has another list: it lacks up to a sixth of the others.
-// Together they must stay within half as much again and five requests more than the replica bears.
-func TestSharesOfListsThatDiffer(t *testing.T) {
+// Guards against overloading a cold replica while hosts join and leave, so that their lists differ: each host lacks
+// each other one with a chance of one in six. The sum of the shares must stay within 1.5 times the rate plus five
+// requests.
+func TestSharesOfDifferingLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, n := range []int{6, 12, 73, 295} {
-		for _, bears := range []float64{1, 5, 10, 40} {
+		for _, rate := range []float64{1, 5, 10, 40} {
 			list, most := hosts(n), 0
 			for replica := range 20 {
 				sum := 0
@@ -69,18 +71,18 @@
 							known = append(known, h)
 						}
 					}
-					sum += of(list[i].ID, known).Of(fmt.Sprintf("i-%d", replica), bears)
+					sum += newShares(list[i].ID, known).Of(fmt.Sprintf("i-%d", replica), rate)
 				}
 				most = max(most, sum)
 			}
-			qt.Check(t, float64(most) <= 1.5*bears+5, qt.IsTrue, qt.Commentf("%d hosts, %v a second: %d", n, bears, most))
+			qt.Check(t, float64(most) <= 1.5*rate+5, qt.IsTrue, qt.Commentf("%d hosts, %v requests per second, sum of shares %d", n, rate, most))
 		}
 	}
 }
 
-// A part of the hosts is cut off from the others, who are all alive and go on. Whoever sees half of them or less must
-// send a cold replica nothing, and may again once those have been gone for so long that they are not coming back.
-func TestHostCutOffHasNoShare(t *testing.T) {
+// Guards against a partitioned host taking the shares of the others, which keep running. A host that sees half of the
+// hosts or fewer must have no share until the others have been gone for a minute.
+func TestPartitionedHostHasNoShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known := hosts(6)
 		s := coldshare.New(coldshare.Options{
@@ -101,8 +103,8 @@
 	})
 }
 
-// All hosts start at once beside replicas that are cold. Each knows only itself at first, and must not send what is
-// meant for all.
+// Guards against overloading cold replicas when all hosts start at once: each knows only itself at first, and must not
+// take the whole rate.
 func TestHostThatHasJustStartedHasNoShare(t *testing.T) {
 	settled := false
 	known := hosts(1)
