--- a/entry/internal/admission/doc.go
+++ b/entry/internal/admission/doc.go
@@ -1,2 +1,2 @@
-// Package admission decides which requests run now, which wait and which are refused.
+// Package admission decides which requests of a service run at once, which are queued and which are refused.
 package admission
--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -11,26 +11,27 @@
 	"guavaspring.org/entry/internal/admission/queue"
 )
 
-// Refusal says why a request was not admitted and when its caller should come back.
+// Refusal holds the reason why a request was not admitted and the delay after which its caller should retry.
 type Refusal = queue.Refusal
 
-// Limits bounds what runs and waits.
+// Limits bounds the number of running and queued requests.
 type Limits = queue.Limits
 
-// Request is what the gate knows of a request.
+// Request holds the properties of a request that admission depends on.
 type Request = queue.Request
 
 // Options configures a Gate.
 type Options struct {
-	// Clock tells the time; nil means the system's.
+	// Clock is the source of time; nil means the system clock.
 	Clock  clock.Clock
 	Limits Limits
-	// Moved is called with the old and the new limit when the upstream's replies moved it; it may be nil.
+	// Moved is called with the old and the new concurrency limit when replies of the upstream changed it; it may be
+	// nil.
 	Moved func(from, to int)
 }
 
-// Gate admits the requests of one service on one host; it blocks those that wait and leaves the decisions to packages
-// queue and adapt.
+// Gate admits the requests of one service on one host. It blocks queued requests; packages queue and adapt take the
+// decisions.
 type Gate struct {
 	clock clock.Clock
 	moved func(from, to int)
@@ -39,15 +40,15 @@
 	limits Limits
 	queue  *queue.Queue
 	limit  *adapt.Limit
-	// waiting maps each waiter to the channel its goroutine listens on.
+	// waiting maps each waiter to the channel that is closed once it is decided.
 	waiting map[*queue.Waiter]chan struct{}
 	refused map[queue.Reason]uint64
-	// waits counts the requests that waited and then ran, waitTotal the time that they waited.
+	// waits counts the requests that waited and then ran; waitTotal is the sum of their waiting times.
 	waits     uint64
 	waitTotal time.Duration
 }
 
-// New returns a gate with nothing running.
+// New returns a gate without running requests.
 func New(opts Options) *Gate {
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
@@ -63,17 +64,17 @@
 	return g
 }
 
-// Place is the right to run one request; Leave must be called once.
+// Place is a permit to run one request; Leave must be called exactly once.
 type Place struct {
-	// Waited is how long the request waited for the place.
+	// Waited is the time that the request waited for the permit.
 	Waited time.Duration
 
 	gate  *Gate
 	grant queue.Grant
 }
 
-// Enter waits for a place, at longest until the request could no longer be answered by its deadline; a nil Refusal
-// means that Leave must follow.
+// Enter waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
+// Refusal is nil, the caller must call Leave.
 func (g *Gate) Enter(ctx context.Context, req Request) (Place, *Refusal) {
 	g.mu.Lock()
 	now := g.clock.Now()
@@ -85,7 +86,7 @@
 	case queue.VerdictRefuse:
 		g.refused[a.Refusal.Reason]++
 		g.mu.Unlock()
-		// A copy: taking the field's address would move every arrival to the heap.
+		// Taking the address of the field would move every arrival to the heap, so the refusal is copied.
 		refusal := a.Refusal
 		return Place{}, &refusal
 	}
@@ -106,7 +107,7 @@
 	case <-ctx.Done():
 		return g.giveUp(w, goneOrLate(ctx))
 	}
-	// The waiter was decided before the channel was closed, and is not touched again.
+	// The waiter is decided before the channel is closed and does not change afterwards.
 	if w.Verdict == queue.VerdictRun {
 		return g.waited(w, arrived), nil
 	}
@@ -122,8 +123,8 @@
 	return Place{gate: g, grant: w.Grant, Waited: d}
 }
 
-// giveUp ends a wait; a place that was granted at the same moment goes to the next in line, or it would be lost for
-// good.
+// giveUp ends a wait. A permit that was granted at the same moment goes to the next waiter; otherwise it would be lost
+// for good.
 func (g *Gate) giveUp(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,6 +136,7 @@
 	return Place{}, &refusal
 }
 
+// goneOrLate returns the reason for a wait that ended with its context.
 func goneOrLate(ctx context.Context) queue.Reason {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return queue.ReasonLate
@@ -142,7 +144,7 @@
 	return queue.ReasonGone
 }
 
-// wake tells the goroutine of a waiter that it is decided; the caller holds mu.
+// wake unblocks the goroutine of a waiter that has been decided; the caller holds mu.
 func (g *Gate) wake(w *queue.Waiter) {
 	if w.Verdict == queue.VerdictRefuse {
 		g.refused[w.Refusal.Reason]++
@@ -151,7 +153,7 @@
 	delete(g.waiting, w)
 }
 
-// Leave gives the place back; complete says whether the answer was whole rather than cut short.
+// Leave returns the permit; complete reports whether the request was answered in full rather than cut short.
 func (p Place) Leave(complete bool) {
 	g := p.gate
 	g.mu.Lock()
@@ -159,7 +161,7 @@
 	g.queue.Leave(g.clock.Now(), p.grant, complete)
 }
 
-// SetLimits puts new limits in force at once, also for the requests that wait.
+// SetLimits applies new limits at once, also to queued requests.
 func (g *Gate) SetLimits(limits Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,12 +170,13 @@
 	g.queue.SetLimits(g.clock.Now(), g.inForce())
 }
 
-// Replied takes in that a shard answered after took from the start of its query, or that a try was cut off after took.
+// Replied records the time from the start of a query to the answer of a shard, or the time after which a try was
+// canceled.
 func (g *Gate) Replied(took time.Duration) {
 	g.adapt(func(now time.Time) bool { return g.limit.Reply(now, took, g.queue.Running()) })
 }
 
-// Shed takes in that a try was turned away by a replica that was full.
+// Shed records that a replica without free capacity rejected a try.
 func (g *Gate) Shed() {
 	g.adapt(func(now time.Time) bool { return g.limit.Shed(now, g.queue.Running()) })
 }
@@ -192,24 +195,24 @@
 	}
 }
 
-// inForce is the document's limits with the concurrency that the upstream takes.
+// inForce returns the configured limits with the concurrency reduced to the adaptive limit.
 func (g *Gate) inForce() Limits {
 	l := g.limits
 	l.Running = g.limit.Current()
 	return l
 }
 
-// Stats is what a gate holds at one moment.
+// Stats is a snapshot of the counters of a gate.
 type Stats struct {
 	Running, Waiting, Limit int
-	// Refused counts refusals since the start, by reason.
+	// Refused counts the refusals since the start by reason.
 	Refused map[queue.Reason]uint64
-	// Waits counts the requests that waited and then ran since the start, WaitTotal the time that they waited.
+	// Waits counts the requests that waited and then ran since the start; WaitTotal is the sum of their waiting times.
 	Waits     uint64
 	WaitTotal time.Duration
 }
 
-// Stats returns what the gate holds now.
+// Stats returns the current counters.
 func (g *Gate) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -223,7 +226,7 @@
 	return s
 }
 
-// Load returns the share of the limit in use, 0 to 1, and 1 while requests wait.
+// Load returns the used share of the concurrency limit, from 0 to 1, or 1 while requests are queued.
 func (g *Gate) Load() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -17,7 +17,7 @@
 
 func newGate(running int) *admission.Gate {
 	g := admission.New(admission.Options{Limits: admission.Limits{Running: running, Waiting: 8, CallerShare: 1}})
-	// A gate starts at a part of its limit; replies at a steady pace let it rise to the whole.
+	// A gate starts at a part of its limit; replies of constant latency raise it to the full limit.
 	for range 8 {
 		raise(g, running)
 	}
@@ -53,7 +53,7 @@
 	took    time.Duration
 }
 
-// enter starts a request on a goroutine of its own and returns what becomes of it.
+// enter starts a request on a goroutine of its own and returns a channel that receives its outcome.
 func enter(ctx context.Context, g *admission.Gate, req admission.Request) <-chan ended {
 	ch := make(chan ended, 1)
 	start := time.Now()
@@ -65,8 +65,8 @@
 	return ch
 }
 
-// The operators of a service raise admission.concurrency while its callers wait. The waiting requests stay
-// where they are until one of the old ones ends, and time out beside free places.
+// Guards against queued requests that time out beside free permits: admission.concurrency is raised while requests
+// wait, and they stay queued until a running request ends.
 func TestRaisedLimitLetsWaitersRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -86,8 +86,8 @@
 	})
 }
 
-// The operators lower the limit below what runs. Places given back must be taken away rather than handed on,
-// and none may be lost: when the requests end, exactly the new number runs.
+// Guards against permits that exceed the limit or are lost when the limit is lowered below the number of running
+// requests: returned permits must be withdrawn until exactly the new number of requests runs.
 func TestLoweredLimitLosesNoPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -114,7 +114,8 @@
 	})
 }
 
-// A greeter closes the tablet while the lookup waits. Nobody is there to leave the place that it would get.
+// Guards against a lost permit: a caller cancels its queued request, so that nobody would return the permit granted
+// to it.
 func TestCallerThatGivesUpTakesNoPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -134,8 +135,8 @@
 	})
 }
 
-// The place is handed over at the very moment at which the caller gives up: the request has both. Whichever
-// is seen first, the place must not be lost. A hundred callers try it.
+// Guards against a lost permit when a request is granted one and canceled at the same moment: in either order of the
+// two events, the permit must be returned.
 func TestGrantAndGivingUpAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -155,9 +156,9 @@
 	})
 }
 
-// Lookups take 40 ms, and one with a deadline of 50 ms waits behind another that got stuck. Ten milliseconds
-// later it can't be answered in time any more. Its caller must hear so then, not at the deadline, and be told
-// when to come back.
+// Guards against refusals that are sent only at the deadline: requests take 40 ms, and one with a deadline of 50 ms
+// waits behind a request that hangs. Once it can no longer be answered in time, after 10 ms, it must be refused with a
+// retry delay.
 func TestRefusalIsGivenAsSoonAsItIsCertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -169,12 +170,12 @@
 		}
 		_, refusal := g.Enter(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
-		// The two places ahead take 40 ms each: this one has no chance and hears at once.
+		// The running request and this one take 40 ms each, more than 50 ms: it is refused at once.
 		none := <-enter(context.Background(), g, request("b", 50*ms))
 		c.Check(none.refusal.Reason, qt.Equals, queue.ReasonLate)
 		c.Check(none.took, qt.Equals, time.Duration(0))
 		c.Check(none.refusal.RetryAfter >= 40*ms && none.refusal.RetryAfter < 200*ms, qt.IsTrue, qt.Commentf("%v", none.refusal.RetryAfter))
-		// This one has, until the running one proves stuck.
+		// This one can still be answered in time, until the running request takes longer than usual.
 		stuck := <-enter(context.Background(), g, request("b", 100*ms))
 		c.Check(stuck.refusal.Reason, qt.Equals, queue.ReasonLate)
 		c.Check(stuck.took <= 60*ms, qt.IsTrue, qt.Commentf("%v", stuck.took))
@@ -202,7 +203,7 @@
 	}
 }
 
-// BenchmarkRefuse measures the answer under overload: every place to run and to wait is taken.
+// BenchmarkRefuse measures a refusal under overload, with all permits taken and the queue full.
 func BenchmarkRefuse(b *testing.B) {
 	now := time.Now()
 	q := queue.New(queue.Limits{Running: 64, Waiting: 128, CallerShare: 0.5}, queue.Options{})
@@ -217,7 +218,7 @@
 	}
 }
 
-// BenchmarkHandOver measures a place that goes to the next of 128 callers in line.
+// BenchmarkHandOver measures the transfer of a permit to the next of 128 queued requests.
 func BenchmarkHandOver(b *testing.B) {
 	now := time.Now()
 	var granted queue.Grant
