--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -33,13 +33,13 @@
 // Gate admits the requests of one service on one host. It blocks queued requests; packages queue and adapt take the
 // decisions.
 type Gate struct {
-	clock clock.Clock
-	moved func(from, to int)
+	clock        clock.Clock
+	limitChanged func(from, to int)
 
-	mu     sync.Mutex
-	limits Limits
-	queue  *queue.Queue
-	limit  *adapt.Limit
+	mu       sync.Mutex
+	limits   Limits
+	queue    *queue.Queue
+	adaptive *adapt.Limit
 	// waiting maps each waiter to the channel that is closed once it is decided.
 	waiting map[*queue.Waiter]chan struct{}
 	refused map[queue.Reason]uint64
@@ -57,10 +57,10 @@
 		opts.Moved = func(int, int) {}
 	}
 	g := &Gate{
-		clock: opts.Clock, moved: opts.Moved, limits: opts.Limits, limit: adapt.New(opts.Limits.Running),
+		clock: opts.Clock, limitChanged: opts.Moved, limits: opts.Limits, adaptive: adapt.New(opts.Limits.Running),
 		waiting: map[*queue.Waiter]chan struct{}{}, refused: map[queue.Reason]uint64{},
 	}
-	g.queue = queue.New(g.inForce(), queue.Options{Notify: g.wake})
+	g.queue = queue.New(g.effectiveLimits(), queue.Options{Notify: g.wake})
 	return g
 }
 
@@ -97,24 +97,24 @@
 }
 
 func (g *Gate) wait(ctx context.Context, arrived time.Time, w *queue.Waiter, decided chan struct{}) (Place, *Refusal) {
-	late := make(chan struct{})
-	stop := g.clock.AfterFunc(w.LatestStart.Sub(arrived), func() { close(late) })
+	expired := make(chan struct{})
+	stop := g.clock.AfterFunc(w.LatestStart.Sub(arrived), func() { close(expired) })
 	defer stop()
 	select {
 	case <-decided:
-	case <-late:
-		return g.giveUp(w, queue.ReasonLate)
+	case <-expired:
+		return g.cancelWait(w, queue.ReasonLate)
 	case <-ctx.Done():
-		return g.giveUp(w, goneOrLate(ctx))
+		return g.cancelWait(w, cancelReason(ctx))
 	}
 	// The waiter is decided before the channel is closed and does not change afterwards.
 	if w.Verdict == queue.VerdictRun {
-		return g.waited(w, arrived), nil
+		return g.recordWait(w, arrived), nil
 	}
 	return Place{}, &w.Refusal
 }
 
-func (g *Gate) waited(w *queue.Waiter, arrived time.Time) Place {
+func (g *Gate) recordWait(w *queue.Waiter, arrived time.Time) Place {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d := g.clock.Now().Sub(arrived)
@@ -123,9 +123,9 @@
 	return Place{gate: g, grant: w.Grant, Waited: d}
 }
 
-// giveUp ends a wait. A permit that was granted at the same moment goes to the next waiter; otherwise it would be lost
-// for good.
-func (g *Gate) giveUp(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
+// cancelWait ends a wait. A permit that was granted at the same moment goes to the next waiter; otherwise it would be
+// lost for good.
+func (g *Gate) cancelWait(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	granted := w.Verdict == queue.VerdictRun
@@ -136,8 +136,8 @@
 	return Place{}, &refusal
 }
 
-// goneOrLate returns the reason for a wait that ended with its context.
-func goneOrLate(ctx context.Context) queue.Reason {
+// cancelReason returns the reason for a wait that ended with its context.
+func cancelReason(ctx context.Context) queue.Reason {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return queue.ReasonLate
 	}
@@ -166,39 +166,39 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits = limits
-	g.limit.SetCap(limits.Running)
-	g.queue.SetLimits(g.clock.Now(), g.inForce())
+	g.adaptive.SetCap(limits.Running)
+	g.queue.SetLimits(g.clock.Now(), g.effectiveLimits())
 }
 
 // Replied records the time from the start of a query to the answer of a shard, or the time after which a try was
 // canceled.
 func (g *Gate) Replied(took time.Duration) {
-	g.adapt(func(now time.Time) bool { return g.limit.Reply(now, took, g.queue.Running()) })
+	g.updateLimit(func(now time.Time) bool { return g.adaptive.Reply(now, took, g.queue.Running()) })
 }
 
 // Shed records that a replica without free capacity rejected a try.
 func (g *Gate) Shed() {
-	g.adapt(func(now time.Time) bool { return g.limit.Shed(now, g.queue.Running()) })
+	g.updateLimit(func(now time.Time) bool { return g.adaptive.Shed(now, g.queue.Running()) })
 }
 
-func (g *Gate) adapt(learn func(now time.Time) bool) {
+func (g *Gate) updateLimit(observe func(now time.Time) bool) {
 	g.mu.Lock()
-	now, from := g.clock.Now(), g.limit.Current()
-	moved := learn(now)
-	if moved {
-		g.queue.SetLimits(now, g.inForce())
+	now, from := g.clock.Now(), g.adaptive.Current()
+	changed := observe(now)
+	if changed {
+		g.queue.SetLimits(now, g.effectiveLimits())
 	}
-	to := g.limit.Current()
+	to := g.adaptive.Current()
 	g.mu.Unlock()
-	if moved {
-		g.moved(from, to)
+	if changed {
+		g.limitChanged(from, to)
 	}
 }
 
-// inForce returns the configured limits with the concurrency reduced to the adaptive limit.
-func (g *Gate) inForce() Limits {
+// effectiveLimits returns the configured limits with the concurrency reduced to the adaptive limit.
+func (g *Gate) effectiveLimits() Limits {
 	l := g.limits
-	l.Running = g.limit.Current()
+	l.Running = g.adaptive.Current()
 	return l
 }
 
@@ -217,7 +217,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := Stats{
-		Running: g.queue.Running(), Waiting: g.queue.Waiting(), Limit: g.limit.Current(),
+		Running: g.queue.Running(), Waiting: g.queue.Waiting(), Limit: g.adaptive.Current(),
 		Refused: make(map[queue.Reason]uint64, len(g.refused)), Waits: g.waits, WaitTotal: g.waitTotal,
 	}
 	for reason, n := range g.refused {
@@ -233,5 +233,5 @@
 	if g.queue.Waiting() > 0 {
 		return 1
 	}
-	return min(1, float64(g.queue.Running())/float64(g.limit.Current()))
+	return min(1, float64(g.queue.Running())/float64(g.adaptive.Current()))
 }
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -19,12 +19,12 @@
 	g := admission.New(admission.Options{Limits: admission.Limits{Running: running, Waiting: 8, CallerShare: 1}})
 	// A gate starts at a part of its limit; replies of constant latency raise it to the full limit.
 	for range 8 {
-		raise(g, running)
+		raiseLimit(g, running)
 	}
 	return g
 }
 
-func raise(g *admission.Gate, running int) {
+func raiseLimit(g *admission.Gate, running int) {
 	var places []admission.Place
 	for len(places) < running && g.Stats().Running < g.Stats().Limit {
 		place, refusal := g.Enter(context.Background(), request("warm", time.Second))
@@ -47,19 +47,19 @@
 	return admission.Request{Caller: caller, Deadline: time.Now().Add(budget)}
 }
 
-type ended struct {
+type result struct {
 	place   admission.Place
 	refusal *admission.Refusal
 	took    time.Duration
 }
 
 // enter starts a request on a goroutine of its own and returns a channel that receives its outcome.
-func enter(ctx context.Context, g *admission.Gate, req admission.Request) <-chan ended {
-	ch := make(chan ended, 1)
+func enter(ctx context.Context, g *admission.Gate, req admission.Request) <-chan result {
+	ch := make(chan result, 1)
 	start := time.Now()
 	go func() {
 		place, refusal := g.Enter(ctx, req)
-		ch <- ended{place, refusal, time.Since(start)}
+		ch <- result{place, refusal, time.Since(start)}
 	}()
 	synctest.Wait()
 	return ch
@@ -116,16 +116,16 @@
 
 // Guards against a lost permit: a caller cancels its queued request, so that nobody would return the permit granted
 // to it.
-func TestCallerThatGivesUpTakesNoPlace(t *testing.T) {
+func TestCanceledWaitTakesNoPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
 		first, _ := g.Enter(context.Background(), request("a", time.Second))
 		ctx, cancel := context.WithCancel(context.Background())
-		gone := enter(ctx, g, request("b", time.Second))
+		canceled := enter(ctx, g, request("b", time.Second))
 		next := enter(context.Background(), g, request("c", time.Second))
 		cancel()
-		c.Check((<-gone).refusal.Reason, qt.Equals, queue.ReasonGone)
+		c.Check((<-canceled).refusal.Reason, qt.Equals, queue.ReasonGone)
 		first.Leave(true)
 		got := <-next
 		c.Assert(got.refusal, qt.IsNil)
@@ -145,10 +145,10 @@
 			first, refusal := g.Enter(context.Background(), request("a", time.Second))
 			c.Assert(refusal, qt.IsNil)
 			ctx, cancel := context.WithCancel(context.Background())
-			both := enter(ctx, g, request("b", time.Second))
+			queued := enter(ctx, g, request("b", time.Second))
 			cancel()
 			first.Leave(true)
-			if got := <-both; got.refusal == nil {
+			if got := <-queued; got.refusal == nil {
 				got.place.Leave(true)
 			}
 			c.Assert(g.Stats().Running, qt.Equals, 0)
@@ -171,14 +171,14 @@
 		_, refusal := g.Enter(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
 		// The running request and this one take 40 ms each, more than 50 ms: it is refused at once.
-		none := <-enter(context.Background(), g, request("b", 50*ms))
-		c.Check(none.refusal.Reason, qt.Equals, queue.ReasonLate)
-		c.Check(none.took, qt.Equals, time.Duration(0))
-		c.Check(none.refusal.RetryAfter >= 40*ms && none.refusal.RetryAfter < 200*ms, qt.IsTrue, qt.Commentf("%v", none.refusal.RetryAfter))
+		hopeless := <-enter(context.Background(), g, request("b", 50*ms))
+		c.Check(hopeless.refusal.Reason, qt.Equals, queue.ReasonLate)
+		c.Check(hopeless.took, qt.Equals, time.Duration(0))
+		c.Check(hopeless.refusal.RetryAfter >= 40*ms && hopeless.refusal.RetryAfter < 200*ms, qt.IsTrue, qt.Commentf("%v", hopeless.refusal.RetryAfter))
 		// This one can still be answered in time, until the running request takes longer than usual.
-		stuck := <-enter(context.Background(), g, request("b", 100*ms))
-		c.Check(stuck.refusal.Reason, qt.Equals, queue.ReasonLate)
-		c.Check(stuck.took <= 60*ms, qt.IsTrue, qt.Commentf("%v", stuck.took))
+		delayed := <-enter(context.Background(), g, request("b", 100*ms))
+		c.Check(delayed.refusal.Reason, qt.Equals, queue.ReasonLate)
+		c.Check(delayed.took <= 60*ms, qt.IsTrue, qt.Commentf("%v", delayed.took))
 	})
 }
 
@@ -218,8 +218,8 @@
 	}
 }
 
-// BenchmarkHandOver measures the transfer of a permit to the next of 128 queued requests.
-func BenchmarkHandOver(b *testing.B) {
+// BenchmarkTransferPermit measures the transfer of a permit to the next of 128 queued requests.
+func BenchmarkTransferPermit(b *testing.B) {
 	now := time.Now()
 	var granted queue.Grant
 	q := queue.New(queue.Limits{Running: 1, Waiting: 128, CallerShare: 0.5}, queue.Options{Notify: func(w *queue.Waiter) { granted = w.Grant }})
