--- a/entry/internal/admission/queue/doc.go
+++ b/entry/internal/admission/queue/doc.go
@@ -1,2 +1,3 @@
-// Package queue decides which requests of one service run now, which wait and in which order, and which are refused.
+// Package queue decides which requests of a service run at once, which are queued and in which order, and which are
+// refused.
 package queue
--- a/entry/internal/admission/queue/estimate.go
+++ b/entry/internal/admission/queue/estimate.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// smoothing is the weight of a new sample in an estimate, as one part in smoothing; eight samples follow a change of
-// load within a few tens of milliseconds and one straggler moves the mean by an eighth of itself.
+// smoothing is the inverse weight of a new sample in a moving average. With 8, the average follows a change of load
+// within a few tens of milliseconds, and a single slow request adds an eighth of its own time.
 const smoothing = 8
 
-// settled is how many samples of a class it takes before it is believed rather than the mean of all.
+// settled is the number of samples from which on the estimate of a class is used instead of that of all requests.
 const settled = 4
 
-// classes is the number of kinds of requests told apart; two callers or keys that fall together only share an estimate.
+// classes is the number of hash buckets for callers and keys; those that collide only share an estimate.
 const classes = 1024
 
-// class estimates the time that requests of one caller and key take.
+// class estimates how long requests of one caller and key take.
 type class struct {
 	n int
-	// held is the mean time that a place was taken, whatever the outcome.
+	// held is the mean time for which a permit was held, regardless of the outcome.
 	held time.Duration
-	// done and spread are the mean time and mean deviation of those that were answered in full; requests cut off by
-	// their deadline would teach that every request needs exactly its deadline.
+	// done and spread are the mean time and its mean deviation over requests that were answered in full. Requests cut
+	// off by their deadline are left out: they would raise the estimate to the deadline itself.
 	done, spread time.Duration
 	nDone        int
 }
 
+// learn adds a sample to the estimates.
 func (c *class) learn(held time.Duration, complete bool) {
 	c.n++
 	c.held = mean(c.held, held, c.n)
@@ -38,15 +39,17 @@
 	c.spread = mean(c.spread, off, c.nDone)
 }
 
-// mean is the arithmetic mean for the first samples and an exponential one after.
+// mean returns the average with sample as its n-th sample: arithmetic at first, exponentially weighted from smoothing
+// samples on.
 func mean(old, sample time.Duration, n int) time.Duration {
 	return old + (sample-old)/time.Duration(min(n, smoothing))
 }
 
-// median follows the middle of a stream of samples by small steps; unlike a mean, it is not moved by a few long
-// requests, which it serves to recognise.
+// median estimates the median of a stream of samples by small steps. It serves to recognize long requests and, unlike a
+// mean, is hardly changed by a few of them.
 type median struct{ value time.Duration }
 
+// medianStep is the inverse of the share of the value by which a sample changes it.
 const medianStep = 16
 
 func (m *median) learn(sample time.Duration) {
@@ -60,7 +63,7 @@
 	}
 }
 
-// classOf hashes caller and key by FNV-1a.
+// classOf returns the class of a request, by the FNV-1a hash of caller and key.
 func (q *Queue) classOf(req Request) *class {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
@@ -72,7 +75,7 @@
 	return &q.byClass[h%classes]
 }
 
-// expected is how long a request of the class is going to take its place.
+// expected returns the time for which a request of the class is expected to hold a permit.
 func (q *Queue) expected(c *class) time.Duration {
 	if c.n >= settled {
 		return c.held
@@ -80,7 +83,7 @@
 	return q.all.held
 }
 
-// need is the time within which a request of the class is likely to be answered once it runs.
+// need returns the time from its start within which a request of the class is likely to be answered.
 func (q *Queue) need(c *class) time.Duration {
 	if c.nDone >= settled {
 		return c.done + c.spread
@@ -88,22 +91,22 @@
 	return q.all.done + q.all.spread
 }
 
-// longFactor is how many times longer than the median a class of requests takes to be held back as long.
+// longFactor is the multiple of the median hold time above which a class of requests counts as long.
 const longFactor = 4
 
 func (q *Queue) isLong(c *class) bool {
 	return c.n >= settled && c.held > longFactor*q.typical.value
 }
 
-// longPlaces is how many places long requests may take together, even while others are free.
+// longPlaces returns the number of permits that long requests may hold together, even while others are free.
 //
-// Places can't be taken back from a request that runs. Without a bound, a dozen long requests that arrive
-// in a quiet moment take every place and all short ones wait for the first of them to end. Long is relative
-// to the median of the service, so where all requests are long none is bounded.
+// Running requests are not preempted. Without the bound, a dozen long requests that arrive while the service is idle
+// take every permit, and all short ones wait for the first of them to end. Requests are long relative to the median of
+// the service, so the bound does not apply where all requests take equally long.
 func (q *Queue) longPlaces() int { return max(1, q.limits.Running/2) }
 
-// wait estimates how long a request that arrives now would wait: the requests that are served before it, at the rate at
-// which places have been given back.
+// wait estimates the waiting time of a request that arrives now from the number of requests that are served before it
+// and the rate at which permits are returned.
 func (q *Queue) wait(f *flow, key string, c *class, long bool) time.Duration {
 	own, flows := 0, len(q.active)
 	if f != nil {
@@ -112,7 +115,7 @@
 	if f == nil || f.waiting == 0 {
 		flows++
 	}
-	// Served in turns, each other caller goes before this one at most once for each request it has waiting.
+	// Callers are served in turns, so each other caller is served at most once before each request of this one.
 	ahead := min(q.waiting, (own+1)*flows-1)
 	wait := q.all.held * time.Duration(ahead+1) / time.Duration(q.limits.Running)
 	if f != nil {
@@ -124,17 +127,17 @@
 	return wait
 }
 
-// A queue that has not been empty for standingAfter is no burst but load over capacity; who waits in it then may spend
-// one part in standingPart of the time to spare.
+// A queue that has not been empty for standingAfter is caused by load over capacity rather than by a burst. A request
+// may then wait for at most 1/standingPart of the time it has to spare.
 const (
 	standingAfter = 100 * time.Millisecond
 	standingPart  = 4
 )
 
-// patience is how long a request may wait that has slack to spare before its deadline.
+// patience returns how long a request may wait if it has slack to spare before its deadline.
 //
-// A queue that is always full serves no more requests than a short one, but each of them as late as its
-// deadline allows. A burst may use the whole slack, since the queue ends with it.
+// A queue that is always full serves no more requests than a short one, but each of them as late as its deadline
+// allows. In a burst the whole slack may be used, since the queue drains after it.
 func (q *Queue) patience(now time.Time, slack time.Duration) time.Duration {
 	if q.waiting > 0 && now.Sub(q.idle) > standingAfter {
 		return slack / standingPart
@@ -142,18 +145,18 @@
 	return slack
 }
 
-// The bounds of RetryAfter: shorter would come back within the same backlog, longer is a guess about load that is not
-// here yet.
+// The bounds of RetryAfter. After a shorter delay a request meets the same backlog; a longer one would depend on load
+// that can't be predicted.
 const (
 	leastRetry = 5 * time.Millisecond
 	mostRetry  = 5 * time.Second
 )
 
-// retryAfter is the time the backlog takes to drain and, spread at random on top of it, the time it takes to serve
-// those refused within the last second.
+// retryAfter returns the time in which the backlog drains, plus a random part of the time that it takes to serve the
+// requests refused within the last second.
 //
-// A fixed value would send every refused caller back at once. The spread makes those refused come back at the rate at
-// which they can be served.
+// After a fixed delay all refused callers would retry at once. The random part spreads the retries to the rate at which
+// they can be served.
 func (q *Queue) retryAfter(now time.Time) time.Duration {
 	perPlace := q.all.held / time.Duration(q.limits.Running)
 	drain := perPlace * time.Duration(q.waiting+1)
@@ -162,12 +165,13 @@
 	return min(max(d, leastRetry), mostRetry)
 }
 
-// recent counts events of the current and the last second.
+// recent counts the events of the current and the previous second.
 type recent struct {
 	second    int64
 	now, last int
 }
 
+// roll moves the counts on to the second of now.
 func (r *recent) roll(now time.Time) {
 	second := now.Unix()
 	switch second - r.second {
@@ -185,7 +189,7 @@
 	r.now++
 }
 
-// count returns the events of about the last second.
+// count returns the approximate number of events within the last second.
 func (r *recent) count(now time.Time) int {
 	r.roll(now)
 	left := time.Second - time.Duration(now.Nanosecond())
--- a/entry/internal/admission/queue/flow.go
+++ b/entry/internal/admission/queue/flow.go
@@ -5,31 +5,34 @@
 	"time"
 )
 
-// flow is the requests of one caller.
+// flow holds the state of one caller.
 type flow struct {
 	caller string
-	// served is the place-time this caller has had, on the scale of Queue.served; the caller with the least goes next.
+	// served is the virtual time of the caller: the time for which it held permits, on the scale of Queue.served. The
+	// caller with the least is served next.
 	served  time.Duration
 	running int
 	waiting int
-	// pace is the mean time between two starts of the caller's waiting requests, zero unless it has had two since it
-	// began to wait.
+	// pace is the mean interval between the starts of two queued requests of the caller, or zero if fewer than two have
+	// started since requests of the caller began to wait.
 	pace      time.Duration
 	paces     int
 	lastStart time.Time
 	keys      []*keyQueue
-	// keyServed is to the keys of the caller what Queue.served is to the callers.
+	// keyServed is the virtual time among the keys of the caller, as Queue.served is among callers.
 	keyServed time.Duration
 }
 
-// keyQueue is the waiting requests of one caller and key, oldest first.
+// keyQueue holds the queued requests of one caller and key, oldest first.
 type keyQueue struct {
-	flow   *flow
-	key    string
+	flow *flow
+	key  string
+	// served is the virtual time of the key, on the scale of flow.keyServed.
 	served time.Duration
 	items  []*Waiter
 }
 
+// keyQueue returns the queue of a key and creates it if there is none.
 func (f *flow) keyQueue(key string) *keyQueue {
 	for _, k := range f.keys {
 		if k.key == key {
@@ -41,7 +44,7 @@
 	return k
 }
 
-// next returns the key to serve next, or nil where all wait for a place for long requests.
+// next returns the queue of the key to serve next, or nil if each starts with a long request and longFree is not set.
 func (f *flow) next(longFree bool) *keyQueue {
 	var best *keyQueue
 	for _, k := range f.keys {
@@ -55,7 +58,7 @@
 	return best
 }
 
-// started notes that a waiting request of the caller was given a place.
+// started records that a queued request of the caller was granted a permit.
 func (f *flow) started(now time.Time) {
 	if !f.lastStart.IsZero() {
 		f.paces++
@@ -64,8 +67,8 @@
 	f.lastStart = now
 }
 
-// ahead returns how many of the caller's waiting requests are served before one of the key that arrives now, its keys
-// taking turns.
+// ahead returns how many queued requests of the caller are served before one of the key that arrives now; the keys are
+// served in turns.
 func (f *flow) ahead(key string) int {
 	own, keys := f.waitingOf(key), len(f.keys)
 	if own == 0 {
@@ -74,12 +77,12 @@
 	return min(f.waiting, (own+1)*keys-1)
 }
 
-// longest returns the key with the most requests waiting.
+// longest returns the queue of the key with the most queued requests.
 func (f *flow) longest() *keyQueue {
 	return slices.MaxFunc(f.keys, func(a, b *keyQueue) int { return len(a.items) - len(b.items) })
 }
 
-// waitingOf returns how many requests of the key wait.
+// waitingOf returns the number of queued requests of the key.
 func (f *flow) waitingOf(key string) int {
 	for _, k := range f.keys {
 		if k.key == key {
@@ -89,9 +92,11 @@
 	return 0
 }
 
-// maxIdle is how many callers without a request are remembered, so that names made up for each request take no memory.
+// maxIdle is the number of idle callers whose state is kept, so that clients that send a new caller name with each
+// request can't exhaust the memory.
 const maxIdle = 1024
 
+// flow returns the flow of a caller and creates it if there is none.
 func (q *Queue) flow(caller string) *flow {
 	if f := q.flows[caller]; f != nil {
 		return f
@@ -104,6 +109,7 @@
 	return f
 }
 
+// forgetIdle removes the flows of callers without a running or queued request.
 func (q *Queue) forgetIdle() {
 	for name, f := range q.flows {
 		if f.running == 0 && f.waiting == 0 {
@@ -112,9 +118,10 @@
 	}
 }
 
+// push appends a request to the queue of its caller and key.
 func (q *Queue) push(req Request, f *flow, c *class, long bool) *Waiter {
 	if f.waiting == 0 {
-		// A caller that was idle gets no credit for it, or it could take every place for as long as it was away.
+		// Idle time gives a caller no credit; otherwise it could take every permit for as long as it had been idle.
 		f.served = max(f.served, q.served)
 		q.active = append(q.active, f)
 	}
@@ -129,7 +136,7 @@
 	return w
 }
 
-// remove takes a waiter out of its queue.
+// remove removes a waiter from its queue.
 func (q *Queue) remove(w *Waiter) {
 	k, f := w.key, w.key.flow
 	k.items = slices.DeleteFunc(k.items, func(other *Waiter) bool { return other == w })
--- a/entry/internal/admission/queue/model_test.go
+++ b/entry/internal/admission/queue/model_test.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/entry/internal/admission/queue"
 )
 
-// call is one request of a scene and what its caller got.
+// call is one simulated request and its outcome.
 type call struct {
 	at      time.Duration
 	caller  string
@@ -26,11 +26,11 @@
 	running bool
 	ended   bool
 	sent    time.Time
-	// comesBack says that the caller asks again when a refusal told it to.
+	// comesBack reports whether the caller retries a refused call after the retry delay.
 	comesBack bool
 }
 
-// model plays calls against one host and one upstream with a number of slots, in virtual time.
+// model simulates calls to one host and one upstream with a number of slots, in virtual time.
 type model struct {
 	now    time.Time
 	events eventHeap
@@ -39,11 +39,11 @@
 	slow   func(now time.Duration) float64
 	queued []*call
 	policy policy
-	// again is the calls of those that came back after a refusal.
+	// again holds the retries of refused calls.
 	again []*call
 }
 
-// policy is what stands between the calls and the upstream.
+// policy is the admission policy between the calls and the upstream.
 type policy struct {
 	enter  func(m *model, c *call)
 	expire func(m *model, c *call)
@@ -80,7 +80,7 @@
 	heap.Push(&m.events, timedEvent{at: m.now.Add(d), seq: m.seq, run: run})
 }
 
-// play runs the calls to their ends and returns them with those that came back.
+// play simulates the calls until all have ended and returns them together with their retries.
 func play(slow func(time.Duration) float64, p policy, calls []*call) []*call {
 	m := &model{now: epoch, slots: slots, slow: slow, policy: p}
 	if m.slow == nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// end answers a call that ran; the upstream accepts cancellation, so its slot is free at once.
+// end ends a running call. The upstream supports cancellation, so the slot is free at once.
 func (m *model) end(c *call, outcome string) {
 	inSlot := c.outcome == "in a slot"
 	c.ended, c.outcome, c.took = true, outcome, m.now.Sub(epoch)-c.at
@@ -161,7 +161,7 @@
 // admit is the policy under test.
 func admit(limits queue.Limits) policy { return admitUnder(limits, nil) }
 
-// admitUnder is the policy under test with a limit that follows the upstream; limit may be nil.
+// admitUnder is the policy under test with an adaptive limit, which may be nil.
 func admitUnder(limits queue.Limits, limit *adapt.Limit) policy {
 	if limit != nil {
 		limits.Running = limit.Current()
@@ -210,7 +210,7 @@
 	}
 }
 
-// fifo is the plain baseline: first come, first served, up to running at once, the rest waits until its deadline.
+// fifo is the baseline: a FIFO queue in which calls wait until their deadline, with at most running calls at once.
 func fifo(running, waiting int) policy {
 	n, line := 0, []*call(nil)
 	drop := func(c *call) { line = slices.DeleteFunc(line, func(other *call) bool { return other == c }) }
@@ -243,16 +243,17 @@
 type load struct {
 	caller string
 	keys   []string
-	// rate is in calls a second, from and until bound them.
+	// rate is in calls per second, from and until bound the arrivals.
 	rate        float64
 	from, until time.Duration
-	// work is the mean of the log-normal service time, budget what a call is given to the deadline.
+	// work is the mean of the log-normal service time, budget the time from arrival to the deadline.
 	work, budget time.Duration
 }
 
+// sigma is the standard deviation of the logarithm of the service time.
 const sigma = 0.5
 
-// calls draws the arrivals of all loads, ordered by time.
+// calls draws the arrivals of all loads and orders them by time.
 func calls(loads ...load) []*call {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var list []*call
@@ -274,13 +275,14 @@
 	return list
 }
 
-// got sums up what the calls chosen by keep got.
+// got sums up the outcomes of a set of calls.
 type got struct {
 	offered, good, late, refused int
-	// p50 and p99 are of good calls, refusalP99 is how long refused ones waited for their answer.
+	// p50 and p99 are the latencies of good calls, refusalP99 is that of refusals.
 	p50, p99, refusalP99 time.Duration
 }
 
+// sum sums up the outcomes of the calls for which keep returns true.
 func sum(list []*call, keep func(c *call) bool) got {
 	var g got
 	var took, refusals []time.Duration
--- a/entry/internal/admission/queue/queue.go
+++ b/entry/internal/admission/queue/queue.go
@@ -8,25 +8,25 @@
 
 // Options configures a Queue.
 type Options struct {
-	// Notify is called with each waiter that is decided, within the call that decided it; nil means that nobody is
-	// told.
+	// Notify is called with each waiter that is granted a permit or refused, within the call that decides it; it may be
+	// nil.
 	Notify func(w *Waiter)
-	// Float64 draws the spread of RetryAfter from [0, 1); nil means rand.Float64.
+	// Float64 returns a random number in [0, 1) for the jitter of RetryAfter; nil means rand.Float64.
 	Float64 func() float64
 }
 
-// Queue holds the requests of one service on one host; it never blocks and is not safe for concurrent use.
+// Queue holds the running and queued requests of one service on one host. It never blocks and is not safe for
+// concurrent use.
 //
-// It answers more load than can be served, in whole or from a few callers or keys, and long work among
-// short. Without it every request waits as long as the queue is, so all of them miss their deadlines at
-// the load at which a few would have to; the caller that sends most is served most; and long requests
-// take every place.
+// It handles overload, whether from all callers or from a few callers or keys, and long requests among short ones. With
+// a FIFO queue every request waits for the whole queue, so all miss their deadlines under a load at which only a few
+// have to; the caller that sends the most requests gets the most served; and long requests hold every permit.
 //
-// A request that can't be answered in time is refused when it arrives: the requests before it, at the rate
-// at which places were given back, and its own time say so. What waits is served in turns, first among
-// callers, then among the keys of a caller, by the place-time that each has had, so that one long request
-// counts as much as the many short ones that fit into its time. A full queue makes room for a caller that
-// has fewer waiting. docs/design/admission.md gives the thresholds with the runs that chose them.
+// A request that can't be answered in time is refused on arrival, as estimated from the number of requests before it,
+// the rate at which permits are returned and its own expected duration. Queued requests are served by fair queueing,
+// first among callers, then among the keys of a caller. The measure is the time for which permits are held, so that one
+// long request counts as much as the short ones that fit into its time. A full queue displaces a request of the caller
+// with the most queued in favor of a caller with fewer. docs/design/admission.md explains the thresholds.
 type Queue struct {
 	opts   Options
 	limits Limits
@@ -38,10 +38,10 @@
 	typical median
 	refused recent
 
-	// served is the place-time that a caller which always had something waiting has been given; callers that begin to
-	// wait start from it.
+	// served is the virtual time of the queue: the permit time given to a caller that always had requests queued.
+	// Callers that begin to wait start from it.
 	served time.Duration
-	// idle is when last nobody waited.
+	// idle is the last time at which no request waited.
 	idle                     time.Time
 	running, waiting         int
 	longRunning, longWaiting int
@@ -58,17 +58,17 @@
 	return &Queue{opts: opts, limits: limits, flows: map[string]*flow{}}
 }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
 // Limits returns the limits in force.
 func (q *Queue) Limits() Limits { return q.limits }
 
-// SetLimits puts new limits in force at once: a higher one lets waiting requests run, a shorter queue refuses those
-// that no longer fit.
+// SetLimits applies new limits at once: with a higher limit queued requests start, with a shorter queue those that no
+// longer fit are refused.
 func (q *Queue) SetLimits(now time.Time, limits Limits) {
 	q.limits = limits
 	q.fill(now)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Arrive decides about a request that arrives at now.
+// Arrive decides whether a request that arrives at now runs, waits or is refused.
 func (q *Queue) Arrive(now time.Time, req Request) Arrival {
 	if !now.Before(req.Deadline) {
 		return q.turnAway(now, ReasonLate)
@@ -105,8 +105,8 @@
 	return Arrival{Verdict: VerdictWait, Waiter: q.push(req, q.flow(req.Caller), c, long)}
 }
 
-// Leave gives a place back and learns from it; complete says whether the answer was whole rather than cut short by a
-// deadline or a failure.
+// Leave returns a permit and updates the estimates; complete reports whether the request was answered in full rather
+// than cut short by a deadline or a failure.
 func (q *Queue) Leave(now time.Time, g Grant, complete bool) {
 	held := max(0, now.Sub(g.start))
 	g.flow.served += held - g.cost
@@ -116,14 +116,14 @@
 	q.release(now, g)
 }
 
-// Return gives back a place that was not used.
+// Return returns a permit that was not used.
 func (q *Queue) Return(now time.Time, g Grant) {
 	g.flow.served -= g.cost
 	q.release(now, g)
 }
 
-// Cancel ends the wait of a request whose caller gave up or whose LatestStart passed; a place that it was given
-// meanwhile is given back.
+// Cancel ends the wait of a request whose caller canceled it or whose LatestStart has passed; a permit that it was
+// granted meanwhile is returned.
 func (q *Queue) Cancel(now time.Time, w *Waiter, reason Reason) Refusal {
 	switch w.Verdict {
 	case VerdictWait:
@@ -135,11 +135,12 @@
 	return w.Refusal
 }
 
+// start takes a permit for a request and charges its expected cost to the flow.
 func (q *Queue) start(now time.Time, f *flow, c *class, long bool) Grant {
 	g := Grant{flow: f, class: c, start: now, cost: q.expected(c), long: long}
 	q.served = max(q.served, f.served)
-	// Time goes on for those that wait even while others arrive for the first time, or a caller that was
-	// served lately would be overtaken by newcomers until its deadline.
+	// The virtual time advances with each start, also when new callers arrive. Otherwise new callers would overtake a
+	// recently served caller until its deadline.
 	q.served += g.cost / time.Duration(len(q.active)+1)
 	f.served += g.cost
 	f.running++
@@ -150,6 +151,7 @@
 	return g
 }
 
+// release frees a permit and passes it on.
 func (q *Queue) release(now time.Time, g Grant) {
 	g.flow.running--
 	q.running--
@@ -160,14 +162,14 @@
 	q.trim(now)
 }
 
-// doubt is how many times longer than its time left a wait must seem before a request that was let in is refused: the
-// estimate is a mean, and a request at the end of the line was let in by the same.
+// doubt is the factor by which the estimated wait must exceed the remaining time before a queued request is refused.
+// The estimate is a mean, and the last request in the queue was admitted by the same estimate.
 const doubt = 2
 
-// trim refuses from the end of the longest line what can't be reached in time any more.
+// trim refuses requests at the end of the longest queue that can no longer be started in time.
 //
-// When the upstream becomes slower, those that wait were let in by an estimate that no longer holds. Those
-// at the end would wait to their last moment for nothing, and be told then.
+// When the upstream slows down, the estimate that queued requests were admitted by no longer holds. Without trim, the
+// last ones wait until LatestStart and are refused only then.
 func (q *Queue) trim(now time.Time) {
 	for q.waiting > 0 {
 		f := q.longestFlow()
@@ -180,7 +182,7 @@
 	}
 }
 
-// fill gives free places to waiting requests.
+// fill grants free permits to queued requests and refuses those whose LatestStart has passed.
 func (q *Queue) fill(now time.Time) {
 	for q.running < q.limits.Running {
 		k := q.next()
@@ -202,8 +204,8 @@
 	}
 }
 
-// next returns the queue whose oldest request runs next: of the callers below their share, or of all where each has it,
-// the one with the least place-time.
+// next returns the queue whose oldest request runs next, that of the caller with the least virtual time. Callers below
+// their share go before those that have reached it.
 func (q *Queue) next() *keyQueue {
 	share, longFree := q.shareOf(q.limits.Running), q.longFree()
 	var best, over *keyQueue
@@ -223,6 +225,7 @@
 	return best
 }
 
+// lessServed returns the queue whose caller has the lower virtual time, a if they are equal.
 func lessServed(a, b *keyQueue) *keyQueue {
 	if a == nil || b.flow.served < a.flow.served {
 		return b
@@ -230,16 +233,18 @@
 	return a
 }
 
+// longFree reports whether one more long request may run.
 func (q *Queue) longFree() bool { return q.longRunning < q.longPlaces() }
 
+// shareOf returns the share of n that one caller may use, at least 1.
 func (q *Queue) shareOf(n int) int {
 	return max(1, int(math.Ceil(q.limits.CallerShare*float64(n))))
 }
 
-// makeRoom refuses the newest request of the caller with the most waiting, if that caller has more than the one that
-// arrives, or of one of its own keys.
+// makeRoom refuses the newest request of the caller with the most queued, if that caller has more than the arriving
+// one; otherwise one of the arriving caller's own keys may give way, as in makeRoomIn.
 //
-// The newest is taken since it has waited least and would be served last.
+// The newest request is chosen since it has waited the least and would be served last.
 func (q *Queue) makeRoom(now time.Time, f *flow, key string) bool {
 	if q.waiting == 0 {
 		return false
@@ -255,7 +260,8 @@
 	return true
 }
 
-// makeRoomIn does the same between the keys of one caller.
+// makeRoomIn refuses the newest request of the caller's key with the most queued, if that key has more than the one
+// given.
 func (q *Queue) makeRoomIn(now time.Time, f *flow, key string) bool {
 	if len(f.longest().items) <= f.waitingOf(key)+1 {
 		return false
@@ -264,6 +270,7 @@
 	return true
 }
 
+// longestFlow returns the caller with the most queued requests.
 func (q *Queue) longestFlow() *flow {
 	longest := q.active[0]
 	for _, f := range q.active {
@@ -274,6 +281,7 @@
 	return longest
 }
 
+// newest returns the newest request of the caller's key with the most queued.
 func (q *Queue) newest(f *flow) *Waiter {
 	items := f.longest().items
 	return items[len(items)-1]
@@ -285,6 +293,7 @@
 	q.opts.Notify(w)
 }
 
+// turnAway refuses a request that arrives.
 func (q *Queue) turnAway(now time.Time, reason Reason) Arrival {
 	return Arrival{Verdict: VerdictRefuse, Refusal: q.refusal(now, reason)}
 }
--- a/entry/internal/admission/queue/rapid_test.go
+++ b/entry/internal/admission/queue/rapid_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// machine drives a queue by random calls and checks after each what must hold in all of them.
+// machine drives a queue by random operations and checks its invariants after each of them.
 type machine struct {
 	q       *queue.Queue
 	now     time.Time
@@ -50,14 +50,14 @@
 	switch a.Verdict {
 	case queue.VerdictRun:
 		if !free {
-			t.Fatal("a request runs though no place was free")
+			t.Fatal("a request was started without a free permit")
 		}
 		m.running = append(m.running, a.Grant)
 	case queue.VerdictWait:
 		m.waiting = append(m.waiting, a.Waiter)
 	case queue.VerdictRefuse:
 		if a.Refusal.RetryAfter <= 0 {
-			t.Fatal("a refusal does not say when to come back")
+			t.Fatal("a refusal has no retry delay")
 		}
 	}
 }
@@ -99,23 +99,23 @@
 		t.Fatalf("counts %d running, %d waiting; want %d, %d", m.q.Running(), m.q.Waiting(), len(m.running), len(m.waiting))
 	}
 	if m.q.Waiting() > m.limits.Waiting {
-		t.Fatalf("%d wait, over the limit of %d", m.q.Waiting(), m.limits.Waiting)
+		t.Fatalf("%d requests wait, more than the limit of %d", m.q.Waiting(), m.limits.Waiting)
 	}
 	for _, w := range m.waiting {
 		if m.q.Running() < m.limits.Running && !w.Long {
-			t.Fatal("a request waits beside a free place")
+			t.Fatal("a request waits although a permit is free")
 		}
 	}
 	for w, n := range m.told {
 		if n != 1 {
-			t.Fatalf("a waiter was decided %d times: %+v", n, w)
+			t.Fatalf("Notify was called %d times for one waiter: %+v", n, w)
 		}
 	}
 }
 
-// The story of each way to lose a place is the same: a caller gives up, or an operator changes a limit, at
-// the moment at which a place is handed over; the place is counted as taken for good, and days later the
-// host refuses everybody while it runs nothing. Whatever the order, all places must be there at the end.
+// Guards against lost permits: a caller cancels, or a limit changes, at the moment at which a permit is granted, and the
+// permit counts as taken for good, until the host refuses every request while it runs none. After any sequence of
+// operations all permits must be free again.
 func TestNoPlaceIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{now: epoch, told: map[*queue.Waiter]int{}}
@@ -140,7 +140,7 @@
 			m.q.Leave(m.now, g, true)
 		}
 		if m.q.Running() != 0 || m.q.Waiting() != 0 {
-			t.Fatalf("%d run and %d wait after all have left", m.q.Running(), m.q.Waiting())
+			t.Fatalf("%d requests run and %d wait after all permits were returned", m.q.Running(), m.q.Waiting())
 		}
 	})
 }
--- a/entry/internal/admission/queue/request.go
+++ b/entry/internal/admission/queue/request.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// Request is what the queue knows of a request.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
-	// Caller is who asks; places are shared fairly among callers.
+	// Caller identifies the client; permits are shared fairly among callers.
 	Caller string
-	// Key groups requests that load the same part of an upstream; a caller's places are shared fairly among its keys.
+	// Key groups requests that load the same part of an upstream; a caller's permits are shared fairly among its keys.
 	Key string
-	// Deadline is when the answer is worth nothing any more.
+	// Deadline is the time after which the answer is of no use.
 	Deadline time.Time
 }
 
-// Limits bounds what runs and waits.
+// Limits bounds the number of running and queued requests.
 type Limits struct {
-	// Running is the most requests that run at once, at least 1.
+	// Running is the maximum number of concurrently running requests, at least 1.
 	Running int
-	// Waiting is the most requests that wait.
+	// Waiting is the maximum number of queued requests.
 	Waiting int
-	// CallerShare is the share of Running and of Waiting that one caller may take while others wait, above 0 and at
-	// most 1.
+	// CallerShare is the share of Running and of Waiting that one caller may use while others wait, above 0 and at most
+	// 1.
 	CallerShare float64
 }
 
-// Reason says why a request was refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 // The reasons of refusals.
 const (
 	// ReasonLate means that the request could not be answered before its deadline.
 	ReasonLate Reason = "it can't be answered before its deadline"
-	// ReasonFull means that every place to wait is taken.
+	// ReasonFull means that the queue is full.
 	ReasonFull Reason = "the queue is full"
-	// ReasonShare means that the caller has its share of the queue while others wait.
+	// ReasonShare means that the caller has used up its share of the queue while others wait.
 	ReasonShare Reason = "the caller has its share of the queue while others wait"
-	// ReasonDisplaced means that the request's place to wait went to a caller that had fewer.
+	// ReasonDisplaced means that the request was displaced by one of a caller or key with fewer queued requests.
 	ReasonDisplaced Reason = "its place in the queue went to a caller that had fewer"
-	// ReasonGone means that the caller ended the request itself.
+	// ReasonGone means that the caller canceled the request.
 	ReasonGone Reason = "the caller gave up"
 )
 
-// Refusal says why a request was not admitted and when its caller should come back.
+// Refusal holds the reason why a request was not admitted and the delay after which its caller should retry.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when the backlog will have drained, spread so that refused callers do not return together.
+	// RetryAfter is the estimated time in which the backlog drains, with jitter so that refused callers do not retry
+	// together.
 	RetryAfter time.Duration
 }
 
-// Verdict says what became of an arriving request.
+// Verdict is the state of a request after its arrival.
 type Verdict string
 
-// The verdicts.
+// The verdicts: the request runs, is queued or is refused.
 const (
 	VerdictRun    Verdict = "run"
 	VerdictWait   Verdict = "wait"
 	VerdictRefuse Verdict = "refuse"
 )
 
-// Arrival is the decision about an arriving request; the field that belongs to its verdict is set.
+// Arrival is the decision about an arriving request; only the field for its verdict is set.
 type Arrival struct {
 	Verdict Verdict
 	Grant   Grant
@@ -65,17 +66,17 @@
 	Refusal Refusal
 }
 
-// Grant is the right to run one request; it is given back by Leave or Return, once.
+// Grant is a permit to run one request; it is returned once, by Leave or Return.
 type Grant struct {
 	flow  *flow
 	class *class
 	start time.Time
-	// cost is the time the place was expected to be taken, as charged to the flow.
+	// cost is the expected hold time, as charged to the flow at the start.
 	cost time.Duration
 	long bool
 }
 
-// Waiter is a request that waits; Notify is called with it once it is decided.
+// Waiter is a queued request; Options.Notify is called with it once it is decided.
 type Waiter struct {
 	// Verdict is VerdictWait until it is decided.
 	Verdict Verdict
@@ -83,10 +84,10 @@
 	Grant Grant
 	// Refusal is set once Verdict is VerdictRefuse.
 	Refusal Refusal
-	// LatestStart is when waiting on is of no use, since the answer would come after the deadline.
+	// LatestStart is the time after which the request can't be answered before its deadline.
 	LatestStart time.Time
 
-	// Long says that the request waits for one of the places for long requests.
+	// Long reports whether the request counts as long and waits for one of the permits for long requests.
 	Long bool
 
 	key   *keyQueue
--- a/entry/internal/admission/queue/scene_test.go
+++ b/entry/internal/admission/queue/scene_test.go
@@ -13,11 +13,11 @@
 
 const (
 	ms = time.Millisecond
-	// slots and work give an upstream that serves 2,000 calls a second.
+	// slots and work give an upstream with a capacity of 2,000 calls per second.
 	slots = 20
 	work  = 10 * ms
 	peak  = 2000.0
-	// budget is the deadline of most calls and length how long a scene lasts.
+	// budget is the time from arrival to the deadline for most calls, length the duration of most scenarios.
 	budget = 60 * ms
 	length = 2 * time.Second
 	seed   = 1
@@ -25,7 +25,7 @@
 
 var limits = queue.Limits{Running: slots, Waiting: 128, CallerShare: 0.5}
 
-// callersOf spreads rate evenly over n callers.
+// callersOf returns the loads of n callers with equal shares of rate.
 func callersOf(n int, rate float64) []load {
 	list := make([]load, n)
 	for i := range list {
@@ -34,19 +34,19 @@
 	return list
 }
 
-// both plays the same calls under the policy and under the plain baseline.
+// both simulates the same calls under the policy under test and under the FIFO baseline.
 func both(t *testing.T, slow func(time.Duration) float64, loads ...load) (ours, plain []*call) {
 	ours = play(slow, admit(limits), calls(loads...))
 	plain = play(slow, fifo(slots, limits.Waiting), calls(loads...))
 	t.Logf("seed %d", seed)
 	t.Logf("ours  %+v", sum(ours, all))
-	t.Logf("plain %+v", sum(plain, all))
+	t.Logf("FIFO  %+v", sum(plain, all))
 	return ours, plain
 }
 
-// Three times more greeters ask than the upstream can serve. With a plain queue every request waits until
-// its deadline is nearly over, runs, and is thrown away half done, so fewer are served than at half the
-// load. Those that can't be served must hear so at once, and the others must be served as if alone.
+// Guards against a collapse of throughput at three times the capacity: in a FIFO queue every request waits until shortly
+// before its deadline and is cut off while it runs, so fewer are served than at half the load. Requests that can't be
+// served must be refused at once, and the others must be served as if they were alone.
 func TestSaturation(t *testing.T) {
 	c := qt.New(t)
 	atPeak := sum(play(nil, admit(limits), calls(callersOf(10, peak)...)), all)
@@ -54,15 +54,15 @@
 		ours, plain := both(t, nil, callersOf(n, 3*peak)...)
 		got, base := sum(ours, all), sum(plain, all)
 		c.Check(got.good >= atPeak.good*95/100, qt.IsTrue, qt.Commentf("%d callers: %d good, %d at the peak", n, got.good, atPeak.good))
-		c.Check(got.refusalP99 < 5*ms, qt.IsTrue, qt.Commentf("%d callers: refusals after %v", n, got.refusalP99))
+		c.Check(got.refusalP99 < 5*ms, qt.IsTrue, qt.Commentf("%d callers: p99 of refusals is %v", n, got.refusalP99))
 		c.Check(got.late < got.offered/100, qt.IsTrue, qt.Commentf("%d callers: %d late", n, got.late))
-		c.Check(base.good < got.good*80/100, qt.IsTrue, qt.Commentf("the plain queue serves %d", base.good))
-		c.Check(got.p50 < base.p50/2, qt.IsTrue, qt.Commentf("half are served within %v, plain %v", got.p50, base.p50))
+		c.Check(base.good < got.good*80/100, qt.IsTrue, qt.Commentf("the FIFO queue serves %d", base.good))
+		c.Check(got.p50 < base.p50/2, qt.IsTrue, qt.Commentf("p50 %v, FIFO %v", got.p50, base.p50))
 	}
 }
 
-// A board's software goes wrong and asks twenty times as often as all others together. With a plain queue
-// it holds nearly every place, and the others' lookups miss their deadlines. The others must hardly notice.
+// Guards against starvation by one faulty caller that sends up to ten times as many requests as all others together: in
+// a FIFO queue it holds nearly every permit, and the others miss their deadlines. Their latency must hardly rise.
 func TestHotCaller(t *testing.T) {
 	c := qt.New(t)
 	quiet := sum(play(nil, admit(limits), calls(callersOf(10, 0.6*peak)...)), all)
@@ -70,16 +70,16 @@
 		loads := append(callersOf(10, 0.6*peak), load{caller: "hot", rate: rate, until: length, work: work, budget: budget})
 		ours, plain := both(t, nil, loads...)
 		got, base := sum(ours, notOf("hot")), sum(plain, notOf("hot"))
-		c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, %v without the hot caller", got.p99, quiet.p99))
+		c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, without the hot caller %v", got.p99, quiet.p99))
 		c.Check(got.good >= got.offered*99/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
-		c.Check(base.good < base.offered/2, qt.IsTrue, qt.Commentf("the plain queue serves %d of %d", base.good, base.offered))
+		c.Check(base.good < base.offered/2, qt.IsTrue, qt.Commentf("the FIFO queue serves %d of %d", base.good, base.offered))
 		hot := sum(ours, of("hot"))
-		c.Check(float64(hot.good) >= 0.3*peak*length.Seconds(), qt.IsTrue, qt.Commentf("the hot caller gets what is left, %d", hot.good))
+		c.Check(float64(hot.good) >= 0.3*peak*length.Seconds(), qt.IsTrue, qt.Commentf("the hot caller is served %d times", hot.good))
 	}
 }
 
-// One colour is in demand: nine of ten lookups of one caller ask for it. With a plain queue the lookups
-// for all other colours wait behind it. They must be served as long as they are within their share.
+// Guards against starvation by a hot key: nine of ten requests of one caller ask for the same key, and in a FIFO queue
+// those for its other keys wait behind them. These must be served as long as they stay within their share.
 func TestHotKey(t *testing.T) {
 	c := qt.New(t)
 	shop := load{caller: "shop", rate: 0.2 * peak, keys: []string{"red", "blue", "green"}, until: length, work: work, budget: budget}
@@ -89,11 +89,11 @@
 	rest := func(c *call) bool { return c.key != "white" }
 	got, base := sum(ours, rest), sum(plain, rest)
 	c.Check(got.good >= got.offered*98/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
-	c.Check(base.good < base.offered*2/3, qt.IsTrue, qt.Commentf("the plain queue serves %d of %d", base.good, base.offered))
+	c.Check(base.good < base.offered*2/3, qt.IsTrue, qt.Commentf("the FIFO queue serves %d of %d", base.good, base.offered))
 }
 
-// A queue board reconnects and asks a thousand questions within 50 ms. The others' lookups must go on as
-// before; what can be served of the burst within its deadline is served, the rest hears at once.
+// Guards against a burst that delays other callers: one caller sends a thousand requests within 50 ms. The others must
+// be served as before, and those requests of the burst that can't be served in time must be refused at once.
 func TestBurst(t *testing.T) {
 	c := qt.New(t)
 	loads := append(callersOf(10, peak/2), load{caller: "burst", rate: 10 * peak, from: time.Second, until: time.Second + 50*ms, work: work, budget: budget})
@@ -101,14 +101,14 @@
 	ours, plain := both(t, nil, loads...)
 	got, base := sum(ours, notOf("burst")), sum(plain, notOf("burst"))
 	c.Check(got.good, qt.Equals, got.offered)
-	c.Check(got.p99 <= quiet.p99*11/10, qt.IsTrue, qt.Commentf("p99 %v, %v without the burst", got.p99, quiet.p99))
+	c.Check(got.p99 <= quiet.p99*11/10, qt.IsTrue, qt.Commentf("p99 %v, without the burst %v", got.p99, quiet.p99))
 	c.Check(base.good < base.offered, qt.IsTrue)
 	c.Check(sum(ours, of("burst")).late < 20, qt.IsTrue)
 }
 
-// A volunteer's reports take 40 times as long as the lookups of quilters, and enough are sent to take every
-// place. With a plain queue the lookups wait for a report to end. They must be served as if the reports were
-// not there, and reports must still be served.
+// Guards against long requests that block short ones: reports take 40 times as long as other requests, and enough
+// arrive to hold every permit, so in a FIFO queue short requests wait for a report to end. Short requests must be served
+// as if there were no reports, and reports must still be served.
 func TestLongAmongShort(t *testing.T) {
 	c := qt.New(t)
 	short := callersOf(10, peak/2)
@@ -120,15 +120,15 @@
 	ours, plain := both(t, nil, append(short, long)...)
 	got, base := sum(ours, notOf("reports")), sum(plain, notOf("reports"))
 	c.Check(got.good >= got.offered*99/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
-	c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, %v without the reports", got.p99, quiet.p99))
-	c.Check(base.good < base.offered*3/4, qt.IsTrue, qt.Commentf("the plain queue serves %d of %d", base.good, base.offered))
+	c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, without the reports %v", got.p99, quiet.p99))
+	c.Check(base.good < base.offered*3/4, qt.IsTrue, qt.Commentf("the FIFO queue serves %d of %d", base.good, base.offered))
 	reports := sum(ours, of("reports"))
-	t.Logf("short: ours %+v\n plain %+v\nlong: ours %+v\n plain %+v", got, base, reports, sum(plain, of("reports")))
+	t.Logf("short: ours %+v\n FIFO %+v\nlong: ours %+v\n FIFO %+v", got, base, reports, sum(plain, of("reports")))
 	c.Check(reports.good > 200, qt.IsTrue, qt.Commentf("%+v", reports))
 }
 
-// The upstream takes three times as long for half a second. What can't be answered in time is refused rather
-// than run in vain, and service is back at once when the upstream is.
+// Guards against requests that run in vain while the upstream takes three times as long for half a second: those that
+// can't be answered in time must be refused. When the upstream recovers, requests must be served again at once.
 func TestSlowUpstream(t *testing.T) {
 	c := qt.New(t)
 	slow := func(at time.Duration) float64 {
@@ -140,13 +140,14 @@
 	ours, plain := both(t, slow, callersOf(10, 0.8*peak)...)
 	got, base := sum(ours, all), sum(plain, all)
 	c.Check(got.good > base.good, qt.IsTrue)
-	c.Check(got.late < base.late/5, qt.IsTrue, qt.Commentf("%d late, plain %d", got.late, base.late))
+	c.Check(got.late < base.late/5, qt.IsTrue, qt.Commentf("%d late, FIFO %d", got.late, base.late))
 	after := func(c *call) bool { return c.at > 1600*ms }
 	c.Check(sum(ours, after).good >= sum(ours, after).offered*99/100, qt.IsTrue)
 }
 
-// The upstream becomes five times slower while a hundred requests wait that were let in at the old pace. Most
-// of them can't be served any more, and must hear so once that shows, rather than each at its last moment.
+// Guards against late refusals: the upstream becomes five times slower while a hundred requests are queued that were
+// admitted by the estimate from before. Most can't be served in time any more and must be refused once the estimate
+// shows it, not only when their latest start has passed.
 func TestQueueIsCutWhenTheUpstreamSlowsDown(t *testing.T) {
 	c := qt.New(t)
 	slow := func(at time.Duration) float64 {
@@ -169,13 +170,13 @@
 			waited += call.took
 		}
 	}
-	t.Logf("%d refused around the change, after %v in the mean", refused, waited/time.Duration(refused))
+	t.Logf("%d refused around the change, after a mean of %v", refused, waited/time.Duration(refused))
 	c.Check(waited/time.Duration(refused) < 45*ms, qt.IsTrue)
 }
 
-// The document allows three times as many queries at once as the upstream has slots. They then queue
-// upstream, where the others' lookups wait behind the hot caller's although the host served all in turns.
-// The host must find the upstream's own limit.
+// Guards against a queue in the upstream: the configured concurrency is three times the upstream's slots, so requests
+// queue there, where those of a hot caller delay all others although the host serves callers fairly. The adaptive limit
+// must approach the upstream's capacity.
 func TestConcurrencyOverTheUpstream(t *testing.T) {
 	c := qt.New(t)
 	wide := limits
@@ -185,12 +186,13 @@
 	ours := play(nil, admitUnder(wide, adapt.New(wide.Running)), calls(loads...))
 	got, base := sum(ours, notOf("hot")), sum(fixed, notOf("hot"))
 	t.Logf("seed %d\nours  %+v\nfixed %+v", seed, got, base)
-	c.Check(got.p50 < base.p50*3/4, qt.IsTrue, qt.Commentf("half within %v, %v at a fixed limit", got.p50, base.p50))
-	c.Check(sum(ours, all).good >= sum(fixed, all).good*97/100, qt.IsTrue, qt.Commentf("%d served, %d at a fixed limit", sum(ours, all).good, sum(fixed, all).good))
+	c.Check(got.p50 < base.p50*3/4, qt.IsTrue, qt.Commentf("p50 %v, at a fixed limit %v", got.p50, base.p50))
+	c.Check(sum(ours, all).good >= sum(fixed, all).good*97/100, qt.IsTrue, qt.Commentf("%d served, at a fixed limit %d", sum(ours, all).good, sum(fixed, all).good))
 }
 
-// A host comes back and a thousand boards ask it at once, each coming back when told. Told the same 50 ms,
-// all return together and are refused together. Told when there will be room, few are refused twice.
+// Guards against synchronized retries: a host restarts, and a thousand callers send it a request at once and retry after
+// the given delay. With a fixed delay of 50 ms all retry together and are refused together. With a delay estimated from
+// the backlog and with jitter, few are refused twice.
 func TestReturnOfRefusedCallers(t *testing.T) {
 	c := qt.New(t)
 	boards := func() []*call {
@@ -200,7 +202,7 @@
 		}
 		return list
 	}
-	// The host knows its pace from the minute before.
+	// Earlier calls give the host an estimate of the time that requests take.
 	warm := calls(load{caller: "warm", rate: peak / 2, until: time.Second, work: work, budget: budget})
 	for _, board := range boards() {
 		board.at = time.Second
@@ -213,14 +215,14 @@
 	}
 	ours := sum(play(nil, admit(limits), warm), notOf("warm"))
 	plain := sum(play(nil, fifo(slots, limits.Waiting), plainCalls), notOf("warm"))
-	t.Logf("seed %d\nours  %+v\nplain %+v", seed, ours, plain)
+	t.Logf("seed %d\nours  %+v\nFIFO  %+v", seed, ours, plain)
 	c.Check(ours.good+ours.late, qt.Equals, 1000)
-	c.Check(ours.refused < plain.refused/2, qt.IsTrue, qt.Commentf("%d refusals, plain %d", ours.refused, plain.refused))
+	c.Check(ours.refused < plain.refused/2, qt.IsTrue, qt.Commentf("%d refusals, FIFO %d", ours.refused, plain.refused))
 }
 
-// One caller's requests are known as quick and then hang, each until its deadline. A caller is charged for
-// its place-time when a place is given back, so until then the hanging ones look cheap and are served first.
-// Its share must keep them from taking every place while others wait.
+// Guards against hanging requests that take every permit: requests of one caller were quick and now hang until their
+// deadline. The actual hold time is charged only when a permit is returned, so until then hanging requests seem cheap
+// and are served first. The caller's share must leave permits for others that wait.
 func TestCallerShareOfPlaces(t *testing.T) {
 	c := qt.New(t)
 	now, started := epoch, map[string]int{}
