--- a/entry/internal/admission/adapt/doc.go
+++ b/entry/internal/admission/adapt/doc.go
@@ -1,3 +1,3 @@
-// Package adapt decides how many requests of a service one host runs at once, from how the upstream's replies slow
-// down.
+// Package adapt limits how many requests of a service one host runs at once. It derives the limit from the rise of the
+// upstream's reply latency.
 package adapt
--- a/entry/internal/admission/adapt/limit.go
+++ b/entry/internal/admission/adapt/limit.go
@@ -5,79 +5,79 @@
 	"time"
 )
 
-// The pace of a Limit. docs/design/admission.md gives the runs that chose tolerance and the steps.
+// The timing and bounds of a Limit. docs/design/admission.md explains tolerance and the steps.
 const (
-	// window is how long replies are gathered before the limit moves: long enough for some requests to run under the
-	// last move.
+	// window is the minimum time between two adjustments, long enough for some requests to run under the last one.
 	window = 100 * time.Millisecond
-	// leastReplies is how many replies a window needs, so that its median means something.
+	// leastReplies is the minimum number of replies in a window; the median of fewer is not significant.
 	leastReplies = 32
-	// maxReplies bounds the replies kept of a window; later ones are not looked at.
+	// maxReplies is the maximum number of latencies kept per window; later ones are ignored.
 	maxReplies = 256
-	// shedPercent is the share of shed tries from which the upstream is taken for full.
+	// shedPercent is the percentage of shed tries above which the upstream counts as overloaded.
 	shedPercent = 2
-	// floorPart is the part of the cap below which the limit never goes.
+	// floorPart is the divisor of the cap that gives the minimum of the limit.
 	floorPart = 16
-	// startPart is the part of the cap at which a host starts.
+	// startPart is the divisor of the cap that gives the initial limit.
 	startPart = 4
 )
 
-// tolerance is how far the median reply time may rise over its base before the limit falls.
+// tolerance is the ratio of the median latency to the base latency above which the limit is decreased.
 const tolerance = 1.25
 
-// down is the share of the limit that is left after a window in which the upstream was pressed.
+// down is the factor by which the limit is multiplied after a window in which the upstream was overloaded.
 const down = 0.95
 
-// Limit is the most requests that one host runs at once for a service; it is not safe for concurrent use.
+// Limit is an adaptive concurrency limit for the requests of a service on one host. It is not safe for concurrent use.
 //
-// It answers an upstream that takes less than the document's cap allows, since it is slow today or since
-// other hosts use it too. Without it each host keeps the cap's worth of requests on an upstream that is
-// full: they queue there, where no order is kept among callers and nobody is refused in time.
+// It handles an upstream whose capacity is lower than the configured cap, because it is slow or shared with other
+// hosts. With a fixed limit each host keeps as many requests on an overloaded upstream as the cap allows. They queue
+// there, where callers are not served fairly and requests are not refused in time.
 //
-// It rises while the median reply time stays near the lowest one seen, first by doubling, then by steps,
-// and falls by a share when it does not or when tries are shed. Equal steps up and equal shares down let
-// hosts that see the same upstream end at equal limits with no word between them. The median is taken over
-// shards, not over whole queries: one dead or slow shard must not be taken for an upstream that is full.
+// The limit increases while the median latency stays near the lowest one observed, first by doubling, then by additive
+// steps. It decreases by a factor when the median rises or when tries are shed. Additive increase and multiplicative
+// decrease let hosts that use the same upstream converge to equal limits without coordination. The median is taken over
+// the replies of shards, not over whole queries, so that one failed or slow shard does not look like an overloaded
+// upstream.
 type Limit struct {
 	cap     int
 	current float64
-	// base is the median reply time of an upstream that is not pressed.
+	// base is the median latency of an upstream that is not overloaded.
 	base time.Duration
-	// fallFrom and fallMedian are the limit and the median reply time when the limit began to fall; zero while it does
-	// not.
+	// fallFrom and fallMedian are the limit and the median latency when the limit began to decrease; fallFrom is zero
+	// while it does not decrease.
 	fallFrom   float64
 	fallMedian time.Duration
-	// doubling is set until the limit falls for the first time.
+	// doubling is set until the limit decreases for the first time, and again after the cap is raised.
 	doubling bool
 
 	began       time.Time
 	took        []time.Duration
 	tries, shed int
-	// peak is the most requests that ran at once in the window.
+	// peak is the maximum number of concurrently running requests in the window.
 	peak int
 }
 
-// New returns a limit that starts at a part of the cap.
+// New returns a limit with the given cap, which starts at a part of it.
 func New(most int) *Limit {
 	return &Limit{cap: most, current: float64(max(1, most/startPart)), doubling: true, took: make([]time.Duration, 0, maxReplies)}
 }
 
-// Current returns the limit, at least 1.
+// Current returns the current limit, at least 1.
 func (l *Limit) Current() int { return max(1, int(l.current)) }
 
-// SetCap changes the cap; a limit that is over it comes down at once, and one below a raised cap rises by doubling
-// again.
+// SetCap changes the cap. A limit above the new cap is lowered to it at once; after the cap is raised the limit
+// increases by doubling again.
 func (l *Limit) SetCap(most int) {
 	l.doubling = l.doubling || most > l.cap
 	l.cap = most
 	l.current = min(l.current, float64(most))
 }
 
-// Base returns the median reply time of an upstream that is not pressed, zero before the first window ended.
+// Base returns the median latency of an upstream that is not overloaded, or zero before the end of the first window.
 func (l *Limit) Base() time.Duration { return l.base }
 
-// Reply takes in that a shard answered after took from the start of its query, or that a try was cut off after took,
-// while running requests ran; it reports whether the limit moved.
+// Reply records the time from the start of a query to the answer of a shard, or the time after which a try was
+// canceled. running is the number of running requests. It reports whether the limit changed.
 func (l *Limit) Reply(now time.Time, took time.Duration, running int) bool {
 	if len(l.took) < maxReplies {
 		l.took = append(l.took, took)
@@ -85,12 +85,13 @@
 	return l.count(now, running)
 }
 
-// Shed takes in that a try was turned away by a replica that was full; it reports whether the limit moved.
+// Shed records that a replica without free capacity rejected a try; it reports whether the limit changed.
 func (l *Limit) Shed(now time.Time, running int) bool {
 	l.shed++
 	return l.count(now, running)
 }
 
+// count counts a try and adjusts the limit at the end of a window; it reports whether the limit changed.
 func (l *Limit) count(now time.Time, running int) bool {
 	if l.tries == 0 {
 		l.began = now
@@ -106,6 +107,7 @@
 	return l.Current() != old
 }
 
+// move adjusts the limit to the replies of the window.
 func (l *Limit) move() {
 	slices.Sort(l.took)
 	middle := l.base
@@ -118,8 +120,8 @@
 	case pressed && l.used(0.5):
 		l.fall(middle)
 	case pressed || !l.used(0.9):
-		// A limit that is not used proves nothing, neither that it could be higher nor that this host presses the
-		// upstream.
+		// While the limit is not reached, latency shows neither that it could be higher nor that this host overloads
+		// the upstream.
 	case l.doubling:
 		l.current = min(l.current*2, float64(l.cap))
 	default:
@@ -130,6 +132,7 @@
 	}
 }
 
+// fall decreases the limit, and notes the limit and the median at the start of a series of decreases.
 func (l *Limit) fall(middle time.Duration) {
 	l.doubling = false
 	if l.fallFrom == 0 {
@@ -138,19 +141,19 @@
 	l.current = max(l.current*down, l.floor())
 }
 
-// The share to which the limit must have fallen, and the share to which the median must have fallen with it, for the
-// fall to have helped.
+// A decrease of the limit has no effect if the limit is at most fallenLimit of its value before the decrease and the
+// median latency is still above fallenMedian of its value.
 const (
 	fallenLimit  = 0.6
 	fallenMedian = 0.85
 )
 
-// learnBase takes the lowest median, and lets it rise where this host can't be the cause.
+// learnBase sets the base to the lowest median, and raises it where this host can't be the cause of a higher median.
 //
-// An upstream that became slower for good looks as if it were pressed, and would hold the limit at the
-// floor. Three signs tell it apart: the limit fell by 40 in 100 and the median by less than 15, the limit is
-// at the floor, or less than half of it is used. A base that rose by itself as time goes on would, while the
-// load stays over capacity, rise with what it should be compared to, and the limit with it.
+// An upstream that has become permanently slower looks overloaded and would hold the limit at its minimum. Three
+// conditions distinguish it: the limit decreased by 40% and the median by less than 15%, the limit is at its minimum,
+// or less than half of it is used. A base that rose with time alone would, while the load stays above capacity, follow
+// the median that it is compared to, and the limit would rise with it.
 func (l *Limit) learnBase(middle time.Duration) {
 	futile := l.fallFrom > 0 && l.current <= fallenLimit*l.fallFrom && float64(middle) > fallenMedian*float64(l.fallMedian)
 	switch {
@@ -165,6 +168,8 @@
 	}
 }
 
+// used reports whether the running requests reached the given part of the limit within the window.
 func (l *Limit) used(part float64) bool { return float64(l.peak) >= part*float64(l.Current()) }
 
+// floor returns the minimum of the limit.
 func (l *Limit) floor() float64 { return max(1, float64(l.cap)/floorPart) }
--- a/entry/internal/admission/adapt/limit_test.go
+++ b/entry/internal/admission/adapt/limit_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// play feeds the limit windows of 100 replies whose time follows from the limit, as it does upstream.
+// play feeds the limit windows of 100 replies whose latency depends on the limit, as with a real upstream.
 func play(l *adapt.Limit, windows int, took func(limit int) time.Duration) {
 	now := time.Unix(1_000_000, 0)
 	for range windows {
@@ -22,15 +22,15 @@
 	}
 }
 
-// queued is the reply time of an upstream with slots, at which limit requests are kept.
+// queued returns the latency of an upstream with the given slots while limit requests are sent to it at once.
 func queued(slots int) func(limit int) time.Duration {
 	return func(limit int) time.Duration {
 		return 10 * ms * time.Duration(max(limit, slots)) / time.Duration(slots)
 	}
 }
 
-// The document allows 64 at once, the upstream has 20 slots today. The limit must end near them, from above
-// and from below, and rise to the document's when the upstream has room.
+// Guards against a limit that stays away from the upstream's capacity: the cap is higher than the number of slots, for
+// example 64 and 20. The limit must approach the number of slots from above and below, and the cap if that is lower.
 func TestLimitFollowsTheUpstream(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -38,10 +38,10 @@
 		slots      int
 		least, top int
 	}{
-		{"fewer slots than the document allows", 64, 20, 20, 36},
-		{"from below", 400, 150, 130, 240},
-		{"room for all", 64, 1000, 64, 64},
-		{"a document that allows one", 1, 20, 1, 1},
+		{"fewer slots than the cap", 64, 20, 20, 36},
+		{"limit approaches slots from below", 400, 150, 130, 240},
+		{"more slots than the cap", 64, 1000, 64, 64},
+		{"cap of one", 1, 20, 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Every third try goes to a replica that hangs until the deadline. Queries take their whole deadline, but
-// fewer of them at once would not make one of them quicker: the limit must stay.
+// Guards against a limit that decreases because of one failed shard: every third try hangs until the deadline, but
+// fewer concurrent queries would not make any of them faster.
 func TestLimitIgnoresADeadShard(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
@@ -70,8 +70,8 @@
 	c.Check(l.Current(), qt.Equals, 64)
 }
 
-// A new index version makes every reply three times as slow for good. The limit falls at first, since that
-// looks like pressure, and must find its way back rather than stay at the floor.
+// Guards against a limit that stays at its minimum after the upstream has become permanently three times as slow, for
+// example by a new index version. The limit decreases at first, since that looks like overload, and must recover.
 func TestLimitRecoversFromASlowerUpstream(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
@@ -80,7 +80,8 @@
 	c.Check(l.Current(), qt.Equals, 64)
 }
 
-// One replica after another sheds. Replies that come stay quick, since shed requests take no time.
+// Guards against a limit that ignores shed tries: replicas shed one try in ten, while the latency of the other replies
+// does not rise.
 func TestLimitFallsWhenTriesAreShed(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
@@ -97,8 +98,8 @@
 	c.Check(l.Current() < 45, qt.IsTrue, qt.Commentf("%d", l.Current()))
 }
 
-// Two hosts use one upstream with 40 slots. One starts an hour after the other, which has all of it by then.
-// Their limits must come to be alike with no word between them, or the callers of one host are starved.
+// Guards against starved callers of one of two hosts that share an upstream with 40 slots: one host starts long after
+// the other, which uses all slots by then. Their limits must converge without coordination.
 func TestLimitsOfTwoHostsBecomeAlike(t *testing.T) {
 	c := qt.New(t)
 	a, b := adapt.New(64), adapt.New(64)
