--- a/entry/internal/limit/doc.go
+++ b/entry/internal/limit/doc.go
@@ -1,2 +1,2 @@
-// Package limit decides how many tries of this host a replica may run at once.
+// Package limit limits the number of concurrent tries that this host sends to one replica.
 package limit
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -10,9 +10,9 @@
 	"guavaspring.org/entry/internal/limit"
 )
 
-// Eight hosts share a replica with five slots and all have more work than it can do. If each held on to a
-// place of its own, three tries in eight would be refused for good and their shards reported missing. What
-// a queue board needs is that nearly all sent tries run, that the slots are used, and that no host starves.
+// Guards against tries that are shed for good when eight hosts share a replica with five slots and all have more work
+// than it can do: with a fixed try for each host, three in eight would be refused and their shards would be missing.
+// Most tries must run, the slots must be used, and no host may starve.
 func TestHostsShareSlots(t *testing.T) {
 	for seed := range uint64(5) {
 		shareSlots(t, seed)
@@ -69,8 +69,8 @@
 	qt.Assert(t, float64(least)*hosts > 0.5*float64(sum), qt.IsTrue)
 }
 
-// A replica starts cold while a burst waits for its shard. If the whole burst went there at once, all of it
-// would wait for the same cold caches; it gets one try, and more only as replies come.
+// Guards against a burst that floods a replica with cold caches: a new replica must get one try at first, and more only
+// as it replies.
 func TestStartsWithOneTry(t *testing.T) {
 	var l limit.Limit
 	now := time.Unix(0, 0)
