--- a/entry/internal/budget/budget.go
+++ b/entry/internal/budget/budget.go
@@ -3,21 +3,21 @@
 import "sync/atomic"
 
 const (
-	// unit is one token in the counter, so that a percentage of a token can be earned.
+	// unit is the fixed-point value of one token, so that fractions of a token can be added.
 	unit = 1_000
-	// burst is how many tokens are kept: enough for the shards of one query that a single fault hits, far too few to
-	// double the load when every shard is late.
+	// burst is the capacity of the bucket in tokens: enough for the shards of one query that a single fault affects,
+	// far too few to double the load when every shard is late.
 	burst = 10
-	// percent of one token, in units.
+	// percentUnit is one percent of a token, in units.
 	percentUnit = unit / 100
 )
 
-// Budget is a token bucket that first tries fill and extra tries empty.
+// Budget is a token bucket to which first tries add tokens and from which each retry or hedge takes one.
 //
-// It answers a fault or an overload that makes many tries fail or be late at once. Without it each of them
-// is sent again, the load on the upstream doubles at the moment it can bear least, and stays doubled after
-// the cause has gone. Tokens come from first tries and not from time, so that the extra load stays the
-// same share of the load whatever the load is.
+// It handles a fault or an overload that makes many tries fail or be late at once. Without it each of them is sent
+// again, which doubles the load on the upstream when it has the least capacity, and the load stays doubled after the
+// cause has gone. Tokens are added per first try rather than per unit of time, so that the extra load stays a constant
+// share of the load.
 type Budget struct {
 	tokens atomic.Int64
 }
@@ -29,16 +29,16 @@
 	return b
 }
 
-// Earn adds what n first tries allow at the given percentage.
+// Earn adds the tokens for n first tries, each percent hundredths of a token.
 func (b *Budget) Earn(n int, percent float64) {
 	earned := int64(float64(n) * percent * percentUnit)
 	if left := b.tokens.Add(earned); left > burst*unit {
-		// Two goroutines may both cut the surplus off; the loss is less than a query's earnings.
+		// Concurrent calls may remove the surplus twice; the loss is less than the tokens of one query.
 		b.tokens.CompareAndSwap(left, burst*unit)
 	}
 }
 
-// Take spends one token and reports whether there was one.
+// Take takes one token and reports whether one was available.
 func (b *Budget) Take() bool {
 	if b.tokens.Add(-unit) >= 0 {
 		return true
--- a/entry/internal/budget/budget_test.go
+++ b/entry/internal/budget/budget_test.go
@@ -8,9 +8,8 @@
 	"guavaspring.org/entry/internal/budget"
 )
 
-// A switch fails and a third of all tries break for a minute. If each were sent again the remaining
-// replicas would get half their load again on top; what is sent again stays the share that the document
-// allows, besides a small reserve.
+// Guards against retries that overload the remaining replicas when a third of all tries fail: if each were sent again,
+// the load on the others would rise by half. Retries must stay within the configured percentage and the burst.
 func TestExtraTriesStayAShareOfTheLoad(t *testing.T) {
 	for _, test := range []struct {
 		percent float64
