--- a/entry/internal/overload/doc.go
+++ b/entry/internal/overload/doc.go
@@ -1,2 +1,3 @@
-// Package overload decides whether a request is let in while tries of others wait for the replicas that it needs.
+// Package overload decides whether a request is admitted while tries of other requests wait for the replicas that it
+// needs.
 package overload
--- a/entry/internal/overload/overload.go
+++ b/entry/internal/overload/overload.go
@@ -3,65 +3,66 @@
 import "time"
 
 const (
-	// free is the share of the time that a request could wait which the tries before it may take without any being
-	// refused, and full the share at which all are. Between them the chance of a refusal grows evenly, so that hosts
-	// which know nothing of each other refuse their parts of what is too much, and nobody waits for a host that refuses
-	// all and then none.
+	// free and full bound the ratio of the expected wait to the time for which a request can wait: up to free no
+	// request is refused, from full on the chance of a refusal is highest. It grows linearly between them, so that
+	// hosts refuse their parts of the excess without coordination and don't alternate between refusing all requests and
+	// none.
 	free, full = 0.45, 0.9
-	// most is the greatest chance. The few that are let in tell when the queues are gone; without them all hosts wait
-	// until what they know is too old, and then all let everything in at once.
+	// most is the maximum chance of a refusal. The few requests that are admitted show when the queues have drained;
+	// without them all hosts refuse until their measurements expire, and then all admit everything at once.
 	most = 0.95
-	// manyBehind is the share of the shards that are behind from which on the least patient route counts alone. Of
-	// those that are, not all show it at any moment; and where one or two are near their limit the others can do
-	// without them.
+	// manyBehind is the share of delayed shards from which on only the route with the least time to wait counts. It is
+	// below 1 since not all delayed shards show a delay at any moment. Where one or two are near their limit, answers
+	// can do without them.
 	manyBehind = 0.5
-	// again is the share of the time that a request could wait within which a client that has waited before counts as
-	// coming for the first time, and quiet the share that tries before it may take where it doesn't.
+	// again and quiet are shares of the time for which a request can wait. A client that has waited for at most again
+	// counts as new; any other is admitted only while the expected wait is at most quiet.
 	again, quiet = 0.25, 0.1
 )
 
-// Load is what is known where a request comes.
+// Load describes a request and the queues that it meets.
 type Load struct {
-	// Delays are how long a try of each shard is expected to wait for room, at the host and at the replica; Least of
-	// them have to answer.
+	// Delays holds the expected wait of a try for each shard, at the host and at the replica. Least is the number of
+	// shards that have to answer.
 	Delays []time.Duration
 	Least  int
-	// Spare is how long the request may wait there for its answer to be in time, and LeastSpare how long one of any
-	// route to the shards may.
+	// Spare is the time for which the request can wait and still be answered in time. LeastSpare is the lowest such
+	// time of all routes to the shards.
 	Spare, LeastSpare time.Duration
-	// Waited is how long the client has waited already, since it was refused before.
+	// Waited is the time for which the client has already waited since an earlier refusal.
 	Waited time.Duration
 	// Draw is a random number between 0 and 1.
 	Draw float64
 }
 
-// Decision says whether a request is let in.
+// Decision reports whether a request is admitted.
 type Decision struct {
-	// Refused says that the request would not be answered in time, or that its place is needed for one that would.
+	// Refused is set if the request would not be answered in time, or would displace one that can be.
 	Refused bool
-	// Wait is how long the request is expected to wait for the shards that are behind, Bound the time that this was
-	// held against, and Waited how long its client had waited before it came.
+	// Wait is the expected wait for the delayed shards, Bound the time that it was compared to, and Waited the time for
+	// which the client had waited before.
 	Wait, Bound, Waited time.Duration
-	// Chance is the chance with which it was refused.
+	// Chance is the probability of a refusal.
 	Chance float64
-	// Crowded says that nearly all requests are refused.
+	// Crowded is set while nearly all requests are refused.
 	Crowded bool
 }
 
-// Decide decides about a request.
+// Decide decides whether a request is admitted.
 //
-// It answers more load than the replicas of some or all shards can do. Each shard has its own queue, and left alone
-// each turns other requests away: with one try in six turned away at each of ten shards, half of the pages lack two
-// parts, and all the work of their other eight is lost. With a few short shards, requests wait for them to their
-// deadline and fail. One that is turned away as a whole, before anything is sent, costs the replicas nothing and its
-// client no time.
+// It handles load above the capacity of the replicas of some or all shards. Each shard has its own queue, and shards
+// that shed independently reject different requests: with one try in six shed at each of ten shards, half of the
+// requests lack two parts, and the work of the other eight shards is lost. If a few shards are overloaded, requests
+// wait for them until their deadline and fail. A request that is refused as a whole, before anything is sent, costs the
+// replicas no work and its client no time.
 //
-// Where all shards are behind, the wait is held against the route that can wait least: with a bound of its own, the
-// patient kind of request would fill the queues up to that, at which the other kind is always late. Where few are, each
-// request is held against its own time, as the others can do without those.
+// While all shards are delayed, the wait is compared to the time of the route that can wait least. With separate
+// bounds, requests of the route that can wait longer would fill the queues so far that those of the other route are
+// always late. While few shards are delayed, the wait is compared to the time of the request itself, since requests of
+// the other routes can do without those shards.
 //
-// Who was refused and comes back is let in where nothing waits. While more comes than can be done, each place that it
-// gets is taken from one that would be answered in time; it would not.
+// A client that retries after a refusal is admitted only while hardly any request waits. Under overload it would
+// displace a request that can be answered in time and be late itself.
 func Decide(l Load) Decision {
 	wait := expected(l.Delays, l.Least)
 	spare := max(bound(l), time.Millisecond)
@@ -74,8 +75,8 @@
 	return Decision{Wait: wait, Bound: spare, Waited: l.Waited, Chance: chance, Refused: chance > l.Draw, Crowded: crowded}
 }
 
-// bound returns the time that the wait is held against: the request's own where few shards are behind, and the least of
-// all routes where manyBehind are.
+// bound returns the time that the wait is compared to. It changes linearly from the time of the request itself with no
+// delayed shard to the least of all routes with a share of manyBehind.
 func bound(l Load) time.Duration {
 	behind := 0
 	for _, d := range l.Delays {
@@ -87,12 +88,11 @@
 	return l.Spare - time.Duration(part*float64(l.Spare-l.LeastSpare))
 }
 
-// expected returns how long a request is expected to wait for the shards that are behind, where least of all have to
-// answer.
+// expected returns the expected wait for the delayed shards of a request for which least of all shards have to answer.
 //
-// All that wait for the shards that are behind need only some of them, as an answer may lack the others: of two short
-// shards of which one may be missing, each request takes the first that has room, so that their queues are half as long
-// as they look.
+// Requests need only some of the delayed shards, since an answer may lack the others. If one of two delayed shards may
+// be missing, each request uses the first one with free capacity, so that the effective length of their queues is half
+// of the actual one.
 func expected(delays []time.Duration, least int) time.Duration {
 	behind, sum := 0, time.Duration(0)
 	for _, d := range delays {
--- a/entry/internal/overload/overload_test.go
+++ b/entry/internal/overload/overload_test.go
@@ -20,9 +20,9 @@
 	return list
 }
 
-// A page needs nine parts of ten. While the shards keep up, or one doesn't, it is let in: that part may be missing. Of
-// two short shards it takes the first that has room. Once more are behind for too long it would come back late or thin,
-// and its caller is told at once. A lookup at one replica waits as long as that leaves it time.
+// Guards against requests that are admitted although their answer would be late or incomplete, and against needless
+// refusals. Most cases need nine shards of ten: a delay of one does not matter, of two only the faster one counts, and
+// with more delayed for too long the request is refused. A request to one replica may wait as long as it has time.
 func TestDecide(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -32,17 +32,17 @@
 		spare, wait time.Duration
 		chance      float64
 	}{
-		{"nobody waits", 10, 0, 0, 9, spare, 0, 0},
-		{"nobody waits and no time is left", 10, 0, 0, 9, -spare, 0, 0},
-		{"one shard is behind, which may be missing", 10, 1, time.Second, 9, spare, 0, 0},
-		{"one shard is behind, which may not", 10, 1, time.Second, 10, spare, time.Second, 0.95},
-		{"two are, by a little", 10, 2, 80 * time.Millisecond, 9, spare, 40 * time.Millisecond, 0},
-		{"two are, by two thirds of the time", 10, 2, 135 * time.Millisecond, 9, spare, 67500 * time.Microsecond, 0.5},
-		{"two are, by too much", 10, 2, 190 * time.Millisecond, 9, spare, 95 * time.Millisecond, 0.95},
-		{"all are, by a little", 10, 10, 50 * time.Millisecond, 9, spare, 45 * time.Millisecond, 0},
-		{"all are, by too much", 10, 10, 100 * time.Millisecond, 9, spare, 90 * time.Millisecond, 0.95},
-		{"one replica's queue is short", 1, 1, 20 * time.Millisecond, 1, spare, 20 * time.Millisecond, 0},
-		{"one replica's queue is long", 1, 1, 90 * time.Millisecond, 1, spare, 90 * time.Millisecond, 0.95},
+		{"no shard is delayed", 10, 0, 0, 9, spare, 0, 0},
+		{"no shard is delayed and no time is left", 10, 0, 0, 9, -spare, 0, 0},
+		{"one optional shard is delayed", 10, 1, time.Second, 9, spare, 0, 0},
+		{"one required shard is delayed", 10, 1, time.Second, 10, spare, time.Second, 0.95},
+		{"two shards are slightly delayed", 10, 2, 80 * time.Millisecond, 9, spare, 40 * time.Millisecond, 0},
+		{"two shards are delayed by two thirds of the time", 10, 2, 135 * time.Millisecond, 9, spare, 67500 * time.Microsecond, 0.5},
+		{"two shards are delayed too long", 10, 2, 190 * time.Millisecond, 9, spare, 95 * time.Millisecond, 0.95},
+		{"all shards are slightly delayed", 10, 10, 50 * time.Millisecond, 9, spare, 45 * time.Millisecond, 0},
+		{"all shards are delayed too long", 10, 10, 100 * time.Millisecond, 9, spare, 90 * time.Millisecond, 0.95},
+		{"the queue of the only replica is short", 1, 1, 20 * time.Millisecond, 1, spare, 20 * time.Millisecond, 0},
+		{"the queue of the only replica is long", 1, 1, 90 * time.Millisecond, 1, spare, 90 * time.Millisecond, 0.95},
 		{"no time is left to wait", 1, 1, 10 * time.Millisecond, 1, -spare, 10 * time.Millisecond, 0.95},
 	}
 	for _, test := range tests {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A caller was refused, as more came than could be done, and comes back while it still does. It would take the place of
-// one that would be answered in time, and be late itself; where nothing waits it is let in like any other.
+// Guards against retries under overload that displace requests which can be answered in time and are late themselves.
+// While nothing waits, a retry is admitted like any other request.
 func TestWhoComesBackIsLetInWhereNothingWaits(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -65,11 +65,11 @@
 		by      time.Duration
 		refused bool
 	}{
-		{"it comes first", 0, 30 * time.Millisecond, false},
-		{"it comes a little later than others", 20 * time.Millisecond, 30 * time.Millisecond, false},
-		{"it comes back while others wait", 80 * time.Millisecond, 30 * time.Millisecond, true},
-		{"it comes back and hardly anybody waits", 80 * time.Millisecond, 10 * time.Millisecond, false},
-		{"it comes back and nobody waits", 80 * time.Millisecond, 0, false},
+		{"first attempt", 0, 30 * time.Millisecond, false},
+		{"short wait before the request", 20 * time.Millisecond, 30 * time.Millisecond, false},
+		{"retry while other requests wait", 80 * time.Millisecond, 30 * time.Millisecond, true},
+		{"retry while hardly any request waits", 80 * time.Millisecond, 10 * time.Millisecond, false},
+		{"retry while no request waits", 80 * time.Millisecond, 0, false},
 	}
 	for _, test := range tests {
 		d := overload.Decide(overload.Load{Delays: delays(10, 10, test.by), Least: 10, Spare: spare, LeastSpare: spare, Waited: test.waited, Draw: 0.5})
@@ -78,9 +78,9 @@
 	}
 }
 
-// Pages may wait for twice as long as lookups over the same shards. Where all shards are behind, both are held against
-// what lookups can wait, or those would all be late; where two are, a page is held nearly against its own time, since
-// lookups go out without them.
+// Guards against a route whose requests are always late since those of another route, which may wait twice as long,
+// fill the queues of the same shards. With all shards delayed, the time of the least patient route counts. With two
+// delayed, a request is compared almost to its own time, since the other route answers without them.
 func TestLeastPatientRouteCountsWhereAllAreBehind(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -88,9 +88,9 @@
 		by      time.Duration
 		refused bool
 	}{
-		{"all are behind", 10, 75 * time.Millisecond, true},
-		{"two are, by as much in the mean", 2, 75 * 2 * time.Millisecond, false},
-		{"two are, by more than a page can wait", 2, 400 * time.Millisecond, true},
+		{"all shards are delayed", 10, 75 * time.Millisecond, true},
+		{"two shards are delayed, by the same mean wait", 2, 75 * 2 * time.Millisecond, false},
+		{"two shards are delayed longer than the request can wait", 2, 400 * time.Millisecond, true},
 	}
 	for _, test := range tests {
 		d := overload.Decide(overload.Load{Delays: delays(10, test.behind, test.by), Least: 9, Spare: 2 * spare, LeastSpare: spare, Draw: 0.4})
