--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -158,7 +158,7 @@
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.Leave(g.clock.Now(), p.grant, complete)
+	g.queue.Release(g.clock.Now(), p.grant, complete)
 }
 
 // SetLimits applies new limits at once, also to queued requests.
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -232,7 +232,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		q.Leave(now, granted, true)
+		q.Release(now, granted, true)
 		q.Arrive(now, req(i))
 	}
 }
--- a/entry/internal/admission/queue/rapid_test.go
+++ b/entry/internal/admission/queue/invariants_test.go
@@ -24,15 +24,15 @@
 
 // machine drives a queue by random operations and checks its invariants after each of them.
 type machine struct {
-	q       *queue.Queue
-	now     time.Time
-	limits  queue.Limits
-	running []queue.Grant
-	waiting []*queue.Waiter
-	told    map[*queue.Waiter]int
+	q        *queue.Queue
+	now      time.Time
+	limits   queue.Limits
+	running  []queue.Grant
+	waiting  []*queue.Waiter
+	notified map[*queue.Waiter]int
 }
 
-func (m *machine) draw(t *rapid.T) queue.Limits {
+func (m *machine) drawLimits(t *rapid.T) queue.Limits {
 	return queue.Limits{
 		Running:     rapid.IntRange(1, 6).Draw(t, "running"),
 		Waiting:     rapid.IntRange(0, 8).Draw(t, "waiting"),
@@ -69,7 +69,7 @@
 	i := rapid.IntRange(0, len(m.running)-1).Draw(t, "which")
 	g := m.running[i]
 	m.running = append(m.running[:i], m.running[i+1:]...)
-	m.q.Leave(m.now, g, rapid.Bool().Draw(t, "complete"))
+	m.q.Release(m.now, g, rapid.Bool().Draw(t, "complete"))
 }
 
 func (m *machine) cancel(t *rapid.T) {
@@ -82,7 +82,7 @@
 
 // decided is the queue's Notify.
 func (m *machine) decided(w *queue.Waiter) {
-	m.told[w]++
+	m.notified[w]++
 	for i, other := range m.waiting {
 		if other == w {
 			m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
@@ -106,20 +106,20 @@
 			t.Fatal("a request waits although a permit is free")
 		}
 	}
-	for w, n := range m.told {
+	for w, n := range m.notified {
 		if n != 1 {
 			t.Fatalf("Notify was called %d times for one waiter: %+v", n, w)
 		}
 	}
 }
 
-// Guards against lost permits: a caller cancels, or a limit changes, at the moment at which a permit is granted, and the
-// permit counts as taken for good, until the host refuses every request while it runs none. After any sequence of
+// Guards against lost permits: a caller cancels, or a limit changes, at the moment at which a permit is granted, and
+// the permit counts as taken for good, until the host refuses every request while it runs none. After any sequence of
 // operations all permits must be free again.
 func TestNoPlaceIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{now: epoch, told: map[*queue.Waiter]int{}}
-		m.limits = m.draw(t)
+		m := &machine{now: epoch, notified: map[*queue.Waiter]int{}}
+		m.limits = m.drawLimits(t)
 		m.q = queue.New(m.limits, queue.Options{Notify: m.decided, Float64: func() float64 { return 0.5 }})
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": m.arrive,
@@ -129,7 +129,7 @@
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * ms)
 			},
 			"limits": func(t *rapid.T) {
-				m.limits = m.draw(t)
+				m.limits = m.drawLimits(t)
 				m.q.SetLimits(m.now, m.limits)
 			},
 			"": m.check,
@@ -137,7 +137,7 @@
 		for len(m.running) > 0 {
 			g := m.running[0]
 			m.running = m.running[1:]
-			m.q.Leave(m.now, g, true)
+			m.q.Release(m.now, g, true)
 		}
 		if m.q.Running() != 0 || m.q.Waiting() != 0 {
 			t.Fatalf("%d requests run and %d wait after all permits were returned", m.q.Running(), m.q.Waiting())
--- a/entry/internal/admission/queue/queue.go
+++ b/entry/internal/admission/queue/queue.go
@@ -31,18 +31,18 @@
 	opts   Options
 	limits Limits
 
-	flows   map[string]*flow
-	active  []*flow
-	byClass [classes]class
-	all     class
-	typical median
-	refused recent
+	flows          map[string]*flow
+	active         []*flow
+	byClass        [classBuckets]requestClass
+	overall        requestClass
+	medianHeld     median
+	recentRefusals secondCounter
 
-	// served is the virtual time of the queue: the permit time given to a caller that always had requests queued.
+	// virtualTime is the virtual time of the queue: the permit time given to a caller that always had requests queued.
 	// Callers that begin to wait start from it.
-	served time.Duration
-	// idle is the last time at which no request waited.
-	idle                     time.Time
+	virtualTime time.Duration
+	// lastEmpty is the last time at which no request waited.
+	lastEmpty                time.Time
 	running, waiting         int
 	longRunning, longWaiting int
 }
@@ -71,55 +71,55 @@
 // longer fit are refused.
 func (q *Queue) SetLimits(now time.Time, limits Limits) {
 	q.limits = limits
-	q.fill(now)
+	q.grantPermits(now)
 	for q.waiting > q.limits.Waiting {
-		q.refuse(now, q.newest(q.longestFlow()), ReasonFull)
+		q.refuse(now, q.newestWaiter(q.longestFlow()), ReasonFull)
 	}
 }
 
 // Arrive decides whether a request that arrives at now runs, waits or is refused.
 func (q *Queue) Arrive(now time.Time, req Request) Arrival {
 	if !now.Before(req.Deadline) {
-		return q.turnAway(now, ReasonLate)
+		return q.refuseArrival(now, ReasonLate)
 	}
 	c := q.classOf(req)
 	long := q.isLong(c)
-	if q.running < q.limits.Running && (!long || q.longFree()) {
-		f := q.flow(req.Caller)
-		f.served = max(f.served, q.served)
+	if q.running < q.limits.Running && (!long || q.longPermitFree()) {
+		f := q.flowOf(req.Caller)
+		f.virtualTime = max(f.virtualTime, q.virtualTime)
 		return Arrival{Verdict: VerdictRun, Grant: q.start(now, f, c, long)}
 	}
 	f := q.flows[req.Caller]
-	if q.wait(f, req.Key, c, long) > q.patience(now, req.Deadline.Sub(now)-q.need(c)) {
-		return q.turnAway(now, ReasonLate)
+	if q.estimateWait(f, req.Key, c, long) > q.maxWait(now, req.Deadline.Sub(now)-q.expectedCompletion(c)) {
+		return q.refuseArrival(now, ReasonLate)
 	}
-	if f != nil && len(q.active) > 1 && f.waiting >= q.shareOf(q.limits.Waiting) && !q.makeRoomIn(now, f, req.Key) {
-		return q.turnAway(now, ReasonShare)
+	if f != nil && len(q.active) > 1 && f.waiting >= q.callerShareOf(q.limits.Waiting) && !q.displaceOwn(now, f, req.Key) {
+		return q.refuseArrival(now, ReasonShare)
 	}
-	if q.waiting >= q.limits.Waiting && !q.makeRoom(now, f, req.Key) {
-		return q.turnAway(now, ReasonFull)
+	if q.waiting >= q.limits.Waiting && !q.displaceOther(now, f, req.Key) {
+		return q.refuseArrival(now, ReasonFull)
 	}
 	if q.waiting == 0 {
-		q.idle = now
+		q.lastEmpty = now
 	}
-	return Arrival{Verdict: VerdictWait, Waiter: q.push(req, q.flow(req.Caller), c, long)}
+	return Arrival{Verdict: VerdictWait, Waiter: q.enqueue(req, q.flowOf(req.Caller), c, long)}
 }
 
-// Leave returns a permit and updates the estimates; complete reports whether the request was answered in full rather
+// Release returns a permit and updates the estimates; complete reports whether the request was answered in full rather
 // than cut short by a deadline or a failure.
-func (q *Queue) Leave(now time.Time, g Grant, complete bool) {
+func (q *Queue) Release(now time.Time, g Grant, complete bool) {
 	held := max(0, now.Sub(g.start))
-	g.flow.served += held - g.cost
-	g.class.learn(held, complete)
-	q.all.learn(held, complete)
-	q.typical.learn(held)
-	q.release(now, g)
+	g.flow.virtualTime += held - g.cost
+	g.class.record(held, complete)
+	q.overall.record(held, complete)
+	q.medianHeld.record(held)
+	q.freePermit(now, g)
 }
 
-// Return returns a permit that was not used.
-func (q *Queue) Return(now time.Time, g Grant) {
-	g.flow.served -= g.cost
-	q.release(now, g)
+// ReleaseUnused returns a permit that was not used.
+func (q *Queue) ReleaseUnused(now time.Time, g Grant) {
+	g.flow.virtualTime -= g.cost
+	q.freePermit(now, g)
 }
 
 // Cancel ends the wait of a request whose caller canceled it or whose LatestStart has passed; a permit that it was
@@ -129,20 +129,20 @@
 	case VerdictWait:
 		q.refuse(now, w, reason)
 	case VerdictRun:
-		q.Return(now, w.Grant)
+		q.ReleaseUnused(now, w.Grant)
 		w.Verdict, w.Refusal = VerdictRefuse, Refusal{Reason: reason, RetryAfter: q.retryAfter(now)}
 	}
 	return w.Refusal
 }
 
 // start takes a permit for a request and charges its expected cost to the flow.
-func (q *Queue) start(now time.Time, f *flow, c *class, long bool) Grant {
-	g := Grant{flow: f, class: c, start: now, cost: q.expected(c), long: long}
-	q.served = max(q.served, f.served)
+func (q *Queue) start(now time.Time, f *flow, c *requestClass, long bool) Grant {
+	g := Grant{flow: f, class: c, start: now, cost: q.expectedHold(c), long: long}
+	q.virtualTime = max(q.virtualTime, f.virtualTime)
 	// The virtual time advances with each start, also when new callers arrive. Otherwise new callers would overtake a
 	// recently served caller until its deadline.
-	q.served += g.cost / time.Duration(len(q.active)+1)
-	f.served += g.cost
+	q.virtualTime += g.cost / time.Duration(len(q.active)+1)
+	f.virtualTime += g.cost
 	f.running++
 	q.running++
 	if long {
@@ -151,20 +151,20 @@
 	return g
 }
 
-// release frees a permit and passes it on.
-func (q *Queue) release(now time.Time, g Grant) {
+// freePermit frees a permit and grants it to the next queued request, if any.
+func (q *Queue) freePermit(now time.Time, g Grant) {
 	g.flow.running--
 	q.running--
 	if g.long {
 		q.longRunning--
 	}
-	q.fill(now)
+	q.grantPermits(now)
 	q.trim(now)
 }
 
-// doubt is the factor by which the estimated wait must exceed the remaining time before a queued request is refused.
-// The estimate is a mean, and the last request in the queue was admitted by the same estimate.
-const doubt = 2
+// trimTolerance is the factor by which the estimated wait must exceed the remaining time before a queued request is
+// refused. The estimate is a mean, and the last request in the queue was admitted by the same estimate.
+const trimTolerance = 2
 
 // trim refuses requests at the end of the longest queue that can no longer be started in time.
 //
@@ -173,19 +173,19 @@
 func (q *Queue) trim(now time.Time) {
 	for q.waiting > 0 {
 		f := q.longestFlow()
-		wait := q.all.held * time.Duration(min(q.waiting, f.waiting*len(q.active))) / time.Duration(q.limits.Running)
-		w := q.newest(f)
-		if !now.Add(max(wait, f.pace*time.Duration(f.waiting)) / doubt).After(w.LatestStart) {
+		wait := q.overall.meanHeld * time.Duration(min(q.waiting, f.waiting*len(q.active))) / time.Duration(q.limits.Running)
+		w := q.newestWaiter(f)
+		if !now.Add(max(wait, f.startInterval*time.Duration(f.waiting)) / trimTolerance).After(w.LatestStart) {
 			return
 		}
 		q.refuse(now, w, ReasonLate)
 	}
 }
 
-// fill grants free permits to queued requests and refuses those whose LatestStart has passed.
-func (q *Queue) fill(now time.Time) {
+// grantPermits grants free permits to queued requests and refuses those whose LatestStart has passed.
+func (q *Queue) grantPermits(now time.Time) {
 	for q.running < q.limits.Running {
-		k := q.next()
+		k := q.nextKey()
 		if k == nil {
 			return
 		}
@@ -194,29 +194,29 @@
 			q.refuse(now, w, ReasonLate)
 			continue
 		}
-		k.flow.started(now)
+		k.flow.recordStart(now)
 		q.remove(w)
-		k.flow.keyServed = max(k.flow.keyServed, k.served)
+		k.flow.keyVirtualTime = max(k.flow.keyVirtualTime, k.virtualTime)
 		w.Grant = q.start(now, k.flow, w.class, w.Long)
-		k.served += w.Grant.cost
+		k.virtualTime += w.Grant.cost
 		w.Verdict = VerdictRun
 		q.opts.Notify(w)
 	}
 }
 
-// next returns the queue whose oldest request runs next, that of the caller with the least virtual time. Callers below
-// their share go before those that have reached it.
-func (q *Queue) next() *keyQueue {
-	share, longFree := q.shareOf(q.limits.Running), q.longFree()
+// nextKey returns the queue whose oldest request runs next, that of the caller with the least virtual time. Callers
+// below their share go before those that have reached it.
+func (q *Queue) nextKey() *keyQueue {
+	share, longFree := q.callerShareOf(q.limits.Running), q.longPermitFree()
 	var best, over *keyQueue
 	for _, f := range q.active {
-		k := f.next(longFree)
+		k := f.nextKey(longFree)
 		switch {
 		case k == nil:
 		case f.running >= share:
-			over = lessServed(over, k)
+			over = lowerVirtualTime(over, k)
 		default:
-			best = lessServed(best, k)
+			best = lowerVirtualTime(best, k)
 		}
 	}
 	if best == nil {
@@ -225,27 +225,27 @@
 	return best
 }
 
-// lessServed returns the queue whose caller has the lower virtual time, a if they are equal.
-func lessServed(a, b *keyQueue) *keyQueue {
-	if a == nil || b.flow.served < a.flow.served {
+// lowerVirtualTime returns the queue whose caller has the lower virtual time, a if they are equal.
+func lowerVirtualTime(a, b *keyQueue) *keyQueue {
+	if a == nil || b.flow.virtualTime < a.flow.virtualTime {
 		return b
 	}
 	return a
 }
 
-// longFree reports whether one more long request may run.
-func (q *Queue) longFree() bool { return q.longRunning < q.longPlaces() }
+// longPermitFree reports whether one more long request may run.
+func (q *Queue) longPermitFree() bool { return q.longRunning < q.maxLongRunning() }
 
-// shareOf returns the share of n that one caller may use, at least 1.
-func (q *Queue) shareOf(n int) int {
+// callerShareOf returns the share of n that one caller may use, at least 1.
+func (q *Queue) callerShareOf(n int) int {
 	return max(1, int(math.Ceil(q.limits.CallerShare*float64(n))))
 }
 
-// makeRoom refuses the newest request of the caller with the most queued, if that caller has more than the arriving
-// one; otherwise one of the arriving caller's own keys may give way, as in makeRoomIn.
+// displaceOther refuses the newest request of the caller with the most queued, if that caller has more than the
+// arriving one; otherwise displaceOwn may displace a request of the arriving caller itself.
 //
 // The newest request is chosen since it has waited the least and would be served last.
-func (q *Queue) makeRoom(now time.Time, f *flow, key string) bool {
+func (q *Queue) displaceOther(now time.Time, f *flow, key string) bool {
 	if q.waiting == 0 {
 		return false
 	}
@@ -254,19 +254,19 @@
 		own = f.waiting
 	}
 	if longest.waiting <= own+1 {
-		return f != nil && own > 0 && q.makeRoomIn(now, f, key)
+		return f != nil && own > 0 && q.displaceOwn(now, f, key)
 	}
-	q.refuse(now, q.newest(longest), ReasonDisplaced)
+	q.refuse(now, q.newestWaiter(longest), ReasonDisplaced)
 	return true
 }
 
-// makeRoomIn refuses the newest request of the caller's key with the most queued, if that key has more than the one
+// displaceOwn refuses the newest request of the caller's key with the most queued, if that key has more than the one
 // given.
-func (q *Queue) makeRoomIn(now time.Time, f *flow, key string) bool {
-	if len(f.longest().items) <= f.waitingOf(key)+1 {
+func (q *Queue) displaceOwn(now time.Time, f *flow, key string) bool {
+	if len(f.longestKey().items) <= f.waitingOf(key)+1 {
 		return false
 	}
-	q.refuse(now, q.newest(f), ReasonDisplaced)
+	q.refuse(now, q.newestWaiter(f), ReasonDisplaced)
 	return true
 }
 
@@ -281,24 +281,24 @@
 	return longest
 }
 
-// newest returns the newest request of the caller's key with the most queued.
-func (q *Queue) newest(f *flow) *Waiter {
-	items := f.longest().items
+// newestWaiter returns the newest request of the caller's key with the most queued.
+func (q *Queue) newestWaiter(f *flow) *Waiter {
+	items := f.longestKey().items
 	return items[len(items)-1]
 }
 
 func (q *Queue) refuse(now time.Time, w *Waiter, reason Reason) {
 	q.remove(w)
-	w.Verdict, w.Refusal = VerdictRefuse, q.refusal(now, reason)
+	w.Verdict, w.Refusal = VerdictRefuse, q.newRefusal(now, reason)
 	q.opts.Notify(w)
 }
 
-// turnAway refuses a request that arrives.
-func (q *Queue) turnAway(now time.Time, reason Reason) Arrival {
-	return Arrival{Verdict: VerdictRefuse, Refusal: q.refusal(now, reason)}
+// refuseArrival refuses a request that arrives.
+func (q *Queue) refuseArrival(now time.Time, reason Reason) Arrival {
+	return Arrival{Verdict: VerdictRefuse, Refusal: q.newRefusal(now, reason)}
 }
 
-func (q *Queue) refusal(now time.Time, reason Reason) Refusal {
-	q.refused.add(now)
+func (q *Queue) newRefusal(now time.Time, reason Reason) Refusal {
+	q.recentRefusals.add(now)
 	return Refusal{Reason: reason, RetryAfter: q.retryAfter(now)}
 }
--- a/entry/internal/admission/queue/request.go
+++ b/entry/internal/admission/queue/request.go
@@ -66,10 +66,10 @@
 	Refusal Refusal
 }
 
-// Grant is a permit to run one request; it is returned once, by Leave or Return.
+// Grant is a permit to run one request; it is returned once, by Release or ReleaseUnused.
 type Grant struct {
 	flow  *flow
-	class *class
+	class *requestClass
 	start time.Time
 	// cost is the expected hold time, as charged to the flow at the start.
 	cost time.Duration
@@ -91,5 +91,5 @@
 	Long bool
 
 	key   *keyQueue
-	class *class
+	class *requestClass
 }
--- a/entry/internal/admission/queue/scene_test.go
+++ b/entry/internal/admission/queue/scenario_test.go
@@ -34,25 +34,25 @@
 	return list
 }
 
-// both simulates the same calls under the policy under test and under the FIFO baseline.
-func both(t *testing.T, slow func(time.Duration) float64, loads ...load) (ours, plain []*call) {
-	ours = play(slow, admit(limits), calls(loads...))
-	plain = play(slow, fifo(slots, limits.Waiting), calls(loads...))
+// compare simulates the same calls under the policy under test and under the FIFO baseline.
+func compare(t *testing.T, slow func(time.Duration) float64, loads ...load) (ours, baseline []*call) {
+	ours = simulate(slow, admit(limits), calls(loads...))
+	baseline = simulate(slow, fifo(slots, limits.Waiting), calls(loads...))
 	t.Logf("seed %d", seed)
 	t.Logf("ours  %+v", sum(ours, all))
-	t.Logf("FIFO  %+v", sum(plain, all))
-	return ours, plain
+	t.Logf("FIFO  %+v", sum(baseline, all))
+	return ours, baseline
 }
 
-// Guards against a collapse of throughput at three times the capacity: in a FIFO queue every request waits until shortly
-// before its deadline and is cut off while it runs, so fewer are served than at half the load. Requests that can't be
-// served must be refused at once, and the others must be served as if they were alone.
+// Guards against a collapse of throughput at three times the capacity: in a FIFO queue every request waits until
+// shortly before its deadline and is cut off while it runs, so fewer are served than at half the load. Requests that
+// can't be served must be refused at once, and the others must be served as if they were alone.
 func TestSaturation(t *testing.T) {
 	c := qt.New(t)
-	atPeak := sum(play(nil, admit(limits), calls(callersOf(10, peak)...)), all)
+	atPeak := sum(simulate(nil, admit(limits), calls(callersOf(10, peak)...)), all)
 	for _, n := range []int{1, 10, 1000} {
-		ours, plain := both(t, nil, callersOf(n, 3*peak)...)
-		got, base := sum(ours, all), sum(plain, all)
+		ours, baseline := compare(t, nil, callersOf(n, 3*peak)...)
+		got, base := sum(ours, all), sum(baseline, all)
 		c.Check(got.good >= atPeak.good*95/100, qt.IsTrue, qt.Commentf("%d callers: %d good, %d at the peak", n, got.good, atPeak.good))
 		c.Check(got.refusalP99 < 5*ms, qt.IsTrue, qt.Commentf("%d callers: p99 of refusals is %v", n, got.refusalP99))
 		c.Check(got.late < got.offered/100, qt.IsTrue, qt.Commentf("%d callers: %d late", n, got.late))
@@ -65,11 +65,11 @@
 // a FIFO queue it holds nearly every permit, and the others miss their deadlines. Their latency must hardly rise.
 func TestHotCaller(t *testing.T) {
 	c := qt.New(t)
-	quiet := sum(play(nil, admit(limits), calls(callersOf(10, 0.6*peak)...)), all)
+	quiet := sum(simulate(nil, admit(limits), calls(callersOf(10, 0.6*peak)...)), all)
 	for _, rate := range []float64{2.4 * peak, 6 * peak} {
 		loads := append(callersOf(10, 0.6*peak), load{caller: "hot", rate: rate, until: length, work: work, budget: budget})
-		ours, plain := both(t, nil, loads...)
-		got, base := sum(ours, notOf("hot")), sum(plain, notOf("hot"))
+		ours, baseline := compare(t, nil, loads...)
+		got, base := sum(ours, notOf("hot")), sum(baseline, notOf("hot"))
 		c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, without the hot caller %v", got.p99, quiet.p99))
 		c.Check(got.good >= got.offered*99/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
 		c.Check(base.good < base.offered/2, qt.IsTrue, qt.Commentf("the FIFO queue serves %d of %d", base.good, base.offered))
@@ -85,9 +85,9 @@
 	shop := load{caller: "shop", rate: 0.2 * peak, keys: []string{"red", "blue", "green"}, until: length, work: work, budget: budget}
 	hot := shop
 	hot.rate, hot.keys = 1.8*peak, []string{"white"}
-	ours, plain := both(t, nil, shop, hot)
+	ours, baseline := compare(t, nil, shop, hot)
 	rest := func(c *call) bool { return c.key != "white" }
-	got, base := sum(ours, rest), sum(plain, rest)
+	got, base := sum(ours, rest), sum(baseline, rest)
 	c.Check(got.good >= got.offered*98/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
 	c.Check(base.good < base.offered*2/3, qt.IsTrue, qt.Commentf("the FIFO queue serves %d of %d", base.good, base.offered))
 }
@@ -97,9 +97,9 @@
 func TestBurst(t *testing.T) {
 	c := qt.New(t)
 	loads := append(callersOf(10, peak/2), load{caller: "burst", rate: 10 * peak, from: time.Second, until: time.Second + 50*ms, work: work, budget: budget})
-	quiet := sum(play(nil, admit(limits), calls(callersOf(10, peak/2)...)), all)
-	ours, plain := both(t, nil, loads...)
-	got, base := sum(ours, notOf("burst")), sum(plain, notOf("burst"))
+	quiet := sum(simulate(nil, admit(limits), calls(callersOf(10, peak/2)...)), all)
+	ours, baseline := compare(t, nil, loads...)
+	got, base := sum(ours, notOf("burst")), sum(baseline, notOf("burst"))
 	c.Check(got.good, qt.Equals, got.offered)
 	c.Check(got.p99 <= quiet.p99*11/10, qt.IsTrue, qt.Commentf("p99 %v, without the burst %v", got.p99, quiet.p99))
 	c.Check(base.good < base.offered, qt.IsTrue)
@@ -107,23 +107,23 @@
 }
 
 // Guards against long requests that block short ones: reports take 40 times as long as other requests, and enough
-// arrive to hold every permit, so in a FIFO queue short requests wait for a report to end. Short requests must be served
-// as if there were no reports, and reports must still be served.
+// arrive to hold every permit, so in a FIFO queue short requests wait for a report to end. Short requests must be
+// served as if there were no reports, and reports must still be served.
 func TestLongAmongShort(t *testing.T) {
 	c := qt.New(t)
 	short := callersOf(10, peak/2)
 	for i := range short {
 		short[i].work, short[i].until = 5*ms, 5*time.Second
 	}
-	quiet := sum(play(nil, admit(limits), calls(short...)), all)
+	quiet := sum(simulate(nil, admit(limits), calls(short...)), all)
 	long := load{caller: "reports", rate: 80, until: 5 * time.Second, work: 200 * ms, budget: time.Second}
-	ours, plain := both(t, nil, append(short, long)...)
-	got, base := sum(ours, notOf("reports")), sum(plain, notOf("reports"))
+	ours, baseline := compare(t, nil, append(short, long)...)
+	got, base := sum(ours, notOf("reports")), sum(baseline, notOf("reports"))
 	c.Check(got.good >= got.offered*99/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
 	c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, without the reports %v", got.p99, quiet.p99))
 	c.Check(base.good < base.offered*3/4, qt.IsTrue, qt.Commentf("the FIFO queue serves %d of %d", base.good, base.offered))
 	reports := sum(ours, of("reports"))
-	t.Logf("short: ours %+v\n FIFO %+v\nlong: ours %+v\n FIFO %+v", got, base, reports, sum(plain, of("reports")))
+	t.Logf("short: ours %+v\n FIFO %+v\nlong: ours %+v\n FIFO %+v", got, base, reports, sum(baseline, of("reports")))
 	c.Check(reports.good > 200, qt.IsTrue, qt.Commentf("%+v", reports))
 }
 
@@ -137,8 +137,8 @@
 		}
 		return 1
 	}
-	ours, plain := both(t, slow, callersOf(10, 0.8*peak)...)
-	got, base := sum(ours, all), sum(plain, all)
+	ours, baseline := compare(t, slow, callersOf(10, 0.8*peak)...)
+	got, base := sum(ours, all), sum(baseline, all)
 	c.Check(got.good > base.good, qt.IsTrue)
 	c.Check(got.late < base.late/5, qt.IsTrue, qt.Commentf("%d late, FIFO %d", got.late, base.late))
 	after := func(c *call) bool { return c.at > 1600*ms }
@@ -162,7 +162,7 @@
 	for i := range loads {
 		loads[i].budget = 400 * ms
 	}
-	ours, _ := both(t, slow, loads...)
+	ours, _ := compare(t, slow, loads...)
 	refused, waited := 0, time.Duration(0)
 	for _, call := range ours {
 		if call.at > 900*ms && call.at < 1100*ms && call.outcome == "refused" {
@@ -182,23 +182,23 @@
 	wide := limits
 	wide.Running = 3 * slots
 	loads := append(callersOf(10, 0.6*peak), load{caller: "hot", rate: 2.4 * peak, until: length, work: work, budget: budget})
-	fixed := play(nil, admit(wide), calls(loads...))
-	ours := play(nil, admitUnder(wide, adapt.New(wide.Running)), calls(loads...))
+	fixed := simulate(nil, admit(wide), calls(loads...))
+	ours := simulate(nil, admitUnder(wide, adapt.New(wide.Running)), calls(loads...))
 	got, base := sum(ours, notOf("hot")), sum(fixed, notOf("hot"))
 	t.Logf("seed %d\nours  %+v\nfixed %+v", seed, got, base)
 	c.Check(got.p50 < base.p50*3/4, qt.IsTrue, qt.Commentf("p50 %v, at a fixed limit %v", got.p50, base.p50))
 	c.Check(sum(ours, all).good >= sum(fixed, all).good*97/100, qt.IsTrue, qt.Commentf("%d served, at a fixed limit %d", sum(ours, all).good, sum(fixed, all).good))
 }
 
-// Guards against synchronized retries: a host restarts, and a thousand callers send it a request at once and retry after
-// the given delay. With a fixed delay of 50 ms all retry together and are refused together. With a delay estimated from
-// the backlog and with jitter, few are refused twice.
+// Guards against synchronized retries: a host restarts, and a thousand callers send it a request at once and retry
+// after the given delay. With a fixed delay of 50 ms all retry together and are refused together. With a delay
+// estimated from the backlog and with jitter, few are refused twice.
 func TestReturnOfRefusedCallers(t *testing.T) {
 	c := qt.New(t)
 	boards := func() []*call {
 		list := make([]*call, 1000)
 		for i := range list {
-			list[i] = &call{at: ms, caller: fmt.Sprintf("board-%d", i), work: work, budget: budget, comesBack: true}
+			list[i] = &call{at: ms, caller: fmt.Sprintf("board-%d", i), work: work, budget: budget, retries: true}
 		}
 		return list
 	}
@@ -213,11 +213,11 @@
 		copied := *w
 		plainCalls[i] = &copied
 	}
-	ours := sum(play(nil, admit(limits), warm), notOf("warm"))
-	plain := sum(play(nil, fifo(slots, limits.Waiting), plainCalls), notOf("warm"))
-	t.Logf("seed %d\nours  %+v\nFIFO  %+v", seed, ours, plain)
+	ours := sum(simulate(nil, admit(limits), warm), notOf("warm"))
+	baseline := sum(simulate(nil, fifo(slots, limits.Waiting), plainCalls), notOf("warm"))
+	t.Logf("seed %d\nours  %+v\nFIFO  %+v", seed, ours, baseline)
 	c.Check(ours.good+ours.late, qt.Equals, 1000)
-	c.Check(ours.refused < plain.refused/2, qt.IsTrue, qt.Commentf("%d refusals, FIFO %d", ours.refused, plain.refused))
+	c.Check(ours.refused < baseline.refused/2, qt.IsTrue, qt.Commentf("%d refusals, FIFO %d", ours.refused, baseline.refused))
 }
 
 // Guards against hanging requests that take every permit: requests of one caller were quick and now hang until their
@@ -241,9 +241,9 @@
 	for range 8 {
 		quick, steady := arrive("hangs"), arrive("steady")
 		now = now.Add(ms)
-		q.Leave(now, quick.Grant, true)
+		q.Release(now, quick.Grant, true)
 		now = now.Add(9 * ms)
-		q.Leave(now, steady.Grant, true)
+		q.Release(now, steady.Grant, true)
 	}
 	arrive("hangs")
 	arrive("hangs")
@@ -254,7 +254,7 @@
 	}
 	now = now.Add(10 * ms)
 	for _, a := range steady {
-		q.Leave(now, a.Grant, true)
+		q.Release(now, a.Grant, true)
 	}
 	c.Check(started, qt.DeepEquals, map[string]int{"steady": 2})
 }
--- a/entry/internal/admission/queue/model_test.go
+++ b/entry/internal/admission/queue/simulation_test.go
@@ -22,25 +22,25 @@
 	took    time.Duration
 	retry   time.Duration
 
-	place   queue.Grant
+	grant   queue.Grant
 	running bool
 	ended   bool
 	sent    time.Time
-	// comesBack reports whether the caller retries a refused call after the retry delay.
-	comesBack bool
+	// retries reports whether the caller retries a refused call after the retry delay.
+	retries bool
 }
 
 // model simulates calls to one host and one upstream with a number of slots, in virtual time.
 type model struct {
-	now    time.Time
-	events eventHeap
-	seq    int
-	slots  int
-	slow   func(now time.Duration) float64
-	queued []*call
-	policy policy
-	// again holds the retries of refused calls.
-	again []*call
+	now      time.Time
+	events   eventHeap
+	seq      int
+	slots    int
+	slowdown func(now time.Duration) float64
+	queued   []*call
+	policy   policy
+	// retried holds the retries of refused calls.
+	retried []*call
 }
 
 // policy is the admission policy between the calls and the upstream.
@@ -80,11 +80,11 @@
 	heap.Push(&m.events, timedEvent{at: m.now.Add(d), seq: m.seq, run: run})
 }
 
-// play simulates the calls until all have ended and returns them together with their retries.
-func play(slow func(time.Duration) float64, p policy, calls []*call) []*call {
-	m := &model{now: epoch, slots: slots, slow: slow, policy: p}
-	if m.slow == nil {
-		m.slow = func(time.Duration) float64 { return 1 }
+// simulate simulates the calls until all have ended and returns them together with their retries.
+func simulate(slow func(time.Duration) float64, p policy, calls []*call) []*call {
+	m := &model{now: epoch, slots: slots, slowdown: slow, policy: p}
+	if m.slowdown == nil {
+		m.slowdown = func(time.Duration) float64 { return 1 }
 	}
 	for _, c := range calls {
 		m.after(c.at, func() { m.arrive(c) })
@@ -94,7 +94,7 @@
 		m.now = ev.at
 		ev.run()
 	}
-	return append(calls, m.again...)
+	return append(calls, m.retried...)
 }
 
 func (m *model) arrive(c *call) {
@@ -105,7 +105,7 @@
 func (m *model) deadline(c *call) {
 	switch {
 	case c.ended:
-	case c.place != (queue.Grant{}) || c.running:
+	case c.grant != (queue.Grant{}) || c.running:
 		m.end(c, "late")
 	default:
 		m.policy.expire(m, c)
@@ -127,7 +127,7 @@
 			continue
 		}
 		m.slots--
-		work := time.Duration(float64(c.work) * m.slow(m.now.Sub(epoch)))
+		work := time.Duration(float64(c.work) * m.slowdown(m.now.Sub(epoch)))
 		m.after(work, func() {
 			if !c.ended {
 				m.end(c, "good")
@@ -150,12 +150,12 @@
 
 func (m *model) refuse(c *call, retry time.Duration) {
 	c.ended, c.outcome, c.took, c.retry = true, "refused", m.now.Sub(epoch)-c.at, retry
-	if !c.comesBack {
+	if !c.retries {
 		return
 	}
-	again := &call{at: m.now.Sub(epoch) + retry, caller: c.caller, key: c.key, work: c.work, budget: c.budget, comesBack: true}
-	m.again = append(m.again, again)
-	m.after(retry, func() { m.arrive(again) })
+	retryCall := &call{at: m.now.Sub(epoch) + retry, caller: c.caller, key: c.key, work: c.work, budget: c.budget, retries: true}
+	m.retried = append(m.retried, retryCall)
+	m.after(retry, func() { m.arrive(retryCall) })
 }
 
 // admit is the policy under test.
@@ -174,7 +174,7 @@
 		c := byWaiter[w]
 		delete(byWaiter, w)
 		if w.Verdict == queue.VerdictRun {
-			c.place = w.Grant
+			c.grant = w.Grant
 			m.run(c)
 			return
 		}
@@ -186,7 +186,7 @@
 			a := q.Arrive(m.now, queue.Request{Caller: c.caller, Key: c.key, Deadline: m.now.Add(c.budget)})
 			switch a.Verdict {
 			case queue.VerdictRun:
-				c.place = a.Grant
+				c.grant = a.Grant
 				m.run(c)
 			case queue.VerdictRefuse:
 				m.refuse(c, a.Refusal.RetryAfter)
@@ -205,7 +205,7 @@
 				limits.Running = limit.Current()
 				q.SetLimits(m.now, limits)
 			}
-			q.Leave(m.now, c.place, complete)
+			q.Release(m.now, c.grant, complete)
 		},
 	}
 }
@@ -213,7 +213,7 @@
 // fifo is the baseline: a FIFO queue in which calls wait until their deadline, with at most running calls at once.
 func fifo(running, waiting int) policy {
 	n, line := 0, []*call(nil)
-	drop := func(c *call) { line = slices.DeleteFunc(line, func(other *call) bool { return other == c }) }
+	remove := func(c *call) { line = slices.DeleteFunc(line, func(other *call) bool { return other == c }) }
 	return policy{
 		enter: func(m *model, c *call) {
 			switch {
@@ -226,7 +226,7 @@
 				m.refuse(c, 50*time.Millisecond)
 			}
 		},
-		expire: func(m *model, c *call) { drop(c); m.refuse(c, 50*time.Millisecond) },
+		expire: func(m *model, c *call) { remove(c); m.refuse(c, 50*time.Millisecond) },
 		leave: func(m *model, _ *call, _ bool) {
 			n--
 			if len(line) > 0 {
@@ -275,16 +275,16 @@
 	return list
 }
 
-// got sums up the outcomes of a set of calls.
-type got struct {
+// outcomes summarizes a set of calls.
+type outcomes struct {
 	offered, good, late, refused int
 	// p50 and p99 are the latencies of good calls, refusalP99 is that of refusals.
 	p50, p99, refusalP99 time.Duration
 }
 
 // sum sums up the outcomes of the calls for which keep returns true.
-func sum(list []*call, keep func(c *call) bool) got {
-	var g got
+func sum(list []*call, keep func(c *call) bool) outcomes {
+	var g outcomes
 	var took, refusals []time.Duration
 	for _, c := range list {
 		if !keep(c) {
