--- a/entry/internal/budget/budget.go
+++ b/entry/internal/budget/budget.go
@@ -3,13 +3,13 @@
 import "sync/atomic"
 
 const (
-	// unit is the fixed-point value of one token, so that fractions of a token can be added.
-	unit = 1_000
-	// burst is the capacity of the bucket in tokens: enough for the shards of one query that a single fault affects,
-	// far too few to double the load when every shard is late.
-	burst = 10
-	// percentUnit is one percent of a token, in units.
-	percentUnit = unit / 100
+	// unitsPerToken is the fixed-point value of one token, so that fractions of a token can be added.
+	unitsPerToken = 1_000
+	// burstTokens is the capacity of the bucket in tokens: enough for the shards of one query that a single fault
+	// affects, far too few to double the load when every shard is late.
+	burstTokens = 10
+	// unitsPerPercent is one percent of a token, in units.
+	unitsPerPercent = unitsPerToken / 100
 )
 
 // Budget is a token bucket to which first tries add tokens and from which each retry or hedge takes one.
@@ -25,24 +25,24 @@
 // New returns a full budget.
 func New() *Budget {
 	b := &Budget{}
-	b.tokens.Store(burst * unit)
+	b.tokens.Store(burstTokens * unitsPerToken)
 	return b
 }
 
 // Earn adds the tokens for n first tries, each percent hundredths of a token.
 func (b *Budget) Earn(n int, percent float64) {
-	earned := int64(float64(n) * percent * percentUnit)
-	if left := b.tokens.Add(earned); left > burst*unit {
+	earned := int64(float64(n) * percent * unitsPerPercent)
+	if balance := b.tokens.Add(earned); balance > burstTokens*unitsPerToken {
 		// Concurrent calls may remove the surplus twice; the loss is less than the tokens of one query.
-		b.tokens.CompareAndSwap(left, burst*unit)
+		b.tokens.CompareAndSwap(balance, burstTokens*unitsPerToken)
 	}
 }
 
 // Take takes one token and reports whether one was available.
 func (b *Budget) Take() bool {
-	if b.tokens.Add(-unit) >= 0 {
+	if b.tokens.Add(-unitsPerToken) >= 0 {
 		return true
 	}
-	b.tokens.Add(unit)
+	b.tokens.Add(unitsPerToken)
 	return false
 }
