--- a/entry/internal/overload/overload.go
+++ b/entry/internal/overload/overload.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// free and full bound the ratio of the expected wait to the time for which a request can wait: up to free no
-	// request is refused, from full on the chance of a refusal is highest. It grows linearly between them, so that
-	// hosts refuse their parts of the excess without coordination and don't alternate between refusing all requests and
-	// none.
-	free, full = 0.45, 0.9
-	// most is the maximum chance of a refusal. The few requests that are admitted show when the queues have drained;
-	// without them all hosts refuse until their measurements expire, and then all admit everything at once.
-	most = 0.95
-	// manyBehind is the share of delayed shards from which on only the route with the least time to wait counts. It is
-	// below 1 since not all delayed shards show a delay at any moment. Where one or two are near their limit, answers
-	// can do without them.
-	manyBehind = 0.5
-	// again and quiet are shares of the time for which a request can wait. A client that has waited for at most again
-	// counts as new; any other is admitted only while the expected wait is at most quiet.
-	again, quiet = 0.25, 0.1
+	// refusalStart and refusalFull bound the ratio of the expected wait to the time for which a request can wait: up to
+	// refusalStart no request is refused, from refusalFull on the chance of a refusal is highest. It grows linearly
+	// between them, so that hosts refuse their parts of the excess without coordination and don't alternate between
+	// refusing all requests and none.
+	refusalStart, refusalFull = 0.45, 0.9
+	// maxRefusalChance is the maximum chance of a refusal. The few requests that are admitted show when the queues have
+	// drained; without them all hosts refuse until their measurements expire, and then all admit everything at once.
+	maxRefusalChance = 0.95
+	// manyDelayedShare is the share of delayed shards from which on only the route with the least time to wait counts.
+	// It is below 1 since not all delayed shards show a delay at any moment. Where one or two are near their limit,
+	// answers can do without them.
+	manyDelayedShare = 0.5
+	// retryWaitShare and idleWaitShare are shares of the time for which a request can wait. A client that has waited
+	// for at most retryWaitShare counts as new; any other is admitted only while the expected wait is at most
+	// idleWaitShare.
+	retryWaitShare, idleWaitShare = 0.25, 0.1
 )
 
 // Load describes a request and the queues that it meets.
@@ -64,47 +65,48 @@
 // A client that retries after a refusal is admitted only while hardly any request waits. Under overload it would
 // displace a request that can be answered in time and be late itself.
 func Decide(l Load) Decision {
-	wait := expected(l.Delays, l.Least)
-	spare := max(bound(l), time.Millisecond)
-	x := float64(wait) / float64(spare)
-	chance := min(most, max(0, (x-free)/(full-free)))
-	crowded := chance >= most
-	if back := float64(l.Waited) > again*float64(spare); back && x > quiet {
+	wait := expectedWait(l.Delays, l.Least)
+	spare := max(waitBound(l), time.Millisecond)
+	ratio := float64(wait) / float64(spare)
+	chance := min(maxRefusalChance, max(0, (ratio-refusalStart)/(refusalFull-refusalStart)))
+	crowded := chance >= maxRefusalChance
+	if retry := float64(l.Waited) > retryWaitShare*float64(spare); retry && ratio > idleWaitShare {
 		chance = 1
 	}
 	return Decision{Wait: wait, Bound: spare, Waited: l.Waited, Chance: chance, Refused: chance > l.Draw, Crowded: crowded}
 }
 
-// bound returns the time that the wait is compared to. It changes linearly from the time of the request itself with no
-// delayed shard to the least of all routes with a share of manyBehind.
-func bound(l Load) time.Duration {
-	behind := 0
+// waitBound returns the time that the wait is compared to. It changes linearly from the time of the request itself with
+// no delayed shard to the least of all routes with a share of manyDelayedShare.
+func waitBound(l Load) time.Duration {
+	delayed := 0
 	for _, d := range l.Delays {
 		if d > 0 {
-			behind++
+			delayed++
 		}
 	}
-	part := min(1, float64(behind)/(manyBehind*float64(max(1, len(l.Delays)))))
+	part := min(1, float64(delayed)/(manyDelayedShare*float64(max(1, len(l.Delays)))))
 	return l.Spare - time.Duration(part*float64(l.Spare-l.LeastSpare))
 }
 
-// expected returns the expected wait for the delayed shards of a request for which least of all shards have to answer.
+// expectedWait returns the expected wait for the delayed shards of a request for which least of all shards have to
+// answer.
 //
 // Requests need only some of the delayed shards, since an answer may lack the others. If one of two delayed shards may
 // be missing, each request uses the first one with free capacity, so that the effective length of their queues is half
 // of the actual one.
-func expected(delays []time.Duration, least int) time.Duration {
-	behind, sum := 0, time.Duration(0)
+func expectedWait(delays []time.Duration, least int) time.Duration {
+	delayed, sum := 0, time.Duration(0)
 	for _, d := range delays {
 		if d > 0 {
-			behind++
+			delayed++
 			sum += d
 		}
 	}
-	needed := behind - (len(delays) - least)
+	needed := delayed - (len(delays) - least)
 	if needed <= 0 {
 		return 0
 	}
-	mean := sum / time.Duration(behind)
-	return mean * time.Duration(needed) / time.Duration(behind)
+	mean := sum / time.Duration(delayed)
+	return mean * time.Duration(needed) / time.Duration(delayed)
 }
--- a/entry/internal/overload/overload_test.go
+++ b/entry/internal/overload/overload_test.go
@@ -12,9 +12,9 @@
 
 const spare = 100 * time.Millisecond
 
-func delays(n, behind int, by time.Duration) []time.Duration {
+func delays(n, delayed int, by time.Duration) []time.Duration {
 	list := make([]time.Duration, n)
-	for i := range behind {
+	for i := range delayed {
 		list[n-1-i] = by
 	}
 	return list
