--- a/entry/internal/admission/queue/flow.go
+++ b/entry/internal/admission/queue/flow.go
@@ -127,7 +127,9 @@
 		q.active = append(q.active, f)
 	}
 	k := f.keyQueue(req.Key)
-	w := &Waiter{Verdict: VerdictWait, LatestStart: req.Deadline.Add(-q.expectedCompletion(c)), key: k, class: c, Long: long}
+	w := &Waiter{
+		Verdict: VerdictWait, LatestStart: req.Deadline.Add(-q.expectedCompletion(c)), key: k, class: c, Long: long,
+	}
 	k.items = append(k.items, w)
 	f.waiting++
 	q.waiting++
