--- a/entry/internal/admission/adapt/limit.go
+++ b/entry/internal/admission/adapt/limit.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// The timing and bounds of a Limit. docs/design/admission.md explains tolerance and the steps.
+// The timing and bounds of a Limit. docs/design/admission.md explains latencyTolerance and the steps.
 const (
 	// window is the minimum time between two adjustments, long enough for some requests to run under the last one.
 	window = 100 * time.Millisecond
-	// leastReplies is the minimum number of replies in a window; the median of fewer is not significant.
-	leastReplies = 32
-	// maxReplies is the maximum number of latencies kept per window; later ones are ignored.
-	maxReplies = 256
+	// minWindowTries is the minimum number of tries in a window; the median of fewer is not significant.
+	minWindowTries = 32
+	// maxWindowSamples is the maximum number of latencies kept per window; later ones are ignored.
+	maxWindowSamples = 256
 	// shedPercent is the percentage of shed tries above which the upstream counts as overloaded.
 	shedPercent = 2
-	// floorPart is the divisor of the cap that gives the minimum of the limit.
-	floorPart = 16
-	// startPart is the divisor of the cap that gives the initial limit.
-	startPart = 4
+	// floorDivisor is the divisor of the cap that gives the minimum of the limit.
+	floorDivisor = 16
+	// startDivisor is the divisor of the cap that gives the initial limit.
+	startDivisor = 4
 )
 
-// tolerance is the ratio of the median latency to the base latency above which the limit is decreased.
-const tolerance = 1.25
+// latencyTolerance is the ratio of the median latency to the base latency above which the limit is decreased.
+const latencyTolerance = 1.25
 
-// down is the factor by which the limit is multiplied after a window in which the upstream was overloaded.
-const down = 0.95
+// decreaseFactor is the factor by which the limit is multiplied after a window in which the upstream was overloaded.
+const decreaseFactor = 0.95
 
 // Limit is an adaptive concurrency limit for the requests of a service on one host. It is not safe for concurrent use.
 //
@@ -41,25 +41,28 @@
 type Limit struct {
 	cap     int
 	current float64
-	// base is the median latency of an upstream that is not overloaded.
-	base time.Duration
-	// fallFrom and fallMedian are the limit and the median latency when the limit began to decrease; fallFrom is zero
-	// while it does not decrease.
-	fallFrom   float64
-	fallMedian time.Duration
+	// baseLatency is the median latency of an upstream that is not overloaded.
+	baseLatency time.Duration
+	// limitBeforeDecrease and medianBeforeDecrease are the limit and the median latency when the limit began to
+	// decrease; limitBeforeDecrease is zero while it does not decrease.
+	limitBeforeDecrease  float64
+	medianBeforeDecrease time.Duration
 	// doubling is set until the limit decreases for the first time, and again after the cap is raised.
 	doubling bool
 
-	began       time.Time
-	took        []time.Duration
+	windowStart time.Time
+	latencies   []time.Duration
 	tries, shed int
-	// peak is the maximum number of concurrently running requests in the window.
-	peak int
+	// peakRunning is the maximum number of concurrently running requests in the window.
+	peakRunning int
 }
 
 // New returns a limit with the given cap, which starts at a part of it.
-func New(most int) *Limit {
-	return &Limit{cap: most, current: float64(max(1, most/startPart)), doubling: true, took: make([]time.Duration, 0, maxReplies)}
+func New(limitCap int) *Limit {
+	return &Limit{
+		cap: limitCap, current: float64(max(1, limitCap/startDivisor)), doubling: true,
+		latencies: make([]time.Duration, 0, maxWindowSamples),
+	}
 }
 
 // Current returns the current limit, at least 1.
@@ -67,59 +70,59 @@
 
 // SetCap changes the cap. A limit above the new cap is lowered to it at once; after the cap is raised the limit
 // increases by doubling again.
-func (l *Limit) SetCap(most int) {
-	l.doubling = l.doubling || most > l.cap
-	l.cap = most
-	l.current = min(l.current, float64(most))
+func (l *Limit) SetCap(limitCap int) {
+	l.doubling = l.doubling || limitCap > l.cap
+	l.cap = limitCap
+	l.current = min(l.current, float64(limitCap))
 }
 
 // Base returns the median latency of an upstream that is not overloaded, or zero before the end of the first window.
-func (l *Limit) Base() time.Duration { return l.base }
+func (l *Limit) Base() time.Duration { return l.baseLatency }
 
-// Reply records the time from the start of a query to the answer of a shard, or the time after which a try was
+// RecordReply records the time from the start of a query to the answer of a shard, or the time after which a try was
 // canceled. running is the number of running requests. It reports whether the limit changed.
-func (l *Limit) Reply(now time.Time, took time.Duration, running int) bool {
-	if len(l.took) < maxReplies {
-		l.took = append(l.took, took)
+func (l *Limit) RecordReply(now time.Time, took time.Duration, running int) bool {
+	if len(l.latencies) < maxWindowSamples {
+		l.latencies = append(l.latencies, took)
 	}
-	return l.count(now, running)
+	return l.recordTry(now, running)
 }
 
-// Shed records that a replica without free capacity rejected a try; it reports whether the limit changed.
-func (l *Limit) Shed(now time.Time, running int) bool {
+// RecordShed records that a replica without free capacity rejected a try; it reports whether the limit changed.
+func (l *Limit) RecordShed(now time.Time, running int) bool {
 	l.shed++
-	return l.count(now, running)
+	return l.recordTry(now, running)
 }
 
-// count counts a try and adjusts the limit at the end of a window; it reports whether the limit changed.
-func (l *Limit) count(now time.Time, running int) bool {
+// recordTry counts a try and adjusts the limit at the end of a window; it reports whether the limit changed.
+func (l *Limit) recordTry(now time.Time, running int) bool {
 	if l.tries == 0 {
-		l.began = now
+		l.windowStart = now
 	}
 	l.tries++
-	l.peak = max(l.peak, running)
-	if l.tries < leastReplies || now.Sub(l.began) < window {
+	l.peakRunning = max(l.peakRunning, running)
+	if l.tries < minWindowTries || now.Sub(l.windowStart) < window {
 		return false
 	}
 	old := l.Current()
-	l.move()
-	l.took, l.tries, l.shed, l.peak = l.took[:0], 0, 0, 0
+	l.adjust()
+	l.latencies, l.tries, l.shed, l.peakRunning = l.latencies[:0], 0, 0, 0
 	return l.Current() != old
 }
 
-// move adjusts the limit to the replies of the window.
-func (l *Limit) move() {
-	slices.Sort(l.took)
-	middle := l.base
-	if len(l.took) > 0 {
-		middle = l.took[len(l.took)/2]
+// adjust adjusts the limit to the replies of the window.
+func (l *Limit) adjust() {
+	slices.Sort(l.latencies)
+	median := l.baseLatency
+	if len(l.latencies) > 0 {
+		median = l.latencies[len(l.latencies)/2]
 	}
-	l.learnBase(middle)
-	pressed := l.shed*100 > l.tries*shedPercent || float64(middle) > tolerance*float64(l.base)
+	l.updateBase(median)
+	overloaded := l.shed*100 > l.tries*shedPercent || float64(median) > latencyTolerance*float64(l.baseLatency)
 	switch {
-	case pressed && l.used(0.5):
-		l.fall(middle)
-	case pressed || !l.used(0.9):
+	case overloaded && l.usedAtLeast(0.5):
+		l.decrease(median)
+	case overloaded || !l.usedAtLeast(0.9):
 		// While the limit is not reached, latency shows neither that it could be higher nor that this host overloads
 		// the upstream.
 	case l.doubling:
@@ -127,49 +130,52 @@
 	default:
 		l.current = min(l.current+max(1, l.current/32), float64(l.cap))
 	}
-	if !pressed {
-		l.fallFrom = 0
+	if !overloaded {
+		l.limitBeforeDecrease = 0
 	}
 }
 
-// fall decreases the limit, and notes the limit and the median at the start of a series of decreases.
-func (l *Limit) fall(middle time.Duration) {
+// decrease decreases the limit, and notes the limit and the median at the start of a series of decreases.
+func (l *Limit) decrease(median time.Duration) {
 	l.doubling = false
-	if l.fallFrom == 0 {
-		l.fallFrom, l.fallMedian = l.current, middle
+	if l.limitBeforeDecrease == 0 {
+		l.limitBeforeDecrease, l.medianBeforeDecrease = l.current, median
 	}
-	l.current = max(l.current*down, l.floor())
+	l.current = max(l.current*decreaseFactor, l.floor())
 }
 
-// A decrease of the limit has no effect if the limit is at most fallenLimit of its value before the decrease and the
-// median latency is still above fallenMedian of its value.
+// A decrease of the limit has no effect if the limit is at most ineffectiveLimitRatio of its value before the decrease
+// and the median latency is still above ineffectiveMedianRatio of its value.
 const (
-	fallenLimit  = 0.6
-	fallenMedian = 0.85
+	ineffectiveLimitRatio  = 0.6
+	ineffectiveMedianRatio = 0.85
 )
 
-// learnBase sets the base to the lowest median, and raises it where this host can't be the cause of a higher median.
+// updateBase sets the base to the lowest median, and raises it where this host can't be the cause of a higher median.
 //
 // An upstream that has become permanently slower looks overloaded and would hold the limit at its minimum. Three
 // conditions distinguish it: the limit decreased by 40% and the median by less than 15%, the limit is at its minimum,
 // or less than half of it is used. A base that rose with time alone would, while the load stays above capacity, follow
 // the median that it is compared to, and the limit would rise with it.
-func (l *Limit) learnBase(middle time.Duration) {
-	futile := l.fallFrom > 0 && l.current <= fallenLimit*l.fallFrom && float64(middle) > fallenMedian*float64(l.fallMedian)
+func (l *Limit) updateBase(median time.Duration) {
+	ineffective := l.limitBeforeDecrease > 0 && l.current <= ineffectiveLimitRatio*l.limitBeforeDecrease &&
+		float64(median) > ineffectiveMedianRatio*float64(l.medianBeforeDecrease)
 	switch {
-	case l.base == 0 || middle < l.base:
-		l.base = middle
-	case futile:
-		l.base, l.fallFrom = middle, 0
+	case l.baseLatency == 0 || median < l.baseLatency:
+		l.baseLatency = median
+	case ineffective:
+		l.baseLatency, l.limitBeforeDecrease = median, 0
 	case l.current <= l.floor():
-		l.base += (middle - l.base) / 4
-	case !l.used(0.5):
-		l.base += (middle - l.base) / 64
+		l.baseLatency += (median - l.baseLatency) / 4
+	case !l.usedAtLeast(0.5):
+		l.baseLatency += (median - l.baseLatency) / 64
 	}
 }
 
-// used reports whether the running requests reached the given part of the limit within the window.
-func (l *Limit) used(part float64) bool { return float64(l.peak) >= part*float64(l.Current()) }
+// usedAtLeast reports whether the running requests reached the given part of the limit within the window.
+func (l *Limit) usedAtLeast(part float64) bool {
+	return float64(l.peakRunning) >= part*float64(l.Current())
+}
 
 // floor returns the minimum of the limit.
-func (l *Limit) floor() float64 { return max(1, float64(l.cap)/floorPart) }
+func (l *Limit) floor() float64 { return max(1, float64(l.cap)/floorDivisor) }
--- a/entry/internal/admission/adapt/limit_test.go
+++ b/entry/internal/admission/adapt/limit_test.go
@@ -11,19 +11,19 @@
 
 const ms = time.Millisecond
 
-// play feeds the limit windows of 100 replies whose latency depends on the limit, as with a real upstream.
-func play(l *adapt.Limit, windows int, took func(limit int) time.Duration) {
+// feedReplies feeds the limit windows of 100 replies whose latency depends on the limit, as with a real upstream.
+func feedReplies(l *adapt.Limit, windows int, took func(limit int) time.Duration) {
 	now := time.Unix(1_000_000, 0)
 	for range windows {
 		for range 100 {
 			now = now.Add(ms + 10*time.Microsecond)
-			l.Reply(now, took(l.Current()), l.Current())
+			l.RecordReply(now, took(l.Current()), l.Current())
 		}
 	}
 }
 
-// queued returns the latency of an upstream with the given slots while limit requests are sent to it at once.
-func queued(slots int) func(limit int) time.Duration {
+// queueingLatency returns the latency of an upstream with the given slots while limit requests are sent to it at once.
+func queueingLatency(slots int) func(limit int) time.Duration {
 	return func(limit int) time.Duration {
 		return 10 * ms * time.Duration(max(limit, slots)) / time.Duration(slots)
 	}
@@ -31,7 +31,7 @@
 
 // Guards against a limit that stays away from the upstream's capacity: the cap is higher than the number of slots, for
 // example 64 and 20. The limit must approach the number of slots from above and below, and the cap if that is lower.
-func TestLimitFollowsTheUpstream(t *testing.T) {
+func TestLimitFollowsUpstreamCapacity(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		most       int
@@ -46,7 +46,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			l := adapt.New(test.most)
-			play(l, 200, queued(test.slots))
+			feedReplies(l, 200, queueingLatency(test.slots))
 			c.Check(l.Current() >= test.least && l.Current() <= test.top, qt.IsTrue, qt.Commentf("%d", l.Current()))
 		})
 	}
@@ -57,9 +57,9 @@
 func TestLimitIgnoresADeadShard(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
-	play(l, 20, queued(1000))
+	feedReplies(l, 20, queueingLatency(1000))
 	n := 0
-	play(l, 50, func(limit int) time.Duration {
+	feedReplies(l, 50, func(limit int) time.Duration {
 		c.Assert(limit, qt.Equals, 64)
 		n++
 		if n%3 == 0 {
@@ -72,44 +72,44 @@
 
 // Guards against a limit that stays at its minimum after the upstream has become permanently three times as slow, for
 // example by a new index version. The limit decreases at first, since that looks like overload, and must recover.
-func TestLimitRecoversFromASlowerUpstream(t *testing.T) {
+func TestLimitRecoversFromSlowerUpstream(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
-	play(l, 50, queued(1000))
-	play(l, 200, func(int) time.Duration { return 30 * ms })
+	feedReplies(l, 50, queueingLatency(1000))
+	feedReplies(l, 200, func(int) time.Duration { return 30 * ms })
 	c.Check(l.Current(), qt.Equals, 64)
 }
 
 // Guards against a limit that ignores shed tries: replicas shed one try in ten, while the latency of the other replies
 // does not rise.
-func TestLimitFallsWhenTriesAreShed(t *testing.T) {
+func TestLimitDecreasesWhenTriesAreShed(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
-	play(l, 50, queued(1000))
+	feedReplies(l, 50, queueingLatency(1000))
 	now := time.Unix(2_000_000, 0)
 	for i := range 1000 {
 		now = now.Add(ms)
 		if i%10 == 0 {
-			l.Shed(now, l.Current())
+			l.RecordShed(now, l.Current())
 			continue
 		}
-		l.Reply(now, 10*ms, l.Current())
+		l.RecordReply(now, 10*ms, l.Current())
 	}
 	c.Check(l.Current() < 45, qt.IsTrue, qt.Commentf("%d", l.Current()))
 }
 
 // Guards against starved callers of one of two hosts that share an upstream with 40 slots: one host starts long after
 // the other, which uses all slots by then. Their limits must converge without coordination.
-func TestLimitsOfTwoHostsBecomeAlike(t *testing.T) {
+func TestLimitsOfTwoHostsConverge(t *testing.T) {
 	c := qt.New(t)
 	a, b := adapt.New(64), adapt.New(64)
-	play(a, 100, queued(40))
+	feedReplies(a, 100, queueingLatency(40))
 	now := time.Unix(2_000_000, 0)
 	for range 100 * 3000 {
 		now = now.Add(ms)
-		took := queued(40)(a.Current() + b.Current())
-		a.Reply(now, took, a.Current())
-		b.Reply(now, took, b.Current())
+		took := queueingLatency(40)(a.Current() + b.Current())
+		a.RecordReply(now, took, a.Current())
+		b.RecordReply(now, took, b.Current())
 	}
 	c.Check(a.Current() < 2*b.Current() && b.Current() < 2*a.Current(), qt.IsTrue, qt.Commentf("%d and %d", a.Current(), b.Current()))
 }
@@ -120,6 +120,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(100 * time.Microsecond)
-		l.Reply(now, 10*ms, 32)
+		l.RecordReply(now, 10*ms, 32)
 	}
 }
--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -141,7 +141,7 @@
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return queue.ReasonLate
 	}
-	return queue.ReasonGone
+	return queue.ReasonCanceled
 }
 
 // wake unblocks the goroutine of a waiter that has been decided; the caller holds mu.
@@ -173,12 +173,12 @@
 // Replied records the time from the start of a query to the answer of a shard, or the time after which a try was
 // canceled.
 func (g *Gate) Replied(took time.Duration) {
-	g.updateLimit(func(now time.Time) bool { return g.adaptive.Reply(now, took, g.queue.Running()) })
+	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
 
 // Shed records that a replica without free capacity rejected a try.
 func (g *Gate) Shed() {
-	g.updateLimit(func(now time.Time) bool { return g.adaptive.Shed(now, g.queue.Running()) })
+	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordShed(now, g.queue.Running()) })
 }
 
 func (g *Gate) updateLimit(observe func(now time.Time) bool) {
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -125,7 +125,7 @@
 		canceled := enter(ctx, g, request("b", time.Second))
 		next := enter(context.Background(), g, request("c", time.Second))
 		cancel()
-		c.Check((<-canceled).refusal.Reason, qt.Equals, queue.ReasonGone)
+		c.Check((<-canceled).refusal.Reason, qt.Equals, queue.ReasonCanceled)
 		first.Leave(true)
 		got := <-next
 		c.Assert(got.refusal, qt.IsNil)
--- a/entry/internal/admission/queue/invariants_test.go
+++ b/entry/internal/admission/queue/invariants_test.go
@@ -77,7 +77,7 @@
 		return
 	}
 	w := m.waiting[rapid.IntRange(0, len(m.waiting)-1).Draw(t, "which")]
-	m.q.Cancel(m.now, w, queue.ReasonGone)
+	m.q.Cancel(m.now, w, queue.ReasonCanceled)
 }
 
 // decided is the queue's Notify.
--- a/entry/internal/admission/queue/request.go
+++ b/entry/internal/admission/queue/request.go
@@ -36,8 +36,8 @@
 	ReasonShare Reason = "the caller has its share of the queue while others wait"
 	// ReasonDisplaced means that the request was displaced by one of a caller or key with fewer queued requests.
 	ReasonDisplaced Reason = "its place in the queue went to a caller that had fewer"
-	// ReasonGone means that the caller canceled the request.
-	ReasonGone Reason = "the caller gave up"
+	// ReasonCanceled means that the caller canceled the request.
+	ReasonCanceled Reason = "the caller gave up"
 )
 
 // Refusal holds the reason why a request was not admitted and the delay after which its caller should retry.
--- a/entry/internal/admission/queue/simulation_test.go
+++ b/entry/internal/admission/queue/simulation_test.go
@@ -201,7 +201,7 @@
 		},
 		expire: func(*model, *call) { panic("a waiting call reached its deadline unanswered") },
 		leave: func(m *model, c *call, complete bool) {
-			if limit != nil && limit.Reply(m.now, m.now.Sub(c.sent), q.Running()) {
+			if limit != nil && limit.RecordReply(m.now, m.now.Sub(c.sent), q.Running()) {
 				limits.Running = limit.Current()
 				q.SetLimits(m.now, limits)
 			}
