--- a/entry/internal/admission/queue/scenario_test.go
+++ b/entry/internal/admission/queue/scenario_test.go
@@ -26,16 +26,16 @@
 var limits = queue.Limits{Running: slots, Waiting: 128, CallerShare: 0.5}
 
 // callersOf returns the loads of n callers with equal shares of rate.
-func callersOf(n int, rate float64) []load {
-	list := make([]load, n)
+func callersOf(n int, rate float64) []callerLoad {
+	list := make([]callerLoad, n)
 	for i := range list {
-		list[i] = load{caller: fmt.Sprintf("caller-%d", i), rate: rate / float64(n), until: length, work: work, budget: budget}
+		list[i] = callerLoad{caller: fmt.Sprintf("caller-%d", i), rate: rate / float64(n), until: length, work: work, budget: budget}
 	}
 	return list
 }
 
 // compare simulates the same calls under the policy under test and under the FIFO baseline.
-func compare(t *testing.T, slow func(time.Duration) float64, loads ...load) (ours, baseline []*call) {
+func compare(t *testing.T, slow func(time.Duration) float64, loads ...callerLoad) (ours, baseline []*call) {
 	ours = simulate(slow, admit(limits), calls(loads...))
 	baseline = simulate(slow, fifo(slots, limits.Waiting), calls(loads...))
 	t.Logf("seed %d", seed)
@@ -67,7 +67,7 @@
 	c := qt.New(t)
 	quiet := sum(simulate(nil, admit(limits), calls(callersOf(10, 0.6*peak)...)), all)
 	for _, rate := range []float64{2.4 * peak, 6 * peak} {
-		loads := append(callersOf(10, 0.6*peak), load{caller: "hot", rate: rate, until: length, work: work, budget: budget})
+		loads := append(callersOf(10, 0.6*peak), callerLoad{caller: "hot", rate: rate, until: length, work: work, budget: budget})
 		ours, baseline := compare(t, nil, loads...)
 		got, base := sum(ours, notOf("hot")), sum(baseline, notOf("hot"))
 		c.Check(got.p99 < quiet.p99*13/10, qt.IsTrue, qt.Commentf("p99 %v, without the hot caller %v", got.p99, quiet.p99))
@@ -82,7 +82,7 @@
 // those for its other keys wait behind them. These must be served as long as they stay within their share.
 func TestHotKey(t *testing.T) {
 	c := qt.New(t)
-	shop := load{caller: "shop", rate: 0.2 * peak, keys: []string{"red", "blue", "green"}, until: length, work: work, budget: budget}
+	shop := callerLoad{caller: "shop", rate: 0.2 * peak, keys: []string{"red", "blue", "green"}, until: length, work: work, budget: budget}
 	hot := shop
 	hot.rate, hot.keys = 1.8*peak, []string{"white"}
 	ours, baseline := compare(t, nil, shop, hot)
@@ -96,7 +96,7 @@
 // be served as before, and those requests of the burst that can't be served in time must be refused at once.
 func TestBurst(t *testing.T) {
 	c := qt.New(t)
-	loads := append(callersOf(10, peak/2), load{caller: "burst", rate: 10 * peak, from: time.Second, until: time.Second + 50*ms, work: work, budget: budget})
+	loads := append(callersOf(10, peak/2), callerLoad{caller: "burst", rate: 10 * peak, from: time.Second, until: time.Second + 50*ms, work: work, budget: budget})
 	quiet := sum(simulate(nil, admit(limits), calls(callersOf(10, peak/2)...)), all)
 	ours, baseline := compare(t, nil, loads...)
 	got, base := sum(ours, notOf("burst")), sum(baseline, notOf("burst"))
@@ -116,7 +116,7 @@
 		short[i].work, short[i].until = 5*ms, 5*time.Second
 	}
 	quiet := sum(simulate(nil, admit(limits), calls(short...)), all)
-	long := load{caller: "reports", rate: 80, until: 5 * time.Second, work: 200 * ms, budget: time.Second}
+	long := callerLoad{caller: "reports", rate: 80, until: 5 * time.Second, work: 200 * ms, budget: time.Second}
 	ours, baseline := compare(t, nil, append(short, long)...)
 	got, base := sum(ours, notOf("reports")), sum(baseline, notOf("reports"))
 	c.Check(got.good >= got.offered*99/100, qt.IsTrue, qt.Commentf("%d of %d are served", got.good, got.offered))
@@ -148,7 +148,7 @@
 // Guards against late refusals: the upstream becomes five times slower while a hundred requests are queued that were
 // admitted by the estimate from before. Most can't be served in time any more and must be refused once the estimate
 // shows it, not only when their latest start has passed.
-func TestQueueIsCutWhenTheUpstreamSlowsDown(t *testing.T) {
+func TestQueueIsTrimmedWhenUpstreamSlowsDown(t *testing.T) {
 	c := qt.New(t)
 	slow := func(at time.Duration) float64 {
 		if at > time.Second {
@@ -157,7 +157,7 @@
 		return 1
 	}
 	loads := callersOf(10, 0.8*peak)
-	burst := load{caller: "burst", rate: 10 * peak, from: 950 * ms, until: 960 * ms, work: work}
+	burst := callerLoad{caller: "burst", rate: 10 * peak, from: 950 * ms, until: 960 * ms, work: work}
 	loads = append(loads, burst)
 	for i := range loads {
 		loads[i].budget = 400 * ms
@@ -177,11 +177,11 @@
 // Guards against a queue in the upstream: the configured concurrency is three times the upstream's slots, so requests
 // queue there, where those of a hot caller delay all others although the host serves callers fairly. The adaptive limit
 // must approach the upstream's capacity.
-func TestConcurrencyOverTheUpstream(t *testing.T) {
+func TestAdaptiveLimitFindsUpstreamCapacity(t *testing.T) {
 	c := qt.New(t)
 	wide := limits
 	wide.Running = 3 * slots
-	loads := append(callersOf(10, 0.6*peak), load{caller: "hot", rate: 2.4 * peak, until: length, work: work, budget: budget})
+	loads := append(callersOf(10, 0.6*peak), callerLoad{caller: "hot", rate: 2.4 * peak, until: length, work: work, budget: budget})
 	fixed := simulate(nil, admit(wide), calls(loads...))
 	ours := simulate(nil, admitUnder(wide, adapt.New(wide.Running)), calls(loads...))
 	got, base := sum(ours, notOf("hot")), sum(fixed, notOf("hot"))
@@ -203,18 +203,18 @@
 		return list
 	}
 	// Earlier calls give the host an estimate of the time that requests take.
-	warm := calls(load{caller: "warm", rate: peak / 2, until: time.Second, work: work, budget: budget})
+	warm := calls(callerLoad{caller: "warm", rate: peak / 2, until: time.Second, work: work, budget: budget})
 	for _, board := range boards() {
 		board.at = time.Second
 		warm = append(warm, board)
 	}
-	plainCalls := make([]*call, len(warm))
+	baselineCalls := make([]*call, len(warm))
 	for i, w := range warm {
 		copied := *w
-		plainCalls[i] = &copied
+		baselineCalls[i] = &copied
 	}
 	ours := sum(simulate(nil, admit(limits), warm), notOf("warm"))
-	baseline := sum(simulate(nil, fifo(slots, limits.Waiting), plainCalls), notOf("warm"))
+	baseline := sum(simulate(nil, fifo(slots, limits.Waiting), baselineCalls), notOf("warm"))
 	t.Logf("seed %d\nours  %+v\nFIFO  %+v", seed, ours, baseline)
 	c.Check(ours.good+ours.late, qt.Equals, 1000)
 	c.Check(ours.refused < baseline.refused/2, qt.IsTrue, qt.Commentf("%d refusals, FIFO %d", ours.refused, baseline.refused))
@@ -223,7 +223,7 @@
 // Guards against hanging requests that take every permit: requests of one caller were quick and now hang until their
 // deadline. The actual hold time is charged only when a permit is returned, so until then hanging requests seem cheap
 // and are served first. The caller's share must leave permits for others that wait.
-func TestCallerShareOfPlaces(t *testing.T) {
+func TestCallerShareBoundsRunningRequests(t *testing.T) {
 	c := qt.New(t)
 	now, started := epoch, map[string]int{}
 	var name map[*queue.Waiter]string
--- a/entry/internal/admission/queue/simulation_test.go
+++ b/entry/internal/admission/queue/simulation_test.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// load is one caller's open-loop arrivals.
-type load struct {
+// callerLoad is one caller's open-loop arrivals.
+type callerLoad struct {
 	caller string
 	keys   []string
 	// rate is in calls per second, from and until bound the arrivals.
@@ -254,7 +254,7 @@
 const sigma = 0.5
 
 // calls draws the arrivals of all loads and orders them by time.
-func calls(loads ...load) []*call {
+func calls(loads ...callerLoad) []*call {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var list []*call
 	for _, l := range loads {
