--- a/entry/internal/admission/adapt/limit.go
+++ b/entry/internal/admission/adapt/limit.go
@@ -5,166 +5,177 @@
 	"time"
 )
 
-// The pace of a Limit. docs/design/admission.md gives the runs that chose tolerance and the steps.
+// The timing and bounds of a Limit. docs/design/admission.md explains latencyTolerance and the steps.
 const (
-	// window is how long replies are gathered before the limit moves: long enough for some requests to run under the
-	// last move.
+	// window is the minimum time between two adjustments, long enough for some requests to run under the last one.
 	window = 100 * time.Millisecond
-	// leastReplies is how many replies a window needs, so that its median means something.
-	leastReplies = 32
-	// maxReplies bounds the replies kept of a window; later ones are not looked at.
-	maxReplies = 256
-	// shedPercent is the share of shed tries from which the upstream is taken for full.
+	// minWindowTries is the minimum number of tries in a window; the median of fewer is not significant.
+	minWindowTries = 32
+	// maxWindowSamples is the maximum number of latencies kept per window; later ones are ignored.
+	maxWindowSamples = 256
+	// shedPercent is the percentage of shed tries above which the upstream counts as overloaded.
 	shedPercent = 2
-	// floorPart is the part of the cap below which the limit never goes.
-	floorPart = 16
-	// startPart is the part of the cap at which a host starts.
-	startPart = 4
+	// floorDivisor is the divisor of the cap that gives the minimum of the limit.
+	floorDivisor = 16
+	// startDivisor is the divisor of the cap that gives the initial limit.
+	startDivisor = 4
 )
 
-// tolerance is how far the median reply time may rise over its base before the limit falls.
-const tolerance = 1.25
+// latencyTolerance is the ratio of the median latency to the base latency above which the limit is decreased.
+const latencyTolerance = 1.25
 
-// down is the share of the limit that is left after a window in which the upstream was pressed.
-const down = 0.95
+// decreaseFactor is the factor by which the limit is multiplied after a window in which the upstream was overloaded.
+const decreaseFactor = 0.95
 
-// Limit is the most requests that one host runs at once for a service; it is not safe for concurrent use.
+// Limit is an adaptive concurrency limit for the requests of a service on one host. It is not safe for concurrent use.
 //
-// It answers an upstream that takes less than the document's cap allows, since it is slow today or since
-// other hosts use it too. Without it each host keeps the cap's worth of requests on an upstream that is
-// full: they queue there, where no order is kept among callers and nobody is refused in time.
+// It handles an upstream whose capacity is lower than the configured cap, because it is slow or shared with other
+// hosts. With a fixed limit each host keeps as many requests on an overloaded upstream as the cap allows. They queue
+// there, where callers are not served fairly and requests are not refused in time.
 //
-// It rises while the median reply time stays near the lowest one seen, first by doubling, then by steps,
-// and falls by a share when it does not or when tries are shed. Equal steps up and equal shares down let
-// hosts that see the same upstream end at equal limits with no word between them. The median is taken over
-// shards, not over whole queries: one dead or slow shard must not be taken for an upstream that is full.
+// The limit increases while the median latency stays near the lowest one observed, first by doubling, then by additive
+// steps. It decreases by a factor when the median rises or when tries are shed. Additive increase and multiplicative
+// decrease let hosts that use the same upstream converge to equal limits without coordination. The median is taken over
+// the replies of shards, not over whole queries, so that one failed or slow shard does not look like an overloaded
+// upstream.
 type Limit struct {
 	cap     int
 	current float64
-	// base is the median reply time of an upstream that is not pressed.
-	base time.Duration
-	// fallFrom and fallMedian are the limit and the median reply time when the limit began to fall; zero while it does
-	// not.
-	fallFrom   float64
-	fallMedian time.Duration
-	// doubling is set until the limit falls for the first time.
+	// baseLatency is the median latency of an upstream that is not overloaded.
+	baseLatency time.Duration
+	// limitBeforeDecrease and medianBeforeDecrease are the limit and the median latency when the limit began to
+	// decrease; limitBeforeDecrease is zero while it does not decrease.
+	limitBeforeDecrease  float64
+	medianBeforeDecrease time.Duration
+	// doubling is set until the limit decreases for the first time, and again after the cap is raised.
 	doubling bool
 
-	began       time.Time
-	took        []time.Duration
+	windowStart time.Time
+	latencies   []time.Duration
 	tries, shed int
-	// peak is the most requests that ran at once in the window.
-	peak int
+	// peakRunning is the maximum number of concurrently running requests in the window.
+	peakRunning int
 }
 
-// New returns a limit that starts at a part of the cap.
-func New(most int) *Limit {
-	return &Limit{cap: most, current: float64(max(1, most/startPart)), doubling: true, took: make([]time.Duration, 0, maxReplies)}
+// New returns a limit with the given cap, which starts at a part of it.
+func New(limitCap int) *Limit {
+	return &Limit{
+		cap: limitCap, current: float64(max(1, limitCap/startDivisor)), doubling: true,
+		latencies: make([]time.Duration, 0, maxWindowSamples),
+	}
 }
 
-// Current returns the limit, at least 1.
+// Current returns the current limit, at least 1.
 func (l *Limit) Current() int { return max(1, int(l.current)) }
 
-// SetCap changes the cap; a limit that is over it comes down at once, and one below a raised cap rises by doubling
-// again.
-func (l *Limit) SetCap(most int) {
-	l.doubling = l.doubling || most > l.cap
-	l.cap = most
-	l.current = min(l.current, float64(most))
+// SetCap changes the cap. A limit above the new cap is lowered to it at once; after the cap is raised the limit
+// increases by doubling again.
+func (l *Limit) SetCap(limitCap int) {
+	l.doubling = l.doubling || limitCap > l.cap
+	l.cap = limitCap
+	l.current = min(l.current, float64(limitCap))
 }
 
-// Base returns the median reply time of an upstream that is not pressed, zero before the first window ended.
-func (l *Limit) Base() time.Duration { return l.base }
+// Base returns the median latency of an upstream that is not overloaded, or zero before the end of the first window.
+func (l *Limit) Base() time.Duration { return l.baseLatency }
 
-// Reply takes in that a shard answered after took from the start of its query, or that a try was cut off after took,
-// while running requests ran; it reports whether the limit moved.
-func (l *Limit) Reply(now time.Time, took time.Duration, running int) bool {
-	if len(l.took) < maxReplies {
-		l.took = append(l.took, took)
+// RecordReply records the time from the start of a query to the answer of a shard, or the time after which a try was
+// canceled. running is the number of running requests. It reports whether the limit changed.
+func (l *Limit) RecordReply(now time.Time, took time.Duration, running int) bool {
+	if len(l.latencies) < maxWindowSamples {
+		l.latencies = append(l.latencies, took)
 	}
-	return l.count(now, running)
+	return l.recordTry(now, running)
 }
 
-// Shed takes in that a try was turned away by a replica that was full; it reports whether the limit moved.
-func (l *Limit) Shed(now time.Time, running int) bool {
+// RecordShed records that a replica without free capacity rejected a try; it reports whether the limit changed.
+func (l *Limit) RecordShed(now time.Time, running int) bool {
 	l.shed++
-	return l.count(now, running)
+	return l.recordTry(now, running)
 }
 
-func (l *Limit) count(now time.Time, running int) bool {
+// recordTry counts a try and adjusts the limit at the end of a window; it reports whether the limit changed.
+func (l *Limit) recordTry(now time.Time, running int) bool {
 	if l.tries == 0 {
-		l.began = now
+		l.windowStart = now
 	}
 	l.tries++
-	l.peak = max(l.peak, running)
-	if l.tries < leastReplies || now.Sub(l.began) < window {
+	l.peakRunning = max(l.peakRunning, running)
+	if l.tries < minWindowTries || now.Sub(l.windowStart) < window {
 		return false
 	}
 	old := l.Current()
-	l.move()
-	l.took, l.tries, l.shed, l.peak = l.took[:0], 0, 0, 0
+	l.adjust()
+	l.latencies, l.tries, l.shed, l.peakRunning = l.latencies[:0], 0, 0, 0
 	return l.Current() != old
 }
 
-func (l *Limit) move() {
-	slices.Sort(l.took)
-	middle := l.base
-	if len(l.took) > 0 {
-		middle = l.took[len(l.took)/2]
+// adjust adjusts the limit to the replies of the window.
+func (l *Limit) adjust() {
+	slices.Sort(l.latencies)
+	median := l.baseLatency
+	if len(l.latencies) > 0 {
+		median = l.latencies[len(l.latencies)/2]
 	}
-	l.learnBase(middle)
-	pressed := l.shed*100 > l.tries*shedPercent || float64(middle) > tolerance*float64(l.base)
+	l.updateBase(median)
+	overloaded := l.shed*100 > l.tries*shedPercent || float64(median) > latencyTolerance*float64(l.baseLatency)
 	switch {
-	case pressed && l.used(0.5):
-		l.fall(middle)
-	case pressed || !l.used(0.9):
-		// A limit that is not used proves nothing, neither that it could be higher nor that this host presses the
-		// upstream.
+	case overloaded && l.usedAtLeast(0.5):
+		l.decrease(median)
+	case overloaded || !l.usedAtLeast(0.9):
+		// While the limit is not reached, latency shows neither that it could be higher nor that this host overloads
+		// the upstream.
 	case l.doubling:
 		l.current = min(l.current*2, float64(l.cap))
 	default:
 		l.current = min(l.current+max(1, l.current/32), float64(l.cap))
 	}
-	if !pressed {
-		l.fallFrom = 0
+	if !overloaded {
+		l.limitBeforeDecrease = 0
 	}
 }
 
-func (l *Limit) fall(middle time.Duration) {
+// decrease decreases the limit, and notes the limit and the median at the start of a series of decreases.
+func (l *Limit) decrease(median time.Duration) {
 	l.doubling = false
-	if l.fallFrom == 0 {
-		l.fallFrom, l.fallMedian = l.current, middle
+	if l.limitBeforeDecrease == 0 {
+		l.limitBeforeDecrease, l.medianBeforeDecrease = l.current, median
 	}
-	l.current = max(l.current*down, l.floor())
+	l.current = max(l.current*decreaseFactor, l.floor())
 }
 
-// The share to which the limit must have fallen, and the share to which the median must have fallen with it, for the
-// fall to have helped.
+// A decrease of the limit has no effect if the limit is at most ineffectiveLimitRatio of its value before the decrease
+// and the median latency is still above ineffectiveMedianRatio of its value.
 const (
-	fallenLimit  = 0.6
-	fallenMedian = 0.85
+	ineffectiveLimitRatio  = 0.6
+	ineffectiveMedianRatio = 0.85
 )
 
-// learnBase takes the lowest median, and lets it rise where this host can't be the cause.
+// updateBase sets the base to the lowest median, and raises it where this host can't be the cause of a higher median.
 //
-// An upstream that became slower for good looks as if it were pressed, and would hold the limit at the
-// floor. Three signs tell it apart: the limit fell by 40 in 100 and the median by less than 15, the limit is
-// at the floor, or less than half of it is used. A base that rose by itself as time goes on would, while the
-// load stays over capacity, rise with what it should be compared to, and the limit with it.
-func (l *Limit) learnBase(middle time.Duration) {
-	futile := l.fallFrom > 0 && l.current <= fallenLimit*l.fallFrom && float64(middle) > fallenMedian*float64(l.fallMedian)
+// An upstream that has become permanently slower looks overloaded and would hold the limit at its minimum. Three
+// conditions distinguish it: the limit decreased by 40% and the median by less than 15%, the limit is at its minimum,
+// or less than half of it is used. A base that rose with time alone would, while the load stays above capacity, follow
+// the median that it is compared to, and the limit would rise with it.
+func (l *Limit) updateBase(median time.Duration) {
+	ineffective := l.limitBeforeDecrease > 0 && l.current <= ineffectiveLimitRatio*l.limitBeforeDecrease &&
+		float64(median) > ineffectiveMedianRatio*float64(l.medianBeforeDecrease)
 	switch {
-	case l.base == 0 || middle < l.base:
-		l.base = middle
-	case futile:
-		l.base, l.fallFrom = middle, 0
+	case l.baseLatency == 0 || median < l.baseLatency:
+		l.baseLatency = median
+	case ineffective:
+		l.baseLatency, l.limitBeforeDecrease = median, 0
 	case l.current <= l.floor():
-		l.base += (middle - l.base) / 4
-	case !l.used(0.5):
-		l.base += (middle - l.base) / 64
+		l.baseLatency += (median - l.baseLatency) / 4
+	case !l.usedAtLeast(0.5):
+		l.baseLatency += (median - l.baseLatency) / 64
 	}
 }
 
-func (l *Limit) used(part float64) bool { return float64(l.peak) >= part*float64(l.Current()) }
+// usedAtLeast reports whether the running requests reached the given part of the limit within the window.
+func (l *Limit) usedAtLeast(part float64) bool {
+	return float64(l.peakRunning) >= part*float64(l.Current())
+}
 
-func (l *Limit) floor() float64 { return max(1, float64(l.cap)/floorPart) }
+// floor returns the minimum of the limit.
+func (l *Limit) floor() float64 { return max(1, float64(l.cap)/floorDivisor) }
--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -11,43 +11,44 @@
 	"guavaspring.org/entry/internal/admission/queue"
 )
 
-// Refusal says why a request was not admitted and when its caller should come back.
+// Refusal holds the reason why a request was not admitted and the delay after which its caller should retry.
 type Refusal = queue.Refusal
 
-// Limits bounds what runs and waits.
+// Limits bounds the number of running and queued requests.
 type Limits = queue.Limits
 
-// Request is what the gate knows of a request.
+// Request holds the properties of a request that admission depends on.
 type Request = queue.Request
 
 // Options configures a Gate.
 type Options struct {
-	// Clock tells the time; nil means the system's.
+	// Clock is the source of time; nil means the system clock.
 	Clock  clock.Clock
 	Limits Limits
-	// Moved is called with the old and the new limit when the upstream's replies moved it; it may be nil.
+	// Moved is called with the old and the new concurrency limit when replies of the upstream changed it; it may be
+	// nil.
 	Moved func(from, to int)
 }
 
-// Gate admits the requests of one service on one host; it blocks those that wait and leaves the decisions to packages
-// queue and adapt.
+// Gate admits the requests of one service on one host. It blocks queued requests; packages queue and adapt take the
+// decisions.
 type Gate struct {
-	clock clock.Clock
-	moved func(from, to int)
-
-	mu     sync.Mutex
-	limits Limits
-	queue  *queue.Queue
-	limit  *adapt.Limit
-	// waiting maps each waiter to the channel its goroutine listens on.
+	clock        clock.Clock
+	limitChanged func(from, to int)
+
+	mu       sync.Mutex
+	limits   Limits
+	queue    *queue.Queue
+	adaptive *adapt.Limit
+	// waiting maps each waiter to the channel that is closed once it is decided.
 	waiting map[*queue.Waiter]chan struct{}
 	refused map[queue.Reason]uint64
-	// waits counts the requests that waited and then ran, waitTotal the time that they waited.
+	// waits counts the requests that waited and then ran; waitTotal is the sum of their waiting times.
 	waits     uint64
 	waitTotal time.Duration
 }
 
-// New returns a gate with nothing running.
+// New returns a gate without running requests.
 func New(opts Options) *Gate {
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
@@ -56,24 +57,24 @@
 		opts.Moved = func(int, int) {}
 	}
 	g := &Gate{
-		clock: opts.Clock, moved: opts.Moved, limits: opts.Limits, limit: adapt.New(opts.Limits.Running),
+		clock: opts.Clock, limitChanged: opts.Moved, limits: opts.Limits, adaptive: adapt.New(opts.Limits.Running),
 		waiting: map[*queue.Waiter]chan struct{}{}, refused: map[queue.Reason]uint64{},
 	}
-	g.queue = queue.New(g.inForce(), queue.Options{Notify: g.wake})
+	g.queue = queue.New(g.effectiveLimits(), queue.Options{Notify: g.wake})
 	return g
 }
 
-// Place is the right to run one request; Leave must be called once.
+// Place is a permit to run one request; Leave must be called exactly once.
 type Place struct {
-	// Waited is how long the request waited for the place.
+	// Waited is the time that the request waited for the permit.
 	Waited time.Duration
 
 	gate  *Gate
 	grant queue.Grant
 }
 
-// Enter waits for a place, at longest until the request could no longer be answered by its deadline; a nil Refusal
-// means that Leave must follow.
+// Enter waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
+// Refusal is nil, the caller must call Leave.
 func (g *Gate) Enter(ctx context.Context, req Request) (Place, *Refusal) {
 	g.mu.Lock()
 	now := g.clock.Now()
@@ -85,7 +86,7 @@
 	case queue.VerdictRefuse:
 		g.refused[a.Refusal.Reason]++
 		g.mu.Unlock()
-		// A copy: taking the field's address would move every arrival to the heap.
+		// Taking the address of the field would move every arrival to the heap, so the refusal is copied.
 		refusal := a.Refusal
 		return Place{}, &refusal
 	}
@@ -96,24 +97,24 @@
 }
 
 func (g *Gate) wait(ctx context.Context, arrived time.Time, w *queue.Waiter, decided chan struct{}) (Place, *Refusal) {
-	late := make(chan struct{})
-	stop := g.clock.AfterFunc(w.LatestStart.Sub(arrived), func() { close(late) })
+	expired := make(chan struct{})
+	stop := g.clock.AfterFunc(w.LatestStart.Sub(arrived), func() { close(expired) })
 	defer stop()
 	select {
 	case <-decided:
-	case <-late:
-		return g.giveUp(w, queue.ReasonLate)
+	case <-expired:
+		return g.cancelWait(w, queue.ReasonLate)
 	case <-ctx.Done():
-		return g.giveUp(w, goneOrLate(ctx))
+		return g.cancelWait(w, cancelReason(ctx))
 	}
-	// The waiter was decided before the channel was closed, and is not touched again.
+	// The waiter is decided before the channel is closed and does not change afterwards.
 	if w.Verdict == queue.VerdictRun {
-		return g.waited(w, arrived), nil
+		return g.recordWait(w, arrived), nil
 	}
 	return Place{}, &w.Refusal
 }
 
-func (g *Gate) waited(w *queue.Waiter, arrived time.Time) Place {
+func (g *Gate) recordWait(w *queue.Waiter, arrived time.Time) Place {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d := g.clock.Now().Sub(arrived)
@@ -122,9 +123,9 @@
 	return Place{gate: g, grant: w.Grant, Waited: d}
 }
 
-// giveUp ends a wait; a place that was granted at the same moment goes to the next in line, or it would be lost for
-// good.
-func (g *Gate) giveUp(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
+// cancelWait ends a wait. A permit that was granted at the same moment goes to the next waiter; otherwise it would be
+// lost for good.
+func (g *Gate) cancelWait(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	granted := w.Verdict == queue.VerdictRun
@@ -135,14 +136,15 @@
 	return Place{}, &refusal
 }
 
-func goneOrLate(ctx context.Context) queue.Reason {
+// cancelReason returns the reason for a wait that ended with its context.
+func cancelReason(ctx context.Context) queue.Reason {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return queue.ReasonLate
 	}
-	return queue.ReasonGone
+	return queue.ReasonCanceled
 }
 
-// wake tells the goroutine of a waiter that it is decided; the caller holds mu.
+// wake unblocks the goroutine of a waiter that has been decided; the caller holds mu.
 func (g *Gate) wake(w *queue.Waiter) {
 	if w.Verdict == queue.VerdictRefuse {
 		g.refused[w.Refusal.Reason]++
@@ -151,70 +153,71 @@
 	delete(g.waiting, w)
 }
 
-// Leave gives the place back; complete says whether the answer was whole rather than cut short.
+// Leave returns the permit; complete reports whether the request was answered in full rather than cut short.
 func (p Place) Leave(complete bool) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.Leave(g.clock.Now(), p.grant, complete)
+	g.queue.Release(g.clock.Now(), p.grant, complete)
 }
 
-// SetLimits puts new limits in force at once, also for the requests that wait.
+// SetLimits applies new limits at once, also to queued requests.
 func (g *Gate) SetLimits(limits Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits = limits
-	g.limit.SetCap(limits.Running)
-	g.queue.SetLimits(g.clock.Now(), g.inForce())
+	g.adaptive.SetCap(limits.Running)
+	g.queue.SetLimits(g.clock.Now(), g.effectiveLimits())
 }
 
-// Replied takes in that a shard answered after took from the start of its query, or that a try was cut off after took.
+// Replied records the time from the start of a query to the answer of a shard, or the time after which a try was
+// canceled.
 func (g *Gate) Replied(took time.Duration) {
-	g.adapt(func(now time.Time) bool { return g.limit.Reply(now, took, g.queue.Running()) })
+	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
 
-// Shed takes in that a try was turned away by a replica that was full.
+// Shed records that a replica without free capacity rejected a try.
 func (g *Gate) Shed() {
-	g.adapt(func(now time.Time) bool { return g.limit.Shed(now, g.queue.Running()) })
+	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordShed(now, g.queue.Running()) })
 }
 
-func (g *Gate) adapt(learn func(now time.Time) bool) {
+func (g *Gate) updateLimit(observe func(now time.Time) bool) {
 	g.mu.Lock()
-	now, from := g.clock.Now(), g.limit.Current()
-	moved := learn(now)
-	if moved {
-		g.queue.SetLimits(now, g.inForce())
+	now, from := g.clock.Now(), g.adaptive.Current()
+	changed := observe(now)
+	if changed {
+		g.queue.SetLimits(now, g.effectiveLimits())
 	}
-	to := g.limit.Current()
+	to := g.adaptive.Current()
 	g.mu.Unlock()
-	if moved {
-		g.moved(from, to)
+	if changed {
+		g.limitChanged(from, to)
 	}
 }
 
-// inForce is the document's limits with the concurrency that the upstream takes.
-func (g *Gate) inForce() Limits {
+// effectiveLimits returns the configured limits with the concurrency reduced to the adaptive limit.
+func (g *Gate) effectiveLimits() Limits {
 	l := g.limits
-	l.Running = g.limit.Current()
+	l.Running = g.adaptive.Current()
 	return l
 }
 
-// Stats is what a gate holds at one moment.
+// Stats is a snapshot of the counters of a gate.
 type Stats struct {
 	Running, Waiting, Limit int
-	// Refused counts refusals since the start, by reason.
+	// Refused counts the refusals since the start by reason.
 	Refused map[queue.Reason]uint64
-	// Waits counts the requests that waited and then ran since the start, WaitTotal the time that they waited.
+	// Waits counts the requests that waited and then ran since the start; WaitTotal is the sum of their waiting times.
 	Waits     uint64
 	WaitTotal time.Duration
 }
 
-// Stats returns what the gate holds now.
+// Stats returns the current counters.
 func (g *Gate) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := Stats{
-		Running: g.queue.Running(), Waiting: g.queue.Waiting(), Limit: g.limit.Current(),
+		Running: g.queue.Running(), Waiting: g.queue.Waiting(), Limit: g.adaptive.Current(),
 		Refused: make(map[queue.Reason]uint64, len(g.refused)), Waits: g.waits, WaitTotal: g.waitTotal,
 	}
 	for reason, n := range g.refused {
@@ -223,12 +226,12 @@
 	return s
 }
 
-// Load returns the share of the limit in use, 0 to 1, and 1 while requests wait.
+// Load returns the used share of the concurrency limit, from 0 to 1, or 1 while requests are queued.
 func (g *Gate) Load() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.queue.Waiting() > 0 {
 		return 1
 	}
-	return min(1, float64(g.queue.Running())/float64(g.limit.Current()))
+	return min(1, float64(g.queue.Running())/float64(g.adaptive.Current()))
 }
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -17,14 +17,14 @@
 
 func newGate(running int) *admission.Gate {
 	g := admission.New(admission.Options{Limits: admission.Limits{Running: running, Waiting: 8, CallerShare: 1}})
-	// A gate starts at a part of its limit; replies at a steady pace let it rise to the whole.
+	// A gate starts at a part of its limit; replies of constant latency raise it to the full limit.
 	for range 8 {
-		raise(g, running)
+		raiseLimit(g, running)
 	}
 	return g
 }
 
-func raise(g *admission.Gate, running int) {
+func raiseLimit(g *admission.Gate, running int) {
 	var places []admission.Place
 	for len(places) < running && g.Stats().Running < g.Stats().Limit {
 		place, refusal := g.Enter(context.Background(), request("warm", time.Second))
@@ -47,26 +47,26 @@
 	return admission.Request{Caller: caller, Deadline: time.Now().Add(budget)}
 }
 
-type ended struct {
+type result struct {
 	place   admission.Place
 	refusal *admission.Refusal
 	took    time.Duration
 }
 
-// enter starts a request on a goroutine of its own and returns what becomes of it.
-func enter(ctx context.Context, g *admission.Gate, req admission.Request) <-chan ended {
-	ch := make(chan ended, 1)
+// enter starts a request on a goroutine of its own and returns a channel that receives its outcome.
+func enter(ctx context.Context, g *admission.Gate, req admission.Request) <-chan result {
+	ch := make(chan result, 1)
 	start := time.Now()
 	go func() {
 		place, refusal := g.Enter(ctx, req)
-		ch <- ended{place, refusal, time.Since(start)}
+		ch <- result{place, refusal, time.Since(start)}
 	}()
 	synctest.Wait()
 	return ch
 }
 
-// The operators of a service raise admission.concurrency while its callers wait. The waiting requests stay
-// where they are until one of the old ones ends, and time out beside free places.
+// Guards against queued requests that time out beside free permits: admission.concurrency is raised while requests
+// wait, and they stay queued until a running request ends.
 func TestRaisedLimitLetsWaitersRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -86,8 +86,8 @@
 	})
 }
 
-// The operators lower the limit below what runs. Places given back must be taken away rather than handed on,
-// and none may be lost: when the requests end, exactly the new number runs.
+// Guards against permits that exceed the limit or are lost when the limit is lowered below the number of running
+// requests: returned permits must be withdrawn until exactly the new number of requests runs.
 func TestLoweredLimitLosesNoPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -114,17 +114,18 @@
 	})
 }
 
-// A greeter closes the tablet while the lookup waits. Nobody is there to leave the place that it would get.
-func TestCallerThatGivesUpTakesNoPlace(t *testing.T) {
+// Guards against a lost permit: a caller cancels its queued request, so that nobody would return the permit granted
+// to it.
+func TestCanceledWaitTakesNoPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
 		first, _ := g.Enter(context.Background(), request("a", time.Second))
 		ctx, cancel := context.WithCancel(context.Background())
-		gone := enter(ctx, g, request("b", time.Second))
+		canceled := enter(ctx, g, request("b", time.Second))
 		next := enter(context.Background(), g, request("c", time.Second))
 		cancel()
-		c.Check((<-gone).refusal.Reason, qt.Equals, queue.ReasonGone)
+		c.Check((<-canceled).refusal.Reason, qt.Equals, queue.ReasonCanceled)
 		first.Leave(true)
 		got := <-next
 		c.Assert(got.refusal, qt.IsNil)
@@ -134,8 +135,8 @@
 	})
 }
 
-// The place is handed over at the very moment at which the caller gives up: the request has both. Whichever
-// is seen first, the place must not be lost. A hundred callers try it.
+// Guards against a lost permit when a request is granted one and canceled at the same moment: in either order of the
+// two events, the permit must be returned.
 func TestGrantAndGivingUpAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -144,10 +145,10 @@
 			first, refusal := g.Enter(context.Background(), request("a", time.Second))
 			c.Assert(refusal, qt.IsNil)
 			ctx, cancel := context.WithCancel(context.Background())
-			both := enter(ctx, g, request("b", time.Second))
+			queued := enter(ctx, g, request("b", time.Second))
 			cancel()
 			first.Leave(true)
-			if got := <-both; got.refusal == nil {
+			if got := <-queued; got.refusal == nil {
 				got.place.Leave(true)
 			}
 			c.Assert(g.Stats().Running, qt.Equals, 0)
@@ -155,9 +156,9 @@
 	})
 }
 
-// Lookups take 40 ms, and one with a deadline of 50 ms waits behind another that got stuck. Ten milliseconds
-// later it can't be answered in time any more. Its caller must hear so then, not at the deadline, and be told
-// when to come back.
+// Guards against refusals that are sent only at the deadline: requests take 40 ms, and one with a deadline of 50 ms
+// waits behind a request that hangs. Once it can no longer be answered in time, after 10 ms, it must be refused with a
+// retry delay.
 func TestRefusalIsGivenAsSoonAsItIsCertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -169,15 +170,15 @@
 		}
 		_, refusal := g.Enter(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
-		// The two places ahead take 40 ms each: this one has no chance and hears at once.
-		none := <-enter(context.Background(), g, request("b", 50*ms))
-		c.Check(none.refusal.Reason, qt.Equals, queue.ReasonLate)
-		c.Check(none.took, qt.Equals, time.Duration(0))
-		c.Check(none.refusal.RetryAfter >= 40*ms && none.refusal.RetryAfter < 200*ms, qt.IsTrue, qt.Commentf("%v", none.refusal.RetryAfter))
-		// This one has, until the running one proves stuck.
-		stuck := <-enter(context.Background(), g, request("b", 100*ms))
-		c.Check(stuck.refusal.Reason, qt.Equals, queue.ReasonLate)
-		c.Check(stuck.took <= 60*ms, qt.IsTrue, qt.Commentf("%v", stuck.took))
+		// The running request and this one take 40 ms each, more than 50 ms: it is refused at once.
+		hopeless := <-enter(context.Background(), g, request("b", 50*ms))
+		c.Check(hopeless.refusal.Reason, qt.Equals, queue.ReasonLate)
+		c.Check(hopeless.took, qt.Equals, time.Duration(0))
+		c.Check(hopeless.refusal.RetryAfter >= 40*ms && hopeless.refusal.RetryAfter < 200*ms, qt.IsTrue, qt.Commentf("%v", hopeless.refusal.RetryAfter))
+		// This one can still be answered in time, until the running request takes longer than usual.
+		delayed := <-enter(context.Background(), g, request("b", 100*ms))
+		c.Check(delayed.refusal.Reason, qt.Equals, queue.ReasonLate)
+		c.Check(delayed.took <= 60*ms, qt.IsTrue, qt.Commentf("%v", delayed.took))
 	})
 }
 
@@ -202,7 +203,7 @@
 	}
 }
 
-// BenchmarkRefuse measures the answer under overload: every place to run and to wait is taken.
+// BenchmarkRefuse measures a refusal under overload, with all permits taken and the queue full.
 func BenchmarkRefuse(b *testing.B) {
 	now := time.Now()
 	q := queue.New(queue.Limits{Running: 64, Waiting: 128, CallerShare: 0.5}, queue.Options{})
@@ -217,8 +218,8 @@
 	}
 }
 
-// BenchmarkHandOver measures a place that goes to the next of 128 callers in line.
-func BenchmarkHandOver(b *testing.B) {
+// BenchmarkTransferPermit measures the transfer of a permit to the next of 128 queued requests.
+func BenchmarkTransferPermit(b *testing.B) {
 	now := time.Now()
 	var granted queue.Grant
 	q := queue.New(queue.Limits{Running: 1, Waiting: 128, CallerShare: 0.5}, queue.Options{Notify: func(w *queue.Waiter) { granted = w.Grant }})
@@ -231,7 +232,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		q.Leave(now, granted, true)
+		q.Release(now, granted, true)
 		q.Arrive(now, req(i))
 	}
 }
--- a/entry/internal/admission/queue/model_test.go
+++ b/entry/internal/admission/queue/simulation_test.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/entry/internal/admission/queue"
 )
 
-// call is one request of a scene and what its caller got.
+// call is one simulated request and its outcome.
 type call struct {
 	at      time.Duration
 	caller  string
@@ -22,28 +22,28 @@
 	took    time.Duration
 	retry   time.Duration
 
-	place   queue.Grant
+	grant   queue.Grant
 	running bool
 	ended   bool
 	sent    time.Time
-	// comesBack says that the caller asks again when a refusal told it to.
-	comesBack bool
+	// retries reports whether the caller retries a refused call after the retry delay.
+	retries bool
 }
 
-// model plays calls against one host and one upstream with a number of slots, in virtual time.
+// model simulates calls to one host and one upstream with a number of slots, in virtual time.
 type model struct {
-	now    time.Time
-	events eventHeap
-	seq    int
-	slots  int
-	slow   func(now time.Duration) float64
-	queued []*call
-	policy policy
-	// again is the calls of those that came back after a refusal.
-	again []*call
+	now      time.Time
+	events   eventHeap
+	seq      int
+	slots    int
+	slowdown func(now time.Duration) float64
+	queued   []*call
+	policy   policy
+	// retried holds the retries of refused calls.
+	retried []*call
 }
 
-// policy is what stands between the calls and the upstream.
+// policy is the admission policy between the calls and the upstream.
 type policy struct {
 	enter  func(m *model, c *call)
 	expire func(m *model, c *call)
@@ -80,11 +80,11 @@
 	heap.Push(&m.events, timedEvent{at: m.now.Add(d), seq: m.seq, run: run})
 }
 
-// play runs the calls to their ends and returns them with those that came back.
-func play(slow func(time.Duration) float64, p policy, calls []*call) []*call {
-	m := &model{now: epoch, slots: slots, slow: slow, policy: p}
-	if m.slow == nil {
-		m.slow = func(time.Duration) float64 { return 1 }
+// simulate simulates the calls until all have ended and returns them together with their retries.
+func simulate(slow func(time.Duration) float64, p policy, calls []*call) []*call {
+	m := &model{now: epoch, slots: slots, slowdown: slow, policy: p}
+	if m.slowdown == nil {
+		m.slowdown = func(time.Duration) float64 { return 1 }
 	}
 	for _, c := range calls {
 		m.after(c.at, func() { m.arrive(c) })
@@ -94,7 +94,7 @@
 		m.now = ev.at
 		ev.run()
 	}
-	return append(calls, m.again...)
+	return append(calls, m.retried...)
 }
 
 func (m *model) arrive(c *call) {
@@ -105,7 +105,7 @@
 func (m *model) deadline(c *call) {
 	switch {
 	case c.ended:
-	case c.place != (queue.Grant{}) || c.running:
+	case c.grant != (queue.Grant{}) || c.running:
 		m.end(c, "late")
 	default:
 		m.policy.expire(m, c)
@@ -127,7 +127,7 @@
 			continue
 		}
 		m.slots--
-		work := time.Duration(float64(c.work) * m.slow(m.now.Sub(epoch)))
+		work := time.Duration(float64(c.work) * m.slowdown(m.now.Sub(epoch)))
 		m.after(work, func() {
 			if !c.ended {
 				m.end(c, "good")
@@ -137,7 +137,7 @@
 	}
 }
 
-// end answers a call that ran; the upstream accepts cancellation, so its slot is free at once.
+// end ends a running call. The upstream supports cancellation, so the slot is free at once.
 func (m *model) end(c *call, outcome string) {
 	inSlot := c.outcome == "in a slot"
 	c.ended, c.outcome, c.took = true, outcome, m.now.Sub(epoch)-c.at
@@ -150,18 +150,18 @@
 
 func (m *model) refuse(c *call, retry time.Duration) {
 	c.ended, c.outcome, c.took, c.retry = true, "refused", m.now.Sub(epoch)-c.at, retry
-	if !c.comesBack {
+	if !c.retries {
 		return
 	}
-	again := &call{at: m.now.Sub(epoch) + retry, caller: c.caller, key: c.key, work: c.work, budget: c.budget, comesBack: true}
-	m.again = append(m.again, again)
-	m.after(retry, func() { m.arrive(again) })
+	retryCall := &call{at: m.now.Sub(epoch) + retry, caller: c.caller, key: c.key, work: c.work, budget: c.budget, retries: true}
+	m.retried = append(m.retried, retryCall)
+	m.after(retry, func() { m.arrive(retryCall) })
 }
 
 // admit is the policy under test.
 func admit(limits queue.Limits) policy { return admitUnder(limits, nil) }
 
-// admitUnder is the policy under test with a limit that follows the upstream; limit may be nil.
+// admitUnder is the policy under test with an adaptive limit, which may be nil.
 func admitUnder(limits queue.Limits, limit *adapt.Limit) policy {
 	if limit != nil {
 		limits.Running = limit.Current()
@@ -174,7 +174,7 @@
 		c := byWaiter[w]
 		delete(byWaiter, w)
 		if w.Verdict == queue.VerdictRun {
-			c.place = w.Grant
+			c.grant = w.Grant
 			m.run(c)
 			return
 		}
@@ -186,7 +186,7 @@
 			a := q.Arrive(m.now, queue.Request{Caller: c.caller, Key: c.key, Deadline: m.now.Add(c.budget)})
 			switch a.Verdict {
 			case queue.VerdictRun:
-				c.place = a.Grant
+				c.grant = a.Grant
 				m.run(c)
 			case queue.VerdictRefuse:
 				m.refuse(c, a.Refusal.RetryAfter)
@@ -201,19 +201,19 @@
 		},
 		expire: func(*model, *call) { panic("a waiting call reached its deadline unanswered") },
 		leave: func(m *model, c *call, complete bool) {
-			if limit != nil && limit.Reply(m.now, m.now.Sub(c.sent), q.Running()) {
+			if limit != nil && limit.RecordReply(m.now, m.now.Sub(c.sent), q.Running()) {
 				limits.Running = limit.Current()
 				q.SetLimits(m.now, limits)
 			}
-			q.Leave(m.now, c.place, complete)
+			q.Release(m.now, c.grant, complete)
 		},
 	}
 }
 
-// fifo is the plain baseline: first come, first served, up to running at once, the rest waits until its deadline.
+// fifo is the baseline: a FIFO queue in which calls wait until their deadline, with at most running calls at once.
 func fifo(running, waiting int) policy {
 	n, line := 0, []*call(nil)
-	drop := func(c *call) { line = slices.DeleteFunc(line, func(other *call) bool { return other == c }) }
+	remove := func(c *call) { line = slices.DeleteFunc(line, func(other *call) bool { return other == c }) }
 	return policy{
 		enter: func(m *model, c *call) {
 			switch {
@@ -226,7 +226,7 @@
 				m.refuse(c, 50*time.Millisecond)
 			}
 		},
-		expire: func(m *model, c *call) { drop(c); m.refuse(c, 50*time.Millisecond) },
+		expire: func(m *model, c *call) { remove(c); m.refuse(c, 50*time.Millisecond) },
 		leave: func(m *model, _ *call, _ bool) {
 			n--
 			if len(line) > 0 {
@@ -239,21 +239,22 @@
 	}
 }
 
-// load is one caller's open-loop arrivals.
-type load struct {
+// callerLoad is one caller's open-loop arrivals.
+type callerLoad struct {
 	caller string
 	keys   []string
-	// rate is in calls a second, from and until bound them.
+	// rate is in calls per second, from and until bound the arrivals.
 	rate        float64
 	from, until time.Duration
-	// work is the mean of the log-normal service time, budget what a call is given to the deadline.
+	// work is the mean of the log-normal service time, budget the time from arrival to the deadline.
 	work, budget time.Duration
 }
 
+// sigma is the standard deviation of the logarithm of the service time.
 const sigma = 0.5
 
-// calls draws the arrivals of all loads, ordered by time.
-func calls(loads ...load) []*call {
+// calls draws the arrivals of all loads and orders them by time.
+func calls(loads ...callerLoad) []*call {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var list []*call
 	for _, l := range loads {
@@ -274,15 +275,16 @@
 	return list
 }
 
-// got sums up what the calls chosen by keep got.
-type got struct {
+// outcomes summarizes a set of calls.
+type outcomes struct {
 	offered, good, late, refused int
-	// p50 and p99 are of good calls, refusalP99 is how long refused ones waited for their answer.
+	// p50 and p99 are the latencies of good calls, refusalP99 is that of refusals.
 	p50, p99, refusalP99 time.Duration
 }
 
-func sum(list []*call, keep func(c *call) bool) got {
-	var g got
+// sum sums up the outcomes of the calls for which keep returns true.
+func sum(list []*call, keep func(c *call) bool) outcomes {
+	var g outcomes
 	var took, refusals []time.Duration
 	for _, c := range list {
 		if !keep(c) {
