--- a/entry/internal/forward/answers_test.go
+++ b/entry/internal/forward/answers_test.go
@@ -23,7 +23,7 @@
 	"guavaspring.org/platform/wire"
 )
 
-// newForwarder returns a forwarder to the replicas of a farm; listed says that their list is known.
+// newForwarder returns a forwarder to the replicas of a farm. If listed is false, the list of replicas is not loaded.
 func newForwarder(farm *replicatest.Farm, listed bool, q *quarantine.Quarantine, routes ...route.Route) *Forwarder {
 	codec := wire.Codec()
 	share := func() float64 { return 1 }
@@ -45,7 +45,7 @@
 	return quarantine.New(quarantine.Options{Clock: clock.System{}, Service: "opaque", Publish: publish})
 }
 
-// request returns a client's attempt "7", as a server reads it.
+// request returns a client's request with the ID "7", as a server reads it. The deadline is in milliseconds.
 func request(t *testing.T, method string, deadline int) *http.Request {
 	r, err := platformtest.Request(t.Context(), method, "search.example", "/x/", "7", deadline, nil)
 	qt.Assert(t, err, qt.IsNil)
@@ -53,9 +53,9 @@
 	return r
 }
 
-// One shard of three answers a page with a failure that bears its stamp. The page is made of the two others, names them
-// and no more, and says that one is missing: a record of the failed reply would be a lie, and so would a page that
-// looks whole.
+// Guards against records of a failed shard in the response, and against a partial response that looks complete. One
+// shard of three replies with an error that carries a stamp. The response must hold only the records and stamps of the
+// other two and report one missing shard.
 func TestFailedReplyIsNoPart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
@@ -80,12 +80,12 @@
 	})
 }
 
-// A replica takes a request and never answers. Whoever waits for it gets the answer when the first of the two times is
-// up, the operator's for the route or the client's own, and not later.
+// Guards against responses after the deadline. A replica accepts a request and never replies. The client must get its
+// response at the earlier of the route's timeout and its own.
 func TestAnswerComesWhenTheTimeIsUp(t *testing.T) {
 	tests := []struct {
 		route time.Duration
-		// own is the client's own time in milliseconds, zero for none.
+		// own is the client's timeout in milliseconds, zero for none.
 		own  int
 		want time.Duration
 	}{
@@ -111,8 +111,8 @@
 	}
 }
 
-// A host that has just started knows the routes and not yet the replicas. It must not take a service for one without
-// replicas, and says when to come back.
+// Guards against a host that takes an unloaded list of replicas for an empty one. A host that has just started has the
+// routes but no replicas yet, and must answer 503 with a short Retry-After.
 func TestUnknownReplicasAreNotNone(t *testing.T) {
 	farm := replicatest.New()
 	f := newForwarder(farm, false, newQuarantine(nil), route.Route{Host: "search.example", Prefix: "/", Attempts: 1, Timeout: time.Second, Split: []route.Share{{Service: "desk", Weight: 1}}})
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -24,11 +24,11 @@
 
 const (
 	quiltsKey = "rvnzqjynjcfv8nmpby25"
-	// boardsKey belongs to a customer whose home is not the one of a route.
+	// boardsKey belongs to a customer that has no home region in common with the route "west".
 	boardsKey = "6b5cwa32q6qynkki7vme"
 )
 
-// customerScene is a host with a customer, before a replica that remembers what it was sent.
+// customerScene is a forwarder with customers, and a replica that records the requests it receives.
 type customerScene struct {
 	*Forwarder
 	log  strings.Builder
@@ -36,7 +36,7 @@
 	seen []platformtest.Seen
 }
 
-// newCustomerScene returns a host whose customer may have what take says; nil means any number of requests.
+// newCustomerScene returns a forwarder whose rate limit decisions are those of take; nil means no limit.
 func newCustomerScene(farm *replicatest.Farm, take func() allowance.Decision) *customerScene {
 	s := &customerScene{}
 	farm.Add("desk", 0, func(r *http.Request, _ []byte) replicatest.Answer {
@@ -68,7 +68,7 @@
 	return s
 }
 
-// ask sends a request with a key, empty for none, in which the client names a customer itself.
+// ask sends a request with a key, empty for none. The request also carries a forged customer name.
 func (s *customerScene) ask(t *testing.T, path, key, body string) *httptest.ResponseRecorder {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://a.example"+path, strings.NewReader(body))
@@ -81,7 +81,8 @@
 	return w
 }
 
-// Guards against a request that runs though nobody has its key, and one that is refused though somebody has.
+// Guards against requests that run with an unknown key, requests that are refused with a known one, and keys that reach
+// replicas or the log.
 func TestKeysDecideWhoIsServed(t *testing.T) {
 	tests := []struct {
 		path, key string
@@ -117,7 +118,7 @@
 	}
 }
 
-// Guards against a host that can't tell whether a customer is over its limit and says that it is.
+// Guards against 429 responses from a host that could not check the customer's rate limit. It must answer 503.
 func TestAllowanceDecides(t *testing.T) {
 	tests := []struct {
 		decision allowance.Decision
@@ -146,7 +147,7 @@
 	}
 }
 
-// Guards against requests that are refused for another reason and still use up their customer's allowance.
+// Guards against requests that are refused for another reason and still count against the customer's rate limit.
 func TestRefusedRequestsTakeNoAllowance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
--- a/entry/internal/forward/doc.go
+++ b/entry/internal/forward/doc.go
@@ -1,2 +1,2 @@
-// Package forward answers clients' opaque requests from the replicas that their routes name.
+// Package forward forwards clients' requests to the replicas of the matching route.
 package forward
--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -30,37 +30,36 @@
 )
 
 const (
-	// retryUnknown is when to come back to a host that knows no configuration yet: it learns one within two calls to
-	// the store.
+	// retryUnknown is the Retry-After of a host without a configuration. The host loads one within two calls to the
+	// store.
 	retryUnknown = 300 * time.Millisecond
-	// retryGone is when to come back where a service has no replica: a new one is listed within a second or two of its
-	// start.
+	// retryGone is the Retry-After of a service without replicas. A new replica is listed within one or two seconds of
+	// its start.
 	retryGone = 500 * time.Millisecond
-	// retryShed is when to come back where replicas were full or their connections taken: a few replies later there is
-	// room.
+	// retryShed is the Retry-After when all replicas shed load or have all connections in use. A few replies later
+	// there is capacity again.
 	retryShed = 100 * time.Millisecond
-	// cameBefore is how much less than usual a client waits that was refused before: it took the way there and back.
+	// cameBefore is the reduction of the client's timeout, compared with the route's usual one, from which a request
+	// counts as a retry: the refused attempt cost the client one round trip.
 	cameBefore = 5 * time.Millisecond
-	// defaultTimeout is how long a request may take where neither the client nor the route says.
+	// defaultTimeout applies to requests for which neither the client nor the route sets a timeout.
 	defaultTimeout = 10 * time.Second
 )
 
+// Messages sent to clients with a refusal.
 const (
-	// unknown is why a host that has just started refuses.
-	unknown = "the configuration is not known yet"
-	// noRoute is why a request is refused that no route matches.
-	noRoute = "no route"
-	// largeHeader is why a request is refused whose header is over the configured limit.
+	unknown     = "the configuration is not known yet"
+	noRoute     = "no route"
 	largeHeader = "the header is over the limit"
-	// crashes is why a request is refused that took replicas down, whoever sent it.
+	// crashes refuses a request that crashed replicas, regardless of the client that sends it.
 	crashes = "the request is quarantined: replicas crashed under it"
-	// unknownKey is why a request is refused whose key is missing or no customer has.
+	// unknownKey refuses a request with a missing key or a key that belongs to no customer.
 	unknownKey = "no customer has the key"
-	// overAllowance is why a request is refused whose customer has had all that it may.
+	// overAllowance refuses a request of a customer that exceeds its rate limit.
 	overAllowance = "the customer's allowance is used up"
-	// noKeeper is why a request is refused while it can't be told whether its customer has had all that it may.
+	// noKeeper refuses a request while the customer's rate limit can't be checked.
 	noKeeper = "the customer's allowance can't be checked now"
-	// noHome is why a request is refused whose route and customer have homes in different regions.
+	// noHome refuses a request whose route and customer have no home region in common.
 	noHome = "no region is a home of both the route and the customer"
 )
 
@@ -69,33 +68,34 @@
 	Clock clock.Clock
 	Log   logr.Logger
 	Codec *opaque.Codec
-	// Config returns the configuration in force, nil where none is known yet.
+	// Config returns the configuration in force, or nil before the first one is loaded.
 	Config func() *route.Table
 	Table  *endpoints.Table
-	// Known reports whether the host knows all that requests need; nil means that it does once there are a
-	// configuration and replicas.
+	// Known reports whether the host has loaded all the data that requests need. If nil, the host is ready once the
+	// configuration and the list of replicas are loaded.
 	Known  func() bool
 	Runner *scatter.Runner
-	// Quarantine holds the requests that crash replicas.
+	// Quarantine holds the fingerprints of requests that crash replicas.
 	Quarantine *quarantine.Quarantine
-	// Allowance decides whether a request is within its customer's limit; nil means that no customer has one.
+	// Allowance decides whether a request is within its customer's rate limit. If nil, customers have no limit.
 	Allowance func(ctx context.Context, req allowance.Request) allowance.Decision
-	// Await waits at the start of a host until it knows the configuration and the replicas, and reports whether it
-	// does; nil means that nothing is waited for.
+	// Await blocks during startup until the configuration and the replicas are loaded, and reports whether they are.
+	// If nil, requests that arrive earlier are refused at once.
 	Await func(ctx context.Context) bool
-	// Requests writes a line about each request.
+	// Requests writes one log line per request.
 	Requests *requestlog.Log
-	// Ended is told of each request that had a route; it fills in what it knows of the host's freshness before the line
-	// is written.
+	// Ended is called for each request that was run, before its log line is written. It fills in the age of the
+	// configuration and of the list of replicas.
 	Ended func(e *requestlog.Entry)
-	// Refused is told of each request that was refused before it was sent anywhere.
+	// Refused is called for each request that was refused before it was sent to a replica.
 	Refused func(r requestlog.Refusal)
 }
 
-// Forwarder is the HTTP handler of clients' requests.
+// Forwarder is the HTTP handler for clients' requests.
 type Forwarder struct {
 	opts Options
-	// routes holds a *learned.Route for each route, by host name and prefix; it outlives the configuration's versions.
+	// routes holds a *learned.Route per route, keyed by host name and prefix. The entries are kept when the
+	// configuration changes.
 	routes sync.Map
 }
 
@@ -115,7 +115,7 @@
 	return &Forwarder{opts: opts}
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP forwards one request to replicas and writes the response.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := f.opts.Clock.Now()
 	if !f.opts.Known() && !f.opts.Await(r.Context()) {
@@ -136,8 +136,8 @@
 	f.opts.Requests.Write(&e)
 }
 
-// query reads a request and decides whether it may run, or returns how it is refused. What its header alone decides is
-// decided before the body is read.
+// query reads a request and returns the query to run, or a refusal. Checks that need only the header come before the
+// body is read.
 func (f *Forwarder) query(r *http.Request, arrived time.Time) (*scatter.Query, *refusal) {
 	table := f.opts.Config()
 	limits := table.Config().Limits
@@ -171,7 +171,8 @@
 	return q, nil
 }
 
-// authenticate finds out whose request it is, or returns why it is refused. The key goes no further than here.
+// authenticate returns the customer that the request's key belongs to, or a refusal. It removes the key from the
+// request, so that the key reaches neither replicas nor other hosts.
 func (f *Forwarder) authenticate(table *route.Table, rt *route.Route, req *opaque.Request) (*route.Customer, *refusal) {
 	if !table.Config().Keyed {
 		return nil, nil
@@ -191,8 +192,8 @@
 	return customer, nil
 }
 
-// admit decides whether a request whose route and customer are known is sent on, and returns how it is refused where
-// not. The customer's allowance comes last: a request that something else refuses takes nothing of it.
+// admit decides whether a request whose route and customer are known may run, and returns a refusal if not. The
+// customer's rate limit is checked last, so that a request refused for another reason uses no tokens.
 func (f *Forwarder) admit(ctx context.Context, q *scatter.Query, customer *route.Customer) *refusal {
 	var ok bool
 	if q.Homes, ok = homes.Common(q.Route, customer); !ok {
@@ -222,6 +223,7 @@
 	return ref
 }
 
+// deadline returns the earlier of the route's and the client's deadline.
 func deadline(arrived time.Time, req *opaque.Request, rt *route.Route) time.Time {
 	limit := rt.Timeout
 	if limit <= 0 {
@@ -233,7 +235,7 @@
 	return arrived.Add(limit)
 }
 
-// shards returns the services that a request of the route is sent to.
+// shards returns the services that a request to the route is sent to: all shards, or one service of the traffic split.
 func (f *Forwarder) shards(rt *route.Route) []*endpoints.Service {
 	if len(rt.Shards) == 0 {
 		return []*endpoints.Service{f.opts.Table.Service(draw(rt.Split))}
@@ -245,7 +247,7 @@
 	return list
 }
 
-// draw returns one service of a split in proportion to its weight.
+// draw picks a service of a split at random, with a probability proportional to its weight.
 func draw(split []route.Share) string {
 	sum := 0.0
 	for _, s := range split {
@@ -260,6 +262,7 @@
 	return split[len(split)-1].Service
 }
 
+// learnedOf returns the measurements of a route and creates them on first use.
 func (f *Forwarder) learnedOf(rt *route.Route) *learned.Route {
 	key := rt.Host + rt.Prefix
 	if r, ok := f.routes.Load(key); ok {
@@ -271,8 +274,8 @@
 
 var errTooLarge = errors.New("the body is over the limit")
 
-// headerBytes returns the size of the request line and the header as they came; the line breaks and separators are
-// counted as written by most clients.
+// headerBytes returns the size of the request line and the header on the wire, in bytes. It assumes the line breaks and
+// separators that most clients send.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len(r.Host) + len("  \r\nHost: \r\n\r\n")
 	for name, values := range r.Header {
@@ -283,6 +286,7 @@
 	return n
 }
 
+// readBody reads the body and returns errTooLarge if it is longer than most bytes; zero means no limit.
 func readBody(r *http.Request, most int) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -305,18 +309,19 @@
 	return &refusal{status: status, cause: requestlog.CauseBody, why: err.Error()}
 }
 
-// refusal is how a request is refused before it is sent anywhere.
+// refusal describes the response to a request that is refused before it is sent to a replica.
 type refusal struct {
 	status int
-	// after is when the client may come back, zero where that would change nothing.
+	// after is the value of Retry-After, zero if a retry can't succeed.
 	after time.Duration
 	cause requestlog.Cause
-	// why is told to the client; detail only the log holds.
+	// why is sent to the client and logged; detail is only logged.
 	why, detail string
-	// customer is whose request it is, empty where that is not known.
+	// customer is the name of the customer, empty if unknown.
 	customer string
 }
 
+// turnAway logs and sends a refusal.
 func (f *Forwarder) turnAway(w http.ResponseWriter, r *http.Request, ref refusal) {
 	reason := ref.why
 	if ref.detail != "" {
@@ -337,8 +342,8 @@
 	http.Error(w, ref.why, ref.status)
 }
 
-// answer writes what the request came to and returns the status. A client that went away gets a failure like any other:
-// without one the server would answer 200 with nothing, should somebody still read.
+// answer writes the response and returns its status. It writes an error status even if the client has disconnected:
+// otherwise the server would send an empty 200 to a client that still reads.
 func (f *Forwarder) answer(w http.ResponseWriter, rt *route.Route, rep *scatter.Report) int {
 	switch {
 	case len(rt.Shards) > 0 && (rep.Ending == scatter.Complete || rep.Ending == scatter.Partial):
@@ -358,8 +363,8 @@
 	return http.StatusBadGateway
 }
 
-// passable reports whether a replica's reply may go to the client as it is. A status that promises that nothing ran may
-// not, where the replica did not promise it.
+// passable reports whether a replica's reply may be sent to the client unchanged. A status that tells clients that the
+// request did not run may not, because the replica did not state that.
 func passable(res *exchange.Result) bool {
 	if !res.Whole() || res.Kind.NotRun() {
 		return false
@@ -371,6 +376,7 @@
 	return res.Kind == upstream.KindOK || res.Status >= 300
 }
 
+// pass sends a replica's reply to the client unchanged.
 func (f *Forwarder) pass(w http.ResponseWriter, res *exchange.Result) {
 	f.opts.Codec.CopyHeader(w.Header(), res.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(res.Body)))
@@ -378,6 +384,7 @@
 	f.write(w, res.Body)
 }
 
+// merged sends the top records of all successful shards, with their stamps and the number of missing shards.
 func (f *Forwarder) merged(w http.ResponseWriter, rt *route.Route, rep *scatter.Report) {
 	var parts [][]byte
 	var stamps []string
@@ -401,6 +408,7 @@
 	}
 }
 
+// retryAfter returns the Retry-After of a request that did not run.
 func retryAfter(rep *scatter.Report) time.Duration {
 	if rep.Ending == scatter.Overload {
 		return rep.RetryAfter.Round(time.Millisecond)
@@ -413,6 +421,7 @@
 	return retryGone
 }
 
+// refuse sends an error with a Retry-After header.
 func refuse(w http.ResponseWriter, status int, after time.Duration, why string) {
 	w.Header().Set("Retry-After", seconds(after))
 	http.Error(w, why, status)
--- a/entry/internal/forward/forwarder_test.go
+++ b/entry/internal/forward/forwarder_test.go
@@ -25,8 +25,9 @@
 	"guavaspring.org/platform/wire"
 )
 
-// A replica fails with a status that promises that nothing ran, and does not promise it itself. Passed on, it would let
-// a client send a drop-off again that is recorded already.
+// Guards against writes that run twice. A replica fails with a status that tells clients that the request did not run,
+// without stating it in the header. If the status were passed through, the client would send a write again that may
+// have run.
 func TestPassable(t *testing.T) {
 	tests := []struct {
 		kind   upstream.Kind
@@ -50,8 +51,8 @@
 	}
 }
 
-// A host that has just started gets requests. It must not say that a path does not exist when it only doesn't know it
-// yet.
+// Guards against 404 responses from a host that has not loaded its configuration yet. Also checks the limits on the
+// body and the header once it has.
 func TestUnknownConfigIsNotNotFound(t *testing.T) {
 	codec := wire.Codec()
 	var known *route.Table
@@ -80,8 +81,8 @@
 	qt.Assert(t, w.Code, qt.Equals, http.StatusRequestHeaderFieldsTooLarge)
 }
 
-// A drop-off form takes down each desk replica that reads it. The third volunteer who sends it, to a host that only
-// heard of it, is told at once that it did not run and when it may be tried again.
+// Guards against a request that crashes replica after replica. Two attempts at one host crash replicas; a second host
+// that learns of it only by gossip must refuse the request with a Retry-After and still run other requests.
 func TestCrashingRequestIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
@@ -109,8 +110,8 @@
 	})
 }
 
-// A client goes away while its page is being made. Should anything still read from the connection, it must not find an
-// empty page that looks like a good answer.
+// Guards against an empty 200 response to a client that disconnected, which a proxy on the connection would take for a
+// success.
 func TestClientGoneIsNoSuccess(t *testing.T) {
 	for _, ran := range []bool{true, false} {
 		codec := wire.Codec()
@@ -127,7 +128,7 @@
 	}
 }
 
-// Traffic moves from one service to another by weights. Each gets its part.
+// Guards against a traffic split that ignores the weights: a service with weight zero must get no requests.
 func TestDrawFollowsWeights(t *testing.T) {
 	split := []route.Share{{Service: "old", Weight: 3}, {Service: "new", Weight: 1}, {Service: "off", Weight: 0}}
 	got := map[string]int{}
