--- a/entry/internal/subquery/doc.go
+++ b/entry/internal/subquery/doc.go
@@ -1,2 +1,2 @@
-// Package subquery answers parts of other hosts' queries from the replicas of this host's availability zone.
+// Package subquery runs parts of other hosts' queries on the replicas of this host's availability zone.
 package subquery
--- a/entry/internal/subquery/job.go
+++ b/entry/internal/subquery/job.go
@@ -10,32 +10,32 @@
 	"guavaspring.org/entry/internal/records"
 )
 
-// job is one subquery under way.
+// job is one subquery in progress.
 type job struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	top    int
 	ends   chan ended
 
-	// mu is held by one call at a time; a job's calls come one after the other.
+	// mu serializes the calls for the job.
 	mu sync.Mutex
 	// calls counts the calls so far.
 	calls int
-	// replicas holds the replica of each shard whose try is under way.
+	// replicas maps each shard whose attempt is in flight to its replica.
 	replicas map[int]string
-	// untold holds the ends that no reply told yet.
+	// untold holds the finished attempts that no reply has reported yet.
 	untold []ended
 }
 
-// ended is a try that came to its end.
+// ended is the result of a finished attempt.
 type ended struct {
 	shard   int
 	replica string
 	res     exchange.Result
 }
 
-// wait takes the ends of tries until none is under way or timeout is due. Where once is set it returns as soon as there
-// is something to tell: a part that comes a moment after the first reply must not wait for a replica that pauses.
+// wait receives the results of attempts until none is in flight or timeout fires. If once is set, it returns as soon as
+// there are results to report: a part that arrives shortly after the first reply must not wait for a stalled replica.
 func (j *job) wait(timeout <-chan time.Time, once bool) {
 	for len(j.replicas) > 0 {
 		if once && len(j.untold) > 0 && len(j.ends) == 0 {
@@ -53,7 +53,8 @@
 	}
 }
 
-// tell writes what no reply told yet; merged says that the parts' records are merged.
+// tell adds the unreported results and the pending shards to reply. If merged is set, the records of all parts are
+// merged into one list instead of being sent per part.
 func (j *job) tell(reply *Reply, merged bool) {
 	var bodies [][]byte
 	for _, e := range j.untold {
--- a/entry/internal/subquery/messages.go
+++ b/entry/internal/subquery/messages.go
@@ -7,61 +7,61 @@
 	"guavaspring.org/core/upstream"
 )
 
-// Args asks a host for one try of each of some shards.
+// Args requests one attempt for each listed shard.
 type Args struct {
-	// Job names the subquery among those of all hosts.
+	// Job identifies the subquery across all hosts.
 	Job uint64
-	// Version is the configuration in force where the query came; a host with another one in force declines, since it
-	// could send the request to shards that its own replicas have seen the end of.
+	// Version is the version of the configuration in force at the host that received the query. A host with another
+	// version declines, because the request could go to shards that its own configuration no longer has.
 	Version int64
 	Request opaque.Request
 	Shards  []string
-	// Top is how many records the whole answer holds.
+	// Top is the number of records in the whole response.
 	Top int
-	// Left is how long the replicas may work, First how long the first reply may wait for all parts, and Within the
-	// time in which a part is of use.
+	// Left is the time until the deadline of the attempts, First the longest wait of the first reply for all parts, and
+	// Within the time in which a part is still useful to the query.
 	Left, First, Within time.Duration
-	// Usual and Unloaded are the times of the route's replies, in all and while nothing queues.
+	// Usual and Unloaded are the route's usual reply times, overall and without queueing.
 	Usual, Unloaded time.Duration
-	// Homes are the regions in which alone the request may run; none means any.
+	// Homes are the only regions in which the request may run; empty means any.
 	Homes []string
-	// Fingerprint names the request by its content.
+	// Fingerprint identifies the request by its content; the quarantine uses it.
 	Fingerprint string
 }
 
-// RestArgs asks for the parts of a subquery that were pending, within a time.
+// RestArgs requests the pending parts of a subquery and limits the wait for them.
 type RestArgs struct {
 	Job  uint64
 	Wait time.Duration
 }
 
-// DropArgs ends a subquery whose answer nobody waits for.
+// DropArgs cancels a subquery whose response is no longer needed.
 type DropArgs struct{ Job uint64 }
 
-// Reply holds what became of shards since the last reply, by their places in Args.
+// Reply holds the results of shards since the last reply. Shards are given by their index in Args.Shards.
 type Reply struct {
-	// Declined says why nothing was sent; it is empty where the tries were.
+	// Declined is the reason why no attempt was sent, empty if the attempts were sent.
 	Declined string
-	// Forgotten says that the subquery whose rest was asked for has ended here, and that nothing more is known of it.
+	// Forgotten reports that the subquery has already ended on this host and its remaining results are lost.
 	Forgotten bool
 	Parts     []Part
-	// Records are the greatest records of all Parts of the first reply; those of later replies carry their own.
+	// Records are the top records of all Parts of a first reply. In later replies each part carries its own.
 	Records []byte
 	Failed  []Failure
 	Pending []Pending
 }
 
-// Part is a shard whose replica answered.
+// Part is the result of a shard whose replica replied successfully.
 type Part struct {
 	Shard int
 	Stamp string
-	// Took is how long the replica took.
+	// Took is the response time of the replica.
 	Took time.Duration
 	// Body is empty in a first reply.
 	Body []byte
 }
 
-// Failure is a shard whose try brought no part.
+// Failure is the result of a shard whose attempt failed.
 type Failure struct {
 	Shard   int
 	Replica string
@@ -70,7 +70,7 @@
 	Took    time.Duration
 }
 
-// Pending is a shard whose try is still under way.
+// Pending is a shard whose attempt is still in flight.
 type Pending struct {
 	Shard   int
 	Replica string
--- a/entry/internal/subquery/peer.go
+++ b/entry/internal/subquery/peer.go
@@ -5,17 +5,17 @@
 	"errors"
 )
 
-// ErrUnreached means that a subquery did not leave this host.
-var ErrUnreached = errors.New("subquery: the host can't be reached")
+// ErrUnreached means that no connection to the peer was available and nothing of the subquery was sent.
+var ErrUnreached = errors.New("subquery: no connection to the peer")
 
-// Peer is a host that takes subqueries, as the one that asks it sees it.
+// Peer is the client side of a host that accepts subqueries.
 type Peer struct {
-	// ID names the host's process, Name is the host's address, for logs.
+	// ID identifies the host's process, Name is the host's address, for logs.
 	ID, Name string
 	Zone     string
-	// Gather and Rest call the host; an error that is ErrUnreached means that nothing left this host.
+	// Gather and Rest call the host. An error that wraps ErrUnreached means that nothing was sent.
 	Gather func(ctx context.Context, args *Args) (Reply, error)
 	Rest   func(ctx context.Context, args *RestArgs) (Reply, error)
-	// Drop tells the host that nobody waits any more, without waiting for its answer.
+	// Drop cancels the subquery at the host, without waiting for a reply.
 	Drop func(job uint64)
 }
--- a/entry/internal/subquery/server.go
+++ b/entry/internal/subquery/server.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// lingerFor is how long tries go on after the last call about them, as long as a host leaves its own tries alone
-	// once its answer has left. A host that asked and is gone asks no more.
+	// lingerFor is the time after the last call for a subquery until its attempts are canceled: the calling host may be
+	// gone. It equals the time for which a host lets its own attempts run on after the response was sent.
 	lingerFor = 300 * time.Millisecond
-	// mostShards and mostJobs bound what other hosts can make this one hold.
+	// mostShards per subquery and mostJobs limit the memory that other hosts can make this one use.
 	mostShards = 1024
 	mostJobs   = 4096
 )
@@ -27,21 +27,21 @@
 // Options configures a Server.
 type Options struct {
 	Clock clock.Clock
-	// Service returns the replicas of a shard.
+	// Service returns the service that holds the replicas of a shard.
 	Service func(name string) *endpoints.Service
-	// Version returns the configuration in force, zero for none.
+	// Version returns the version of the configuration in force, zero for none.
 	Version func() int64
-	// Leaving reports whether the host has been told to stop.
+	// Leaving reports whether the host is shutting down.
 	Leaving    func() bool
 	Quarantine *quarantine.Quarantine
-	// Draw returns a random number between 0 and 1 and must be safe for concurrent use; nil means rand.Float64.
+	// Draw returns a random number in [0, 1) and must be safe for concurrent use; nil means rand.Float64.
 	Draw func() float64
 }
 
-// Server is the net/rpc service that other hosts call.
+// Server is the net/rpc service that runs subqueries for other hosts.
 //
-// It sends one try of each shard and never a second one: which shards are worth one, and whether the budget allows it,
-// is for the host to decide that knows the whole query, and the tries of one request stay within what its route allows.
+// It sends one attempt per shard and never retries. Only the calling host has the whole query: it decides which shards
+// are worth a retry and whether the retry budget allows it, and keeps a request within the attempts of its route.
 type Server struct {
 	opts Options
 
@@ -49,7 +49,7 @@
 	jobs map[uint64]*job
 }
 
-// NewServer returns a server without subqueries.
+// NewServer returns a server.
 func NewServer(opts Options) *Server {
 	if opts.Draw == nil {
 		opts.Draw = rand.Float64
@@ -57,7 +57,7 @@
 	return &Server{opts: opts, jobs: map[uint64]*job{}}
 }
 
-// Gather sends the tries and replies once all have ended, or after Args.First.
+// Gather sends the attempts and replies once all have ended, or after Args.First.
 func (s *Server) Gather(args *Args, reply *Reply) error {
 	if reply.Declined = s.declines(args); reply.Declined != "" {
 		return nil
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Rest replies with the parts that have come since the last reply, once there is one or after a wait.
+// Rest replies with the results since the last reply, as soon as there is one or after RestArgs.Wait.
 func (s *Server) Rest(args *RestArgs, reply *Reply) error {
 	s.mu.Lock()
 	j := s.jobs[args.Job]
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// Drop ends the tries of a subquery.
+// Drop cancels the attempts of a subquery.
 func (s *Server) Drop(args *DropArgs, _ *struct{}) error {
 	s.end(args.Job)
 	return nil
 }
 
-// declines returns why a subquery is not taken, or nothing.
+// declines returns the reason to decline a subquery, or an empty string.
 func (s *Server) declines(args *Args) string {
 	switch {
 	case s.opts.Leaving():
@@ -105,7 +105,8 @@
 	return ""
 }
 
-// begin sends the tries; it returns nil where the name is taken, or too many subqueries are under way.
+// begin registers a subquery and sends its attempts. It returns nil if the subquery's name is in use or too many
+// subqueries are in progress.
 func (s *Server) begin(args *Args) *job {
 	ctx, cancel := context.WithCancel(context.Background())
 	j := &job{ctx: ctx, cancel: cancel, top: args.Top, ends: make(chan ended, len(args.Shards)), replicas: map[int]string{}}
@@ -124,7 +125,7 @@
 	return j
 }
 
-// try sends one try to the best replica of a shard.
+// try sends one attempt to the best replica of a shard.
 func (s *Server) try(j *job, args *Args, i int, now time.Time) {
 	svc := s.opts.Service(args.Shards[i])
 	c, verdict := svc.Pick(now, endpoints.Need{Need: pick.Need{Usual: args.Usual, Within: args.Within}, Homes: args.Homes}, s.opts.Draw)
@@ -141,7 +142,7 @@
 	}()
 }
 
-// answer waits for the tries and writes what has come of them.
+// answer waits for results, adds them to reply, and ends the subquery once no shard is pending.
 func (s *Server) answer(name uint64, j *job, wait time.Duration, merged bool, reply *Reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -156,10 +157,10 @@
 	s.opts.Clock.AfterFunc(lingerFor, func() { s.expire(name, j, calls) })
 }
 
-// expire ends a subquery after which nobody has asked since one of its calls.
+// expire ends a subquery if no call has come since the one with the given number.
 func (s *Server) expire(name uint64, j *job, calls int) {
 	if !j.mu.TryLock() {
-		// A call waits for the rest, and is followed by another look.
+		// Another call is waiting for results and schedules the next check when it ends.
 		return
 	}
 	last := j.calls == calls
@@ -169,6 +170,7 @@
 	}
 }
 
+// end cancels a subquery and removes it.
 func (s *Server) end(name uint64) {
 	s.mu.Lock()
 	j := s.jobs[name]
@@ -179,7 +181,7 @@
 	}
 }
 
-// Running returns how many subqueries are under way.
+// Running returns the number of subqueries in progress.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/internal/subquery/server_test.go
+++ b/entry/internal/subquery/server_test.go
@@ -20,7 +20,7 @@
 
 const shards = 3
 
-// bed is a host that takes subqueries over three shards.
+// bed is a subquery server with one replica for each of three shards.
 type bed struct {
 	server   *subquery.Server
 	replicas []*replicatest.Replica
@@ -55,6 +55,7 @@
 	}
 }
 
+// arrivals returns the number of requests that the replicas received.
 func (b *bed) arrivals() int {
 	n := 0
 	for _, r := range b.replicas {
@@ -63,8 +64,8 @@
 	return n
 }
 
-// A host asks another one for parts of a page. All that were in time come with the greatest records of them in one
-// list.
+// Guards against lost or unmerged parts: when all replicas reply in time, the first reply holds every part and one
+// merged list of the top records.
 func TestPartsComeMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
@@ -78,8 +79,9 @@
 	})
 }
 
-// A subquery comes to a host that must not send it: it leaves, has another configuration in force, or the deadline has
-// passed on the way. Nothing may reach a replica, so that the host that asked can send the tries itself.
+// Guards against attempts that are sent for a declined subquery: the host is shutting down, has another configuration in
+// force, the deadline has passed, or the shards are too many. Nothing may reach a replica, because the calling host then
+// sends the attempts itself.
 func TestDeclinedSendsNothing(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -106,8 +108,8 @@
 	}
 }
 
-// The host that asked is lost while a replica is slow. Nobody asks for the rest; the try must not go on for long, and
-// the subquery be forgotten.
+// Guards against subqueries that leak when the calling host is lost while a replica is slow. Without further calls the
+// attempt must be canceled and the subquery removed.
 func TestNobodyAsksForTheRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
@@ -123,8 +125,8 @@
 	})
 }
 
-// A replica is slow, and the host that asked goes on asking. The subquery must live as long as it does, and tell the
-// part once it is there.
+// Guards against subqueries that expire while the calling host still polls. A replica is slow; its part must be in a
+// later reply.
 func TestRestIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
@@ -142,8 +144,8 @@
 	})
 }
 
-// The host that asked has given up: its client left. The tries end at once, and a second call of the same name sends
-// nothing more meanwhile.
+// Guards against attempts that run on after the calling host dropped the subquery, and against a second Gather call
+// with the same name that sends the attempts again.
 func TestDropEndsTries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
