--- a/entry/internal/exchange/conn.go
+++ b/entry/internal/exchange/conn.go
@@ -15,16 +15,16 @@
 
 const (
 	readBuffer = 4 << 10
-	// interim is below the first status of a final reply.
+	// interim is the lowest status of a final reply; lower ones are interim replies.
 	interim = 200
 )
 
-// conn is one connection, read by its own goroutine from its start to its end.
+// conn is one connection to the replica. A single goroutine reads from it until it is closed.
 type conn struct {
 	tcp  net.Conn
 	pool *Pool
-	// since is when the connection was last used, until when it is too old to be used again; the pool's lock guards
-	// both.
+	// since is the time of the last use, until the time from which the connection may not be reused. The pool's mutex
+	// guards both.
 	since, until time.Time
 
 	mu      sync.Mutex
@@ -32,14 +32,14 @@
 	ended   bool
 }
 
-// waiting is a call whose reply is to come next on the connection.
+// waiting is the call whose reply is expected next on the connection.
 type waiting struct {
 	done   chan Result
 	id     string
 	method string
 }
 
-// begin makes the connection wait for the reply to w; it reports false where the connection has ended.
+// begin makes w the call whose reply is expected next. It reports false if the connection is closed.
 func (c *conn) begin(w *waiting) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +50,7 @@
 	return true
 }
 
-// run writes the request and waits for the end.
+// run writes the request and waits for the reply or for the end of ctx.
 func (c *conn) run(ctx context.Context, call *Call, w *waiting) Result {
 	clk := c.pool.opts.Clock
 	start := clk.Now()
@@ -74,7 +74,8 @@
 	return res
 }
 
-// send writes the request, its deadline last of all that is decided, and reports whether a byte of it may have left.
+// send writes the request and reports whether any byte of it may have been sent. The remaining time in the header is
+// computed right before the write.
 func (c *conn) send(call *Call, now time.Time) (bool, error) {
 	if call.Guard != nil {
 		if err := call.Guard(); err != nil {
@@ -97,7 +98,7 @@
 	return true, nil
 }
 
-// read takes replies until the connection ends or can't be trusted any more.
+// read reads replies until the connection is closed or its state is unknown.
 func (c *conn) read() {
 	br := bufio.NewReaderSize(c.tcp, readBuffer)
 	for {
@@ -106,7 +107,7 @@
 		w := c.waiting
 		c.mu.Unlock()
 		if w == nil {
-			// The replica closed the connection, or sent bytes that belong to no request.
+			// The replica closed the connection, or sent bytes without a request in flight.
 			c.close()
 			return
 		}
@@ -127,7 +128,7 @@
 	}
 }
 
-// keep gives the connection back to the pool.
+// keep returns the connection to the pool and reports whether it can be reused.
 func (c *conn) keep(idleFor time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +139,7 @@
 	return c.pool.put(c, idleFor)
 }
 
-// reply reads one whole reply and reports whether the connection can carry another request.
+// reply reads one reply and reports whether the connection can be reused.
 func (c *conn) reply(br *bufio.Reader, w *waiting) (Result, bool) {
 	resp, err := final(br, w.method)
 	if err != nil {
@@ -154,7 +155,7 @@
 	}
 	head := c.pool.opts.Codec.Reply(resp)
 	if head.ID != "" && head.ID != w.id {
-		// A second reply to an earlier request sits where this one's is due.
+		// The replica sent a second reply to an earlier request, which precedes the reply to this one.
 		return Result{Kind: upstream.KindForeign, Detail: "the reply belongs to request " + head.ID}, false
 	}
 	res := Result{Reply: head, Status: resp.StatusCode, Header: resp.Header, Body: body}
@@ -171,7 +172,7 @@
 	return res, !resp.Close
 }
 
-// final reads the header of the final reply, past those that only announce it.
+// final skips interim (1xx) replies and reads the header of the final one.
 func final(br *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(br, &http.Request{Method: method})
@@ -182,7 +183,7 @@
 	}
 }
 
-// close ends the connection; its reading goroutine then ends by itself.
+// close closes the connection, which also ends its reading goroutine.
 func (c *conn) close() {
 	c.mu.Lock()
 	was := c.ended
--- a/entry/internal/exchange/doc.go
+++ b/entry/internal/exchange/doc.go
@@ -1,2 +1,2 @@
-// Package exchange sends opaque requests to one replica over kept connections, each request once.
+// Package exchange sends requests to one replica over pooled connections, without retries.
 package exchange
--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a new connection: a replica accepts within about 6 ms, and one that has lost
-	// power never answers.
+	// dialTimeout limits the time to open a connection. A replica accepts within about 6 ms; one that lost power never
+	// replies.
 	dialTimeout = 300 * time.Millisecond
-	// probeTimeout bounds the wait for the connection that tells whether a replica lives whose connection broke; one
-	// that has ended refuses it within a round trip.
+	// probeTimeout limits the time to open a connection that checks whether a replica still runs after a connection to
+	// it broke. The host of a replica that has exited refuses the connection within one round trip.
 	probeTimeout = 50 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay without an acknowledgement before the kernel breaks the
-	// connection. A host that lost power, or a path that has forgotten the connection, shows no other sign.
+	// unacknowledged is the time after which the kernel breaks a connection with unacknowledged data. It is the only
+	// way to detect a host that lost power, or a device on the path that lost the connection's state.
 	unacknowledged = 1500 * time.Millisecond
-	// keepAliveIdle and keepAliveEvery let an unused connection that fell silent break within unacknowledged too.
+	// keepAliveIdle and keepAliveEvery configure TCP keep-alive such that the kernel also breaks a dead idle connection
+	// within unacknowledged.
 	keepAliveIdle  = time.Second
 	keepAliveEvery = 500 * time.Millisecond
-	// defaultIdle is how long an unused connection is kept where the replica does not say; idleMargin is taken off what
-	// it says, since a request that crosses the replica's close is lost without a sign of whether it ran.
+	// defaultIdle is the idle timeout of connections to replicas that announce none. idleMargin is subtracted from an
+	// announced idle timeout: if a request crosses the replica's close, it is unknown whether it ran.
 	defaultIdle = 4 * time.Second
 	idleMargin  = time.Second
-	// freshFor is how long a connection may have been unused before it carries a request that must not run twice. A
-	// replica, or something on the way, may have forgotten it without a sign, from a third of a second on; a new
-	// connection costs 1 ms.
+	// freshFor is the longest idle time of a connection that is used for a request that must not run twice. A replica,
+	// or a device on the path, may silently drop connections idle for a third of a second or more. A new connection
+	// costs 1 ms.
 	freshFor = 250 * time.Millisecond
-	// writeTimeout bounds the sending of one request to a replica that does not read.
+	// writeTimeout limits the time to write one request, for replicas that stop reading.
 	writeTimeout = time.Second
-	// MaxReply is the most bytes of one reply that are read.
+	// MaxReply is the maximum size of a reply body, in bytes.
 	MaxReply = 8 << 20
 )
 
@@ -51,68 +52,67 @@
 	Codec *opaque.Codec
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	// Opened returns what is used in place of a new connection, such as one that counts its bytes; nil means the
-	// connection itself.
+	// Opened wraps each new connection, for example to count its bytes; nil means no wrapping.
 	Opened func(net.Conn) net.Conn
 }
 
-// Call is one request to be sent to one replica.
+// Call is one request to one replica.
 type Call struct {
 	Request *opaque.Request
-	// Replica is the id of the replica that alone may run the request.
+	// Replica is the ID of the only replica that may run the request.
 	Replica string
-	// Deadline is when the replica has to give up.
+	// Deadline is the time by which the replica must reply.
 	Deadline time.Time
-	// Guard is asked right before the first byte leaves; an error keeps the request from being sent.
+	// Guard is called right before the request is written. If it returns an error, nothing is sent.
 	Guard func() error
-	// Connections bounds the connections to the replica.
+	// Connections is the maximum number of connections to the replica.
 	Connections int
-	// Once says that the request must not run twice, so that a connection that breaks under it leaves its outcome
-	// unknown.
+	// Once marks a request that must not run twice. If the connection breaks, its outcome is unknown.
 	Once bool
 }
 
-// Result says how a call ended.
+// Result is the outcome of a call.
 type Result struct {
 	Kind   upstream.Kind
 	Detail string
-	// Busy says that nothing was sent for want of a connection.
+	// Busy reports that nothing was sent because all connections were in use.
 	Busy bool
-	// Died says that the connection broke and that the replica takes no new one: it ended under the request.
+	// Died reports that the connection broke and the replica refused a new one: it exited while running the request.
 	Died bool
-	// Reply, Status, Header and Body are set where a whole reply to the request came.
+	// Reply, Status, Header and Body are set if the complete reply was received.
 	Reply  opaque.Reply
 	Status int
 	Header map[string][]string
 	Body   []byte
-	// Took is the time from the first byte sent to the end.
+	// Took is the time from the start of the write to the outcome.
 	Took time.Duration
 }
 
-// Whole reports whether the replica's reply is complete and its own, a failure included.
+// Whole reports whether a complete reply to the request was received, including error replies.
 func (r *Result) Whole() bool { return r.Status != 0 }
 
 // Pool holds the connections to one replica.
 //
-// net/http's transport is not used: it resends a request by itself when a kept connection breaks, it hands a request to
-// a connection before the deadline that it carries is known to hold, and it takes a late second reply for the reply to
-// the next request. Here a call writes once, last of all its deadline, and each connection is read by one goroutine
-// that closes it on any byte that no request waits for.
+// It replaces net/http.Transport, which retries a request when a reused connection breaks, needs the header with the
+// remaining time before it has a connection, and takes a late second reply for the reply to the next request. Here a
+// call writes its request once and computes the remaining time right before the write. Each connection is read by one
+// goroutine, which closes it on any byte received without a request in flight.
 type Pool struct {
 	opts Options
 
 	mu   sync.Mutex
 	idle []*conn
-	// all holds the open connections, those in use included.
-	all    map[*conn]bool
+	// all holds the open connections, including those in use.
+	all map[*conn]bool
+	// open counts the open connections and those being opened, dialed all connections opened so far.
 	open   int
 	dialed uint64
 	closed bool
-	// ended says that the replica's process is known to be gone.
+	// ended is set once the replica's process is known to have exited.
 	ended bool
 }
 
-// New returns a pool without connections.
+// New returns an empty pool.
 func New(opts Options) *Pool {
 	if opts.Dial == nil {
 		opts.Dial = dialTCP
@@ -123,6 +123,7 @@
 	return &Pool{opts: opts, all: map[*conn]bool{}}
 }
 
+// dialTCP opens a TCP connection that the kernel breaks if data or keep-alive probes stay unacknowledged.
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: int(unacknowledged / keepAliveEvery)},
@@ -137,21 +138,21 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Free reports whether a call could have one of most connections now.
+// Free reports whether a connection is idle or can be opened without exceeding most connections.
 func (p *Pool) Free(most int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0 || p.open < most
 }
 
-// Dialed returns how many connections were opened.
+// Dialed returns the total number of connections opened, including failed attempts.
 func (p *Pool) Dialed() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// Close closes the unused connections; those in use are closed as their calls end.
+// Close closes the idle connections. Those in use are closed when their calls end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -162,8 +163,8 @@
 	}
 }
 
-// End closes all connections, those in use included: the process at their other end is known to be gone. What was sent
-// on them breaks now rather than once the kernel finds out, which takes unacknowledged where nothing answers any more.
+// End closes all connections, including those in use, because the replica's process has exited. Calls in flight fail at
+// once, and not only when the kernel breaks the connections, up to unacknowledged later if the host does not respond.
 func (p *Pool) End() {
 	p.mu.Lock()
 	conns := make([]*conn, 0, len(p.all))
@@ -177,8 +178,8 @@
 	}
 }
 
-// Do sends one request and returns its reply; the end of ctx closes the connection, which is how the replica learns of
-// it.
+// Do sends one request and returns its outcome. The end of ctx closes the connection, which signals the cancellation to
+// the replica.
 func (p *Pool) Do(ctx context.Context, call *Call) Result {
 	for {
 		c, err := p.take(ctx, call)
@@ -187,7 +188,7 @@
 		}
 		w := &waiting{done: make(chan Result, 1), id: call.Request.ID, method: call.Request.Method}
 		if !c.begin(w) {
-			// The replica closed it while it was unused, and nothing was sent.
+			// The replica closed the connection while it was idle. Nothing was sent.
 			continue
 		}
 		res := c.run(ctx, call, w)
@@ -196,10 +197,10 @@
 	}
 }
 
-// refuses reports whether the replica takes no new connection, and keeps the one that it got otherwise.
+// refuses reports whether the replica refuses a new connection. If it accepts, the connection is kept in the pool.
 //
-// A connection breaks for many reasons, of which the end of the replica is one. Only that one accuses the request that
-// it ran. A new connection tells them apart within a round trip, and takes the place of the one that is lost.
+// A connection may break for many reasons, but only the exit of the replica suggests that the request crashed it. A new
+// connection distinguishes the two within one round trip and replaces the broken one.
 func (p *Pool) refuses(ctx context.Context, call *Call) bool {
 	if p.gone() || !p.reserve(call.Connections) {
 		return false
@@ -214,20 +215,20 @@
 	return false
 }
 
-// gone reports whether the replica's process is known to have ended: what broke then was cut by this host.
+// gone reports whether the replica's process is known to have exited. This host then broke the connections itself.
 func (p *Pool) gone() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// errEnded is why a request was not sent whose replica has ended meanwhile.
+// errEnded is returned if the replica exits before the request is sent.
 var errEnded = errors.New("the replica's process has ended")
 
-// errBusy is why a request was not sent whose replica allows no further connection.
+// errBusy is returned if the maximum number of connections to the replica is in use.
 var errBusy = errors.New("every connection to the replica is in use")
 
-// take returns an unused connection, or opens one.
+// take returns an idle connection or opens a new one.
 func (p *Pool) take(ctx context.Context, call *Call) (*conn, error) {
 	now := p.opts.Clock.Now()
 	p.mu.Lock()
@@ -249,7 +250,7 @@
 	return p.dial(ctx, dialTimeout)
 }
 
-// reserve takes the place of one more connection, unless there are most already.
+// reserve counts one more connection as open. It reports false if there are already most.
 func (p *Pool) reserve(most int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,7 +262,7 @@
 	return true
 }
 
-// dial opens a connection whose place is reserved.
+// dial opens a connection that reserve has counted.
 func (p *Pool) dial(ctx context.Context, timeout time.Duration) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -276,7 +277,7 @@
 	ended := p.ended
 	p.mu.Unlock()
 	if ended {
-		// The address may belong to the next process already, which is not the one that the request was meant for.
+		// The address may already belong to a new process, which is not the replica that the request is for.
 		c.close()
 		return nil, errEnded
 	}
@@ -284,20 +285,22 @@
 	return c, nil
 }
 
-// mustDial reports whether the call needs a new connection though there is one that is unused, the last of which was
-// used last.
+// mustDial reports whether the call needs a new connection because even the most recently used idle one, the last of
+// idle, is too old. The caller holds mu; idle is not empty.
 func (p *Pool) mustDial(call *Call, now time.Time) bool {
 	last := p.idle[len(p.idle)-1]
 	return call.Once && p.open < call.Connections && now.Sub(last.since) > freshFor
 }
 
+// forget uncounts a connection that was closed or could not be opened.
 func (p *Pool) forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// put keeps a connection for the next call.
+// put adds a connection to the idle ones for the replica's idle timeout, zero if unknown. It reports false if the
+// connection can't be kept.
 func (p *Pool) put(c *conn, idleFor time.Duration) bool {
 	keep := defaultIdle
 	if idleFor > 0 {
@@ -317,7 +320,7 @@
 	return true
 }
 
-// drop removes a connection that is closed.
+// drop removes a closed connection from the pool.
 func (p *Pool) drop(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/internal/exchange/pool_test.go
+++ b/entry/internal/exchange/pool_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A replica sends a second answer to a request that it has answered. A query for another branch is next on the
-// connection, and must not get what was meant for the first: a greeter would see another member's appointments.
+// Guards against replies that reach the wrong request, and so the wrong client. A replica sends a second reply to a
+// request that it has already replied to. The next request on the connection must not receive it.
 func TestLateSecondReplyIsNobodys(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -62,8 +62,8 @@
 				qt.Assert(t, string(first.Body), qt.Equals, "one")
 				time.Sleep(test.wait)
 				second := p.Do(t.Context(), call("two"))
-				// Whether it fails depends on which of the two is on the way first; what it must never hold is the
-				// other's reply.
+				// The second call may fail, depending on which message is sent first, but it must never return the
+				// late reply.
 				if second.Kind == upstream.KindOK {
 					qt.Assert(t, string(second.Body), qt.Equals, "two")
 				} else {
@@ -76,8 +76,8 @@
 	}
 }
 
-// The connection breaks under a request that has run. The transport of the standard library would send a GET again by
-// itself on another connection; here it must reach the replica once and be reported as broken.
+// Guards against automatic retries. The connection breaks while a request is in flight. net/http.Transport would resend
+// a GET on another connection; here it must reach the replica once and be reported as broken.
 func TestBrokenRequestIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -96,8 +96,8 @@
 	})
 }
 
-// An answer without a length ends with its connection; one that breaks off before its stated length must not pass for
-// whole.
+// Guards against truncated or foreign replies that pass for complete ones. A reply without a length ends with its
+// connection; one that is shorter than its Content-Length is broken.
 func TestReplyIsWholeOrBroken(t *testing.T) {
 	whole := platformtest.Reply(200, "one", "s", []byte("whole"))
 	tests := []struct {
@@ -129,8 +129,8 @@
 	}
 }
 
-// A request waits 650 ms for a connection. The replica must be told the time that is left then, not what was left
-// before, or it works for somebody who has gone.
+// Guards against a remaining time that is computed too early. Opening the connection takes 250 ms of a request's 1 s.
+// The replica must receive the 750 ms that remain then, or it would still work after the client's deadline.
 func TestDeadlineIsWrittenLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -147,8 +147,8 @@
 	})
 }
 
-// A replica is found leaving while a request waits for a connection to it: nothing may be sent any more, and the
-// request has not run.
+// Guards against requests to a draining replica. The replica starts to drain while a connection to it is being opened:
+// nothing may be sent, and the request must count as not sent.
 func TestGuardIsAskedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -169,8 +169,8 @@
 	})
 }
 
-// A client goes away: its connection to the replica is closed, which is how the replica learns of it, and no other
-// request uses it.
+// Guards against reuse of a connection whose request was canceled. Cancellation must close the connection, which
+// signals it to the replica, and the next request must open a new one.
 func TestCancelClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -186,7 +186,7 @@
 	})
 }
 
-// Connections are few: a third call must not open one over the limit, and says that it was not sent.
+// Guards against connections over the limit: with two allowed, a third concurrent call must fail as busy and not sent.
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -211,9 +211,9 @@
 	})
 }
 
-// A replica forgets connections that were unused for a third of a second, and resets whatever comes on them. A drop-off
-// that is sent on one is lost without a sign of whether it was recorded; on a new connection it is safe. What may be
-// repeated keeps its connection.
+// Guards against writes with an unknown outcome. A replica drops connections idle for a third of a second and resets
+// whatever arrives on them, so a write on such a connection is lost, and it is unknown whether it ran. Requests that
+// must not run twice need a new connection after that time; others reuse the idle one.
 func TestWriteUsesNoStaleConnection(t *testing.T) {
 	for _, once := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
