--- a/entry/internal/requestlog/doc.go
+++ b/entry/internal/requestlog/doc.go
@@ -1,2 +1,2 @@
-// Package requestlog writes one line about each request, within a bound.
+// Package requestlog writes rate-limited log lines about requests.
 package requestlog
--- a/entry/internal/requestlog/log.go
+++ b/entry/internal/requestlog/log.go
@@ -14,14 +14,16 @@
 )
 
 const (
-	// troubled is the most lines a second about requests that were not answered whole and in time. A host answers about
-	// 60 requests a second on a heavy day; a line has about 1.5 KB, so that 150 of them are 225 KB a second.
+	// troubled is the maximum number of lines per second about requests that were incomplete, retried, refused or slower
+	// than their objective. A host answers about 60 requests a second under high load. A line has about 1.5 KB, so that
+	// 150 lines are 225 KB a second.
 	troubled = 150
-	// usual is the most lines a second about all others, which are only there to compare with.
+	// usual is the maximum number of lines per second about all other requests, which only serve for comparison.
 	usual = 10
-	// admitted is the most lines a second about requests that are about to be sent and must not run twice.
+	// admitted is the maximum number of lines per second about requests that must not run twice and are about to be
+	// sent.
 	admitted = 100
-	// tellEvery is how often it is said how many lines were left out.
+	// tellEvery is the interval between reports of the number of skipped lines.
 	tellEvery = 10 * time.Second
 )
 
@@ -29,11 +31,11 @@
 type Options struct {
 	Clock clock.Clock
 	Log   logr.Logger
-	// Dropped returns how many lines the output lost; it may be nil.
+	// Dropped returns the number of lines lost by the output; it may be nil.
 	Dropped func() uint64
 }
 
-// Log writes the lines.
+// Log writes one line per request, with a rate limit for each kind of line.
 type Log struct {
 	opts                      Options
 	troubled, usual, admitted *event.Limit
@@ -44,20 +46,20 @@
 	return &Log{opts: opts, troubled: event.NewLimit(troubled), usual: event.NewLimit(usual), admitted: event.NewLimit(admitted)}
 }
 
-// Entry is what is told of one request.
+// Entry holds the logged data of one request.
 type Entry struct {
 	Query  *scatter.Query
 	Report *scatter.Report
-	// Status is the status of the answer.
+	// Status is the HTTP status of the response.
 	Status int
-	// ConfigVersion is the version of the configuration that the request was pinned to; ConfigAge and ReplicasAge are
-	// how long ago the store was known to hold nothing newer.
+	// ConfigVersion is the version of the configuration that the request used. ConfigAge and ReplicasAge are the times
+	// since the local copies were last known to be up to date with the store.
 	ConfigVersion          int64
 	ConfigAge, ReplicasAge time.Duration
 	Took                   time.Duration
 }
 
-// Write writes the line of one request, unless too many were written lately.
+// Write writes the line of one request, unless the rate limit is exceeded.
 func (l *Log) Write(e *Entry) {
 	limit := l.usual
 	if whole := e.Report.Ending == scatter.Complete && e.Report.Retries == 0; !whole || e.Took > e.Query.Route.Objective {
@@ -75,57 +77,57 @@
 		"behind_ms", rep.Overload.Wait.Milliseconds(), "spare_ms", rep.Overload.Bound.Milliseconds(), "waited_ms", rep.Overload.Waited.Milliseconds(), "refuse_chance", rep.Overload.Chance, "retry_after_ms", rep.RetryAfter.Milliseconds(), "steps", Steps(e))
 }
 
-// Admitted writes the line of a request that must not run twice, before it is sent: should this host be lost, the line
-// is what is left to tell that the request had come.
+// Admitted writes a line about a request that must not run twice, before it is sent. If this host crashes, the line is
+// the only record that the request arrived.
 func (l *Log) Admitted(q *scatter.Query) {
 	if !q.Route.Idempotent && l.admitted.Allow(l.opts.Clock.Now()) {
 		events.Admitted.Log(l.opts.Log, "request", q.Request.ID, "route", q.Route.Name, "customer", q.Request.Customer, "service", q.Shards[0].Name, "allowed_ms", q.Deadline.Sub(q.Arrived).Milliseconds())
 	}
 }
 
-// Cause says why a request was refused before it was sent anywhere.
+// Cause is the reason for which a request was refused before it was sent to a replica.
 type Cause string
 
 // The causes of refusals.
 const (
-	// CauseUnknown means that the host has just started and doesn't know the configuration or the replicas yet.
+	// CauseUnknown means that the host has just started and has not loaded the configuration or the replicas yet.
 	CauseUnknown Cause = "unknown_config"
-	// CauseNoRoute means that no route of the configuration in force matches.
+	// CauseNoRoute means that no route of the configuration in force matches the request.
 	CauseNoRoute Cause = "no_route"
 	// CauseHeader means that the header is over the configured limit.
 	CauseHeader Cause = "large_header"
-	// CauseBody means that the body is over the configured limit, or could not be read.
+	// CauseBody means that the body is over the configured limit or can't be read.
 	CauseBody Cause = "bad_body"
-	// CauseKey means that the key is missing or no customer of the configuration in force has it.
+	// CauseKey means that the key is missing or belongs to no customer of the configuration in force.
 	CauseKey Cause = "unknown_key"
-	// CauseAllowance means that the customer has had as many requests as it may.
+	// CauseAllowance means that the customer exceeded its rate limit.
 	CauseAllowance Cause = "over_allowance"
-	// CauseNoKeeper means that no host could be asked whether the customer has.
+	// CauseNoKeeper means that the customer's rate limit can't be checked: the host that keeps it is unreachable.
 	CauseNoKeeper Cause = "allowance_unknown"
-	// CauseHomes means that the route and the customer have homes in different regions.
+	// CauseHomes means that the route and the customer have no home region in common.
 	CauseHomes Cause = "no_common_home"
-	// CauseCrashes means that replicas crashed under the request.
+	// CauseCrashes means that the request is quarantined because it crashed replicas.
 	CauseCrashes Cause = "quarantined"
 )
 
-// Refusal is what is told of a request that was refused before it was sent anywhere.
+// Refusal holds the logged data of a request that was refused before it was sent to a replica.
 type Refusal struct {
 	ID, Host, Path string
 	Status         int
 	Cause          Cause
 	Reason         string
-	// Customer is whose request it was, empty where that was not known.
+	// Customer is the name of the customer, empty if unknown.
 	Customer string
 }
 
-// Refused writes the line of a request that was refused before it was sent anywhere.
+// Refused writes the line of a refused request, unless the rate limit is exceeded.
 func (l *Log) Refused(r Refusal) {
 	if l.troubled.Allow(l.opts.Clock.Now()) {
 		events.Refused.Log(l.opts.Log, "request", r.ID, "host", r.Host, "path", r.Path, "status", r.Status, "cause", r.Cause, "customer", r.Customer, "reason", r.Reason)
 	}
 }
 
-// Steps returns a short text for each decision about the request.
+// Steps returns a short description of each routing decision for the request.
 func Steps(e *Entry) []string {
 	list := make([]string, len(e.Report.Steps))
 	for i, st := range e.Report.Steps {
@@ -145,12 +147,12 @@
 	return list
 }
 
-// Skipped returns how many lines were left out since the start.
+// Skipped returns the number of lines skipped by the rate limits since the start.
 func (l *Log) Skipped() uint64 {
 	return l.troubled.Skipped() + l.usual.Skipped() + l.admitted.Skipped()
 }
 
-// Run says from time to time how many lines were left out, until done is closed.
+// Run periodically reports the number of skipped and lost lines, until done is closed.
 func (l *Log) Run(done <-chan struct{}) {
 	var skipped, dropped uint64
 	for {
--- a/entry/internal/requestlog/log_test.go
+++ b/entry/internal/requestlog/log_test.go
@@ -17,6 +17,7 @@
 	"guavaspring.org/entry/internal/scatter"
 )
 
+// entry returns the log entry of a request with one step.
 func entry(id string, ending scatter.Ending) *requestlog.Entry {
 	rt := &route.Route{Name: "bundles", Objective: 200 * time.Millisecond, Idempotent: true}
 	q := &scatter.Query{Request: &opaque.Request{ID: id}, Route: rt, Shards: []*endpoints.Service{{Name: "s1"}}}
@@ -24,8 +25,8 @@
 	return &requestlog.Entry{Query: q, Report: rep, Status: 502, Took: 30 * time.Millisecond}
 }
 
-// A thousand requests go well and one fails, all within a second. The one that an engineer will ask about must be found
-// in the log, with what was decided, though the lines are bounded.
+// Guards against rate limits that drop the lines of failed requests. A thousand requests succeed and one fails within a
+// second; the log must hold the failed one with its steps.
 func TestFailedRequestIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
@@ -44,7 +45,8 @@
 	})
 }
 
-// Everything fails for a second. The log stays within its bound and says how much is missing.
+// Guards against an unbounded log while all requests fail: the log must stay within its limit and report the number of
+// skipped lines.
 func TestLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
