--- a/entry/internal/subquery/server_test.go
+++ b/entry/internal/subquery/server_test.go
@@ -79,9 +79,9 @@
 	})
 }
 
-// Guards against attempts that are sent for a declined subquery: the host is shutting down, has another configuration in
-// force, the deadline has passed, or the shards are too many. Nothing may reach a replica, because the calling host then
-// sends the attempts itself.
+// Guards against attempts that are sent for a declined subquery: the host is shutting down, has another configuration
+// in force, the deadline has passed, or the shards are too many. Nothing may reach a replica, because the calling host
+// then sends the attempts itself.
 func TestDeclinedSendsNothing(t *testing.T) {
 	tests := []struct {
 		name   string
