--- a/entry/internal/forward/answers_test.go
+++ b/entry/internal/forward/answers_test.go
@@ -56,7 +56,7 @@
 // Guards against records of a failed shard in the response, and against a partial response that looks complete. One
 // shard of three replies with an error that carries a stamp. The response must hold only the records and stamps of the
 // other two and report one missing shard.
-func TestFailedReplyIsNoPart(t *testing.T) {
+func TestFailedShardIsMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
 		defer farm.Close()
@@ -82,12 +82,12 @@
 
 // Guards against responses after the deadline. A replica accepts a request and never replies. The client must get its
 // response at the earlier of the route's timeout and its own.
-func TestAnswerComesWhenTheTimeIsUp(t *testing.T) {
+func TestResponseAtDeadline(t *testing.T) {
 	tests := []struct {
 		route time.Duration
-		// own is the client's timeout in milliseconds, zero for none.
-		own  int
-		want time.Duration
+		// clientMillis is the client's timeout in milliseconds, zero for none.
+		clientMillis int
+		want         time.Duration
 	}{
 		{300 * time.Millisecond, 0, 300 * time.Millisecond},
 		{300 * time.Millisecond, 5000, 300 * time.Millisecond},
@@ -102,7 +102,7 @@
 			f := newForwarder(farm, true, newQuarantine(nil), route.Route{Host: "search.example", Prefix: "/", Attempts: 1, Timeout: test.route, Split: []route.Share{{Service: "desk", Weight: 1}}})
 			w := httptest.NewRecorder()
 			began := time.Now()
-			f.ServeHTTP(w, request(t, http.MethodPost, test.own))
+			f.ServeHTTP(w, request(t, http.MethodPost, test.clientMillis))
 			took := time.Since(began)
 			qt.Check(t, w.Code, qt.Equals, http.StatusGatewayTimeout)
 			qt.Check(t, took <= test.want && took > test.want-50*time.Millisecond, qt.IsTrue, qt.Commentf("%v of %v", took, test.want))
@@ -113,7 +113,7 @@
 
 // Guards against a host that takes an unloaded list of replicas for an empty one. A host that has just started has the
 // routes but no replicas yet, and must answer 503 with a short Retry-After.
-func TestUnknownReplicasAreNotNone(t *testing.T) {
+func TestUnloadedReplicasAreRefusedWithRetryAfter(t *testing.T) {
 	farm := replicatest.New()
 	f := newForwarder(farm, false, newQuarantine(nil), route.Route{Host: "search.example", Prefix: "/", Attempts: 1, Timeout: time.Second, Split: []route.Share{{Service: "desk", Weight: 1}}})
 	w := httptest.NewRecorder()
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -28,22 +28,22 @@
 	boardsKey = "6b5cwa32q6qynkki7vme"
 )
 
-// customerScene is a forwarder with customers, and a replica that records the requests it receives.
-type customerScene struct {
+// customerFixture is a forwarder with customers, and a replica that records the requests it receives.
+type customerFixture struct {
 	*Forwarder
-	log  strings.Builder
-	mu   sync.Mutex
-	seen []platformtest.Seen
+	log      strings.Builder
+	mu       sync.Mutex
+	received []platformtest.Seen
 }
 
-// newCustomerScene returns a forwarder whose rate limit decisions are those of take; nil means no limit.
-func newCustomerScene(farm *replicatest.Farm, take func() allowance.Decision) *customerScene {
-	s := &customerScene{}
+// newCustomerFixture returns a forwarder whose rate limit decisions are those of take; nil means no limit.
+func newCustomerFixture(farm *replicatest.Farm, take func() allowance.Decision) *customerFixture {
+	s := &customerFixture{}
 	farm.Add("desk", 0, func(r *http.Request, _ []byte) replicatest.Answer {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		seen := platformtest.Read(r)
-		s.seen = append(s.seen, seen)
+		s.received = append(s.received, seen)
 		return replicatest.Answer{After: time.Millisecond, Raw: platformtest.Reply(http.StatusOK, seen.ID, "stamp", []byte("ok"))}
 	})
 	s.Forwarder = newForwarder(farm, true, newQuarantine(nil))
@@ -68,8 +68,8 @@
 	return s
 }
 
-// ask sends a request with a key, empty for none. The request also carries a forged customer name.
-func (s *customerScene) ask(t *testing.T, path, key, body string) *httptest.ResponseRecorder {
+// post sends a request with a key, empty for none. The request also carries a forged customer name.
+func (s *customerFixture) post(t *testing.T, path, key, body string) *httptest.ResponseRecorder {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://a.example"+path, strings.NewReader(body))
 	r = platformtest.WithCustomer(r, "forged")
@@ -83,7 +83,7 @@
 
 // Guards against requests that run with an unknown key, requests that are refused with a known one, and keys that reach
 // replicas or the log.
-func TestKeysDecideWhoIsServed(t *testing.T) {
+func TestKeySelectsCustomer(t *testing.T) {
 	tests := []struct {
 		path, key string
 		status    int
@@ -103,12 +103,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			farm := replicatest.New()
 			defer farm.Close()
-			s := newCustomerScene(farm, nil)
-			w := s.ask(t, test.path, test.key, "")
+			s := newCustomerFixture(farm, nil)
+			w := s.post(t, test.path, test.key, "")
 			qt.Check(t, w.Code, qt.Equals, test.status, qt.Commentf("%s with %q", test.path, test.key))
 			qt.Check(t, w.Header().Get("WWW-Authenticate") != "", qt.Equals, test.status == http.StatusUnauthorized)
-			qt.Check(t, len(s.seen) == 1, qt.Equals, test.status == http.StatusOK)
-			for _, seen := range s.seen {
+			qt.Check(t, len(s.received) == 1, qt.Equals, test.status == http.StatusOK)
+			for _, seen := range s.received {
 				qt.Check(t, seen.Customer, qt.Equals, test.customer)
 				qt.Check(t, seen.Key, qt.Equals, "")
 			}
@@ -119,7 +119,7 @@
 }
 
 // Guards against 429 responses from a host that could not check the customer's rate limit. It must answer 503.
-func TestAllowanceDecides(t *testing.T) {
+func TestRefusalByAllowance(t *testing.T) {
 	tests := []struct {
 		decision allowance.Decision
 		status   int
@@ -133,10 +133,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			farm := replicatest.New()
 			defer farm.Close()
-			s := newCustomerScene(farm, func() allowance.Decision { return test.decision })
-			w := s.ask(t, "/desk/1", quiltsKey, "")
+			s := newCustomerFixture(farm, func() allowance.Decision { return test.decision })
+			w := s.post(t, "/desk/1", quiltsKey, "")
 			qt.Check(t, w.Code, qt.Equals, test.status)
-			qt.Check(t, len(s.seen) == 1, qt.Equals, test.decision.Admitted)
+			qt.Check(t, len(s.received) == 1, qt.Equals, test.decision.Admitted)
 			if !test.decision.Admitted {
 				qt.Check(t, w.Header().Get("Retry-After"), qt.Equals, "0.25")
 				qt.Check(t, s.log.String(), qt.Contains, `"cause":"`+string(test.cause)+`"`)
@@ -148,21 +148,21 @@
 }
 
 // Guards against requests that are refused for another reason and still count against the customer's rate limit.
-func TestRefusedRequestsTakeNoAllowance(t *testing.T) {
+func TestRefusedRequestsUseNoAllowance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		farm := replicatest.New()
 		defer farm.Close()
 		taken := 0
-		s := newCustomerScene(farm, func() allowance.Decision {
+		s := newCustomerFixture(farm, func() allowance.Decision {
 			taken++
 			return allowance.Decision{Admitted: true, Source: allowance.SourceKept}
 		})
-		qt.Check(t, s.ask(t, "/none/1", quiltsKey, "").Code, qt.Equals, http.StatusNotFound)
-		qt.Check(t, s.ask(t, "/desk/1", "stolen", "").Code, qt.Equals, http.StatusUnauthorized)
-		qt.Check(t, s.ask(t, "/desk/1", quiltsKey, "over the limit").Code, qt.Equals, http.StatusRequestEntityTooLarge)
-		qt.Check(t, s.ask(t, "/west/1", boardsKey, "").Code, qt.Equals, http.StatusServiceUnavailable)
+		qt.Check(t, s.post(t, "/none/1", quiltsKey, "").Code, qt.Equals, http.StatusNotFound)
+		qt.Check(t, s.post(t, "/desk/1", "stolen", "").Code, qt.Equals, http.StatusUnauthorized)
+		qt.Check(t, s.post(t, "/desk/1", quiltsKey, "over the limit").Code, qt.Equals, http.StatusRequestEntityTooLarge)
+		qt.Check(t, s.post(t, "/west/1", boardsKey, "").Code, qt.Equals, http.StatusServiceUnavailable)
 		qt.Check(t, taken, qt.Equals, 0)
-		qt.Check(t, s.ask(t, "/desk/1", quiltsKey, "").Code, qt.Equals, http.StatusOK)
+		qt.Check(t, s.post(t, "/desk/1", quiltsKey, "").Code, qt.Equals, http.StatusOK)
 		qt.Check(t, taken, qt.Equals, 1)
 		time.Sleep(3 * time.Second)
 	})
--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -30,37 +30,37 @@
 )
 
 const (
-	// retryUnknown is the Retry-After of a host without a configuration. The host loads one within two calls to the
-	// store.
-	retryUnknown = 300 * time.Millisecond
-	// retryGone is the Retry-After of a service without replicas. A new replica is listed within one or two seconds of
-	// its start.
-	retryGone = 500 * time.Millisecond
-	// retryShed is the Retry-After when all replicas shed load or have all connections in use. A few replies later
+	// retryAfterNoConfig is the Retry-After of a host without a configuration. The host loads one within two calls to
+	// the store.
+	retryAfterNoConfig = 300 * time.Millisecond
+	// retryAfterNoReplica is the Retry-After of a service without replicas. A new replica is listed within one or two
+	// seconds of its start.
+	retryAfterNoReplica = 500 * time.Millisecond
+	// retryAfterShed is the Retry-After when all replicas shed load or have all connections in use. A few replies later
 	// there is capacity again.
-	retryShed = 100 * time.Millisecond
-	// cameBefore is the reduction of the client's timeout, compared with the route's usual one, from which a request
-	// counts as a retry: the refused attempt cost the client one round trip.
-	cameBefore = 5 * time.Millisecond
+	retryAfterShed = 100 * time.Millisecond
+	// minRetryElapsed is the reduction of the client's timeout, compared with the route's usual one, from which a
+	// request counts as a retry: the refused attempt cost the client one round trip.
+	minRetryElapsed = 5 * time.Millisecond
 	// defaultTimeout applies to requests for which neither the client nor the route sets a timeout.
 	defaultTimeout = 10 * time.Second
 )
 
 // Messages sent to clients with a refusal.
 const (
-	unknown     = "the configuration is not known yet"
-	noRoute     = "no route"
-	largeHeader = "the header is over the limit"
-	// crashes refuses a request that crashed replicas, regardless of the client that sends it.
-	crashes = "the request is quarantined: replicas crashed under it"
-	// unknownKey refuses a request with a missing key or a key that belongs to no customer.
-	unknownKey = "no customer has the key"
-	// overAllowance refuses a request of a customer that exceeds its rate limit.
-	overAllowance = "the customer's allowance is used up"
-	// noKeeper refuses a request while the customer's rate limit can't be checked.
-	noKeeper = "the customer's allowance can't be checked now"
-	// noHome refuses a request whose route and customer have no home region in common.
-	noHome = "no region is a home of both the route and the customer"
+	msgNoConfig       = "the configuration is not known yet"
+	msgNoRoute        = "no route"
+	msgHeaderTooLarge = "the header is over the limit"
+	// msgQuarantined refuses a request that crashed replicas, regardless of the client that sends it.
+	msgQuarantined = "the request is quarantined: replicas crashed under it"
+	// msgUnknownKey refuses a request with a missing key or a key that belongs to no customer.
+	msgUnknownKey = "no customer has the key"
+	// msgOverAllowance refuses a request of a customer that exceeds its rate limit.
+	msgOverAllowance = "the customer's allowance is used up"
+	// msgAllowanceUnknown refuses a request while the customer's rate limit can't be checked.
+	msgAllowanceUnknown = "the customer's allowance can't be checked now"
+	// msgNoCommonHome refuses a request whose route and customer have no home region in common.
+	msgNoCommonHome = "no region is a home of both the route and the customer"
 )
 
 // Options configures a Forwarder.
@@ -119,30 +119,30 @@
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := f.opts.Clock.Now()
 	if !f.opts.Known() && !f.opts.Await(r.Context()) {
-		f.turnAway(w, r, refusal{status: http.StatusServiceUnavailable, after: retryUnknown, cause: requestlog.CauseUnknown, why: unknown})
+		f.reject(w, r, refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterNoConfig, cause: requestlog.CauseUnknown, message: msgNoConfig})
 		return
 	}
-	q, ref := f.query(r, arrived)
+	q, ref := f.newQuery(r, arrived)
 	if ref != nil {
-		f.turnAway(w, r, *ref)
+		f.reject(w, r, *ref)
 		return
 	}
 	f.opts.Requests.Admitted(q)
 	rep := f.opts.Runner.Run(r.Context(), *q)
 	e := requestlog.Entry{Query: q, Report: &rep, ConfigVersion: q.Version}
-	e.Status = f.answer(w, q.Route, &rep)
+	e.Status = f.writeResponse(w, q.Route, &rep)
 	e.Took = f.opts.Clock.Now().Sub(arrived)
 	f.opts.Ended(&e)
 	f.opts.Requests.Write(&e)
 }
 
-// query reads a request and returns the query to run, or a refusal. Checks that need only the header come before the
+// newQuery reads a request and returns the query to run, or a refusal. Checks that need only the header come before the
 // body is read.
-func (f *Forwarder) query(r *http.Request, arrived time.Time) (*scatter.Query, *refusal) {
+func (f *Forwarder) newQuery(r *http.Request, arrived time.Time) (*scatter.Query, *refusal) {
 	table := f.opts.Config()
 	limits := table.Config().Limits
 	if limits.HeaderBytes > 0 && headerBytes(r) > limits.HeaderBytes {
-		return nil, &refusal{status: http.StatusRequestHeaderFieldsTooLarge, cause: requestlog.CauseHeader, why: largeHeader}
+		return nil, &refusal{status: http.StatusRequestHeaderFieldsTooLarge, cause: requestlog.CauseHeader, message: msgHeaderTooLarge}
 	}
 	req := f.opts.Codec.Decode(r, nil)
 	rt := table.Find(req.Host, req.Path)
@@ -155,15 +155,15 @@
 	}
 	body, err := readBody(r, limits.BodyBytes)
 	if err != nil {
-		return nil, badBody(err)
+		return nil, bodyRefusal(err)
 	}
 	req.Body = body
 	if rt == nil {
 		return nil, &refusal{
-			status: http.StatusNotFound, cause: requestlog.CauseNoRoute, why: noRoute, detail: "version " + strconv.FormatInt(table.Config().Version, 10),
+			status: http.StatusNotFound, cause: requestlog.CauseNoRoute, message: msgNoRoute, detail: "version " + strconv.FormatInt(table.Config().Version, 10),
 		}
 	}
-	q := &scatter.Query{Request: &req, Route: rt, Learned: f.learnedOf(rt), Arrived: arrived, Deadline: deadline(arrived, &req, rt), Version: table.Config().Version}
+	q := &scatter.Query{Request: &req, Route: rt, Learned: f.learnedRoute(rt), Arrived: arrived, Deadline: deadline(arrived, &req, rt), Version: table.Config().Version}
 	if ref := f.admit(r.Context(), q, customer); ref != nil {
 		return nil, ref
 	}
@@ -184,7 +184,7 @@
 			return nil, nil
 		}
 		return nil, &refusal{
-			status: http.StatusUnauthorized, cause: requestlog.CauseKey, why: unknownKey,
+			status: http.StatusUnauthorized, cause: requestlog.CauseKey, message: msgUnknownKey,
 			detail: "key " + req.Key.String() + ", version " + strconv.FormatInt(table.Config().Version, 10),
 		}
 	}
@@ -197,28 +197,28 @@
 func (f *Forwarder) admit(ctx context.Context, q *scatter.Query, customer *route.Customer) *refusal {
 	var ok bool
 	if q.Homes, ok = homes.Common(q.Route, customer); !ok {
-		return &refusal{status: http.StatusServiceUnavailable, after: retryGone, cause: requestlog.CauseHomes, why: noHome, customer: q.Request.Customer}
+		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterNoReplica, cause: requestlog.CauseHomes, message: msgNoCommonHome, customer: q.Request.Customer}
 	}
 	q.Fingerprint = quarantine.Fingerprint(q.Request.Host, []byte(q.Request.Method), []byte(q.Request.Target), q.Request.Body)
 	verdict := f.opts.Quarantine.Check(q.Fingerprint)
 	if verdict.Refused {
 		return &refusal{
-			status: http.StatusServiceUnavailable, after: verdict.RetryAfter, cause: requestlog.CauseCrashes, why: crashes,
+			status: http.StatusServiceUnavailable, retryAfter: verdict.RetryAfter, cause: requestlog.CauseCrashes, message: msgQuarantined,
 			detail: "fingerprint " + q.Fingerprint, customer: q.Request.Customer,
 		}
 	}
 	q.Suspect = verdict.Suspect
-	again := q.Learned.Arriving.Waited(q.Request.Patience) >= cameBefore
-	d := f.opts.Allowance(ctx, allowance.Request{Customer: customer, Deadline: q.Deadline, Again: again})
+	isRetry := q.Learned.Arriving.Waited(q.Request.Patience) >= minRetryElapsed
+	d := f.opts.Allowance(ctx, allowance.Request{Customer: customer, Deadline: q.Deadline, Again: isRetry})
 	if d.Admitted {
 		return nil
 	}
 	ref := &refusal{
-		status: http.StatusTooManyRequests, after: d.RetryAfter, cause: requestlog.CauseAllowance, why: overAllowance,
+		status: http.StatusTooManyRequests, retryAfter: d.RetryAfter, cause: requestlog.CauseAllowance, message: msgOverAllowance,
 		detail: "decided by " + string(d.Source), customer: q.Request.Customer,
 	}
 	if !d.Over() {
-		ref.status, ref.cause, ref.why = http.StatusServiceUnavailable, requestlog.CauseNoKeeper, noKeeper
+		ref.status, ref.cause, ref.message = http.StatusServiceUnavailable, requestlog.CauseNoKeeper, msgAllowanceUnknown
 	}
 	return ref
 }
@@ -238,7 +238,7 @@
 // shards returns the services that a request to the route is sent to: all shards, or one service of the traffic split.
 func (f *Forwarder) shards(rt *route.Route) []*endpoints.Service {
 	if len(rt.Shards) == 0 {
-		return []*endpoints.Service{f.opts.Table.Service(draw(rt.Split))}
+		return []*endpoints.Service{f.opts.Table.Service(pickWeighted(rt.Split))}
 	}
 	list := make([]*endpoints.Service, len(rt.Shards))
 	for i, name := range rt.Shards {
@@ -247,8 +247,8 @@
 	return list
 }
 
-// draw picks a service of a split at random, with a probability proportional to its weight.
-func draw(split []route.Share) string {
+// pickWeighted picks a service of a split at random, with a probability proportional to its weight.
+func pickWeighted(split []route.Share) string {
 	sum := 0.0
 	for _, s := range split {
 		sum += s.Weight
@@ -262,8 +262,8 @@
 	return split[len(split)-1].Service
 }
 
-// learnedOf returns the measurements of a route and creates them on first use.
-func (f *Forwarder) learnedOf(rt *route.Route) *learned.Route {
+// learnedRoute returns the measurements of a route and creates them on first use.
+func (f *Forwarder) learnedRoute(rt *route.Route) *learned.Route {
 	key := rt.Host + rt.Prefix
 	if r, ok := f.routes.Load(key); ok {
 		return r.(*learned.Route)
@@ -286,44 +286,44 @@
 	return n
 }
 
-// readBody reads the body and returns errTooLarge if it is longer than most bytes; zero means no limit.
-func readBody(r *http.Request, most int) ([]byte, error) {
+// readBody reads the body and returns errTooLarge if it is longer than maxBytes; zero means no limit.
+func readBody(r *http.Request, maxBytes int) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
-	if most <= 0 {
+	if maxBytes <= 0 {
 		return io.ReadAll(r.Body)
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, int64(most)+1))
-	if err == nil && len(body) > most {
+	body, err := io.ReadAll(io.LimitReader(r.Body, int64(maxBytes)+1))
+	if err == nil && len(body) > maxBytes {
 		return nil, errTooLarge
 	}
 	return body, err
 }
 
-func badBody(err error) *refusal {
+func bodyRefusal(err error) *refusal {
 	status := http.StatusBadRequest
 	if errors.Is(err, errTooLarge) {
 		status = http.StatusRequestEntityTooLarge
 	}
-	return &refusal{status: status, cause: requestlog.CauseBody, why: err.Error()}
+	return &refusal{status: status, cause: requestlog.CauseBody, message: err.Error()}
 }
 
 // refusal describes the response to a request that is refused before it is sent to a replica.
 type refusal struct {
 	status int
-	// after is the value of Retry-After, zero if a retry can't succeed.
-	after time.Duration
-	cause requestlog.Cause
-	// why is sent to the client and logged; detail is only logged.
-	why, detail string
+	// retryAfter is the value of Retry-After, zero if a retry can't succeed.
+	retryAfter time.Duration
+	cause      requestlog.Cause
+	// message is sent to the client and logged; detail is only logged.
+	message, detail string
 	// customer is the name of the customer, empty if unknown.
 	customer string
 }
 
-// turnAway logs and sends a refusal.
-func (f *Forwarder) turnAway(w http.ResponseWriter, r *http.Request, ref refusal) {
-	reason := ref.why
+// reject logs and sends a refusal.
+func (f *Forwarder) reject(w http.ResponseWriter, r *http.Request, ref refusal) {
+	reason := ref.message
 	if ref.detail != "" {
 		reason += "; " + ref.detail
 	}
@@ -335,37 +335,37 @@
 	if ref.status == http.StatusUnauthorized {
 		f.opts.Codec.AskForKey(w.Header())
 	}
-	if ref.after > 0 {
-		refuse(w, ref.status, ref.after, ref.why)
+	if ref.retryAfter > 0 {
+		errorWithRetryAfter(w, ref.status, ref.retryAfter, ref.message)
 		return
 	}
-	http.Error(w, ref.why, ref.status)
+	http.Error(w, ref.message, ref.status)
 }
 
-// answer writes the response and returns its status. It writes an error status even if the client has disconnected:
-// otherwise the server would send an empty 200 to a client that still reads.
-func (f *Forwarder) answer(w http.ResponseWriter, rt *route.Route, rep *scatter.Report) int {
+// writeResponse writes the response and returns its status. It writes an error status even if the client has
+// disconnected: otherwise the server would send an empty 200 to a client that still reads.
+func (f *Forwarder) writeResponse(w http.ResponseWriter, rt *route.Route, rep *scatter.Report) int {
 	switch {
 	case len(rt.Shards) > 0 && (rep.Ending == scatter.Complete || rep.Ending == scatter.Partial):
-		f.merged(w, rt, rep)
+		f.writeMerged(w, rt, rep)
 		return http.StatusOK
-	case len(rt.Shards) == 0 && passable(&rep.Results[0]):
-		f.pass(w, &rep.Results[0])
+	case len(rt.Shards) == 0 && mayPassThrough(&rep.Results[0]):
+		f.passThrough(w, &rep.Results[0])
 		return rep.Results[0].Status
 	case !rep.Ran:
-		refuse(w, http.StatusServiceUnavailable, retryAfter(rep), "the request did not run")
+		errorWithRetryAfter(w, http.StatusServiceUnavailable, retryAfter(rep), "the request did not run")
 		return http.StatusServiceUnavailable
 	case rep.Ending == scatter.Expired:
 		http.Error(w, "the time is up", http.StatusGatewayTimeout)
 		return http.StatusGatewayTimeout
 	}
-	refuse(w, http.StatusBadGateway, retryShed, "the replicas failed")
+	errorWithRetryAfter(w, http.StatusBadGateway, retryAfterShed, "the replicas failed")
 	return http.StatusBadGateway
 }
 
-// passable reports whether a replica's reply may be sent to the client unchanged. A status that tells clients that the
-// request did not run may not, because the replica did not state that.
-func passable(res *exchange.Result) bool {
+// mayPassThrough reports whether a replica's reply may be sent to the client unchanged. A status that tells clients
+// that the request did not run may not, because the replica did not state that.
+func mayPassThrough(res *exchange.Result) bool {
 	if !res.Whole() || res.Kind.NotRun() {
 		return false
 	}
@@ -376,16 +376,16 @@
 	return res.Kind == upstream.KindOK || res.Status >= 300
 }
 
-// pass sends a replica's reply to the client unchanged.
-func (f *Forwarder) pass(w http.ResponseWriter, res *exchange.Result) {
+// passThrough sends a replica's reply to the client unchanged.
+func (f *Forwarder) passThrough(w http.ResponseWriter, res *exchange.Result) {
 	f.opts.Codec.CopyHeader(w.Header(), res.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(res.Body)))
 	w.WriteHeader(res.Status)
-	f.write(w, res.Body)
+	f.writeBody(w, res.Body)
 }
 
-// merged sends the top records of all successful shards, with their stamps and the number of missing shards.
-func (f *Forwarder) merged(w http.ResponseWriter, rt *route.Route, rep *scatter.Report) {
+// writeMerged sends the top records of all successful shards, with their stamps and the number of missing shards.
+func (f *Forwarder) writeMerged(w http.ResponseWriter, rt *route.Route, rep *scatter.Report) {
 	var parts [][]byte
 	var stamps []string
 	for i := range rep.Results {
@@ -399,10 +399,10 @@
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(http.StatusOK)
-	f.write(w, body)
+	f.writeBody(w, body)
 }
 
-func (f *Forwarder) write(w http.ResponseWriter, body []byte) {
+func (f *Forwarder) writeBody(w http.ResponseWriter, body []byte) {
 	if _, err := w.Write(body); err != nil {
 		events.AnswerBroken.Log(f.opts.Log, "reason", err.Error())
 	}
@@ -415,14 +415,14 @@
 	}
 	for i := range rep.Results {
 		if rep.Results[i].Kind == upstream.KindShed || rep.Results[i].Busy {
-			return retryShed
+			return retryAfterShed
 		}
 	}
-	return retryGone
+	return retryAfterNoReplica
 }
 
-// refuse sends an error with a Retry-After header.
-func refuse(w http.ResponseWriter, status int, after time.Duration, why string) {
+// errorWithRetryAfter sends an error with a Retry-After header.
+func errorWithRetryAfter(w http.ResponseWriter, status int, after time.Duration, why string) {
 	w.Header().Set("Retry-After", seconds(after))
 	http.Error(w, why, status)
 }
--- a/entry/internal/forward/forwarder_test.go
+++ b/entry/internal/forward/forwarder_test.go
@@ -28,7 +28,7 @@
 // Guards against writes that run twice. A replica fails with a status that tells clients that the request did not run,
 // without stating it in the header. If the status were passed through, the client would send a write again that may
 // have run.
-func TestPassable(t *testing.T) {
+func TestNotRunStatusIsNotPassedThrough(t *testing.T) {
 	tests := []struct {
 		kind   upstream.Kind
 		status int
@@ -47,18 +47,18 @@
 		{upstream.KindBroken, 0, false},
 	}
 	for _, test := range tests {
-		qt.Check(t, passable(&exchange.Result{Kind: test.kind, Status: test.status}), qt.Equals, test.want, qt.Commentf("%s %d", test.kind, test.status))
+		qt.Check(t, mayPassThrough(&exchange.Result{Kind: test.kind, Status: test.status}), qt.Equals, test.want, qt.Commentf("%s %d", test.kind, test.status))
 	}
 }
 
 // Guards against 404 responses from a host that has not loaded its configuration yet. Also checks the limits on the
 // body and the header once it has.
-func TestUnknownConfigIsNotNotFound(t *testing.T) {
+func TestNoConfigIsNot404(t *testing.T) {
 	codec := wire.Codec()
-	var known *route.Table
+	var config *route.Table
 	table := endpoints.New(endpoints.Options{Clock: clock.System{}, Log: logr.Discard(), Codec: &codec, Share: func() float64 { return 1 }})
 	f := New(Options{
-		Clock: clock.System{}, Log: logr.Discard(), Codec: &codec, Table: table, Config: func() *route.Table { return known },
+		Clock: clock.System{}, Log: logr.Discard(), Codec: &codec, Table: table, Config: func() *route.Table { return config },
 		Runner: scatter.New(scatter.Options{Clock: clock.System{}, Share: func() float64 { return 1 }}), Ended: func(*requestlog.Entry) {}, Refused: func(requestlog.Refusal) {},
 		Requests: requestlog.New(requestlog.Options{Clock: clock.System{}, Log: logr.Discard()}), Quarantine: quarantine.New(quarantine.Options{Clock: clock.System{}}),
 	})
@@ -70,7 +70,7 @@
 	w := ask("")
 	qt.Assert(t, w.Code, qt.Equals, http.StatusServiceUnavailable)
 	qt.Assert(t, w.Header().Get("Retry-After"), qt.Equals, "0.3")
-	known = route.NewTable(route.Config{Version: 1, Limits: route.Limits{BodyBytes: 3, HeaderBytes: 200}})
+	config = route.NewTable(route.Config{Version: 1, Limits: route.Limits{BodyBytes: 3, HeaderBytes: 200}})
 	table.Replace(feed.Batch[platform.Replica]{Revision: 1}, false)
 	qt.Assert(t, ask("").Code, qt.Equals, http.StatusNotFound)
 	qt.Assert(t, ask("1234").Code, qt.Equals, http.StatusRequestEntityTooLarge)
@@ -91,9 +91,9 @@
 			farm.Add("desk", n, replicatest.Crash(time.Millisecond, time.Second))
 		}
 		desk := route.Route{Host: "desk.example", Prefix: "/", Attempts: 2, Timeout: time.Second, Split: []route.Share{{Service: "desk", Weight: 1}}}
-		heard := newQuarantine(nil)
-		other := newForwarder(farm, true, heard, desk)
-		first := newForwarder(farm, true, newQuarantine(heard.Heard), desk)
+		notified := newQuarantine(nil)
+		other := newForwarder(farm, true, notified, desk)
+		first := newForwarder(farm, true, newQuarantine(notified.Heard), desk)
 		ask := func(f *Forwarder, body string) *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://desk.example/drop", strings.NewReader(body)))
@@ -112,13 +112,13 @@
 
 // Guards against an empty 200 response to a client that disconnected, which a proxy on the connection would take for a
 // success.
-func TestClientGoneIsNoSuccess(t *testing.T) {
+func TestDisconnectedClientGetsErrorStatus(t *testing.T) {
 	for _, ran := range []bool{true, false} {
 		codec := wire.Codec()
 		f := New(Options{Clock: clock.System{}, Log: logr.Discard(), Codec: &codec})
 		w := httptest.NewRecorder()
 		rt := &route.Route{Idempotent: true, Shards: []string{"s1"}}
-		status := f.answer(w, rt, &scatter.Report{Ending: scatter.Gone, Ran: ran, Results: make([]exchange.Result, 1)})
+		status := f.writeResponse(w, rt, &scatter.Report{Ending: scatter.Gone, Ran: ran, Results: make([]exchange.Result, 1)})
 		qt.Check(t, w.Code, qt.Equals, status)
 		want := http.StatusServiceUnavailable
 		if ran {
@@ -129,11 +129,11 @@
 }
 
 // Guards against a traffic split that ignores the weights: a service with weight zero must get no requests.
-func TestDrawFollowsWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	split := []route.Share{{Service: "old", Weight: 3}, {Service: "new", Weight: 1}, {Service: "off", Weight: 0}}
 	got := map[string]int{}
 	for range 10000 {
-		got[draw(split)]++
+		got[pickWeighted(split)]++
 	}
 	qt.Assert(t, got["off"], qt.Equals, 0)
 	qt.Assert(t, got["new"] > 2200 && got["new"] < 2800, qt.IsTrue, qt.Commentf("%v", got))
