--- a/entry/internal/subquery/job.go
+++ b/entry/internal/subquery/job.go
@@ -12,39 +12,40 @@
 
 // job is one subquery in progress.
 type job struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	top    int
-	ends   chan ended
+	ctx     context.Context
+	cancel  context.CancelFunc
+	topK    int
+	results chan attemptResult
 
 	// mu serializes the calls for the job.
 	mu sync.Mutex
 	// calls counts the calls so far.
 	calls int
-	// replicas maps each shard whose attempt is in flight to its replica.
-	replicas map[int]string
-	// untold holds the finished attempts that no reply has reported yet.
-	untold []ended
+	// inFlight maps each shard whose attempt is in flight to its replica.
+	inFlight map[int]string
+	// unreported holds the finished attempts that no reply has reported yet.
+	unreported []attemptResult
 }
 
-// ended is the result of a finished attempt.
-type ended struct {
+// attemptResult is the result of a finished attempt.
+type attemptResult struct {
 	shard   int
 	replica string
 	res     exchange.Result
 }
 
-// wait receives the results of attempts until none is in flight or timeout fires. If once is set, it returns as soon as
-// there are results to report: a part that arrives shortly after the first reply must not wait for a stalled replica.
-func (j *job) wait(timeout <-chan time.Time, once bool) {
-	for len(j.replicas) > 0 {
-		if once && len(j.untold) > 0 && len(j.ends) == 0 {
+// awaitResults receives the results of attempts until none is in flight or timeout fires. If untilFirst is set, it
+// returns as soon as there are results to report: a part that arrives shortly after the first reply must not wait for a
+// stalled replica.
+func (j *job) awaitResults(timeout <-chan time.Time, untilFirst bool) {
+	for len(j.inFlight) > 0 {
+		if untilFirst && len(j.unreported) > 0 && len(j.results) == 0 {
 			return
 		}
 		select {
-		case e := <-j.ends:
-			delete(j.replicas, e.shard)
-			j.untold = append(j.untold, e)
+		case e := <-j.results:
+			delete(j.inFlight, e.shard)
+			j.unreported = append(j.unreported, e)
 		case <-timeout:
 			return
 		case <-j.ctx.Done():
@@ -53,11 +54,11 @@
 	}
 }
 
-// tell adds the unreported results and the pending shards to reply. If merged is set, the records of all parts are
+// report adds the unreported results and the pending shards to reply. If merged is set, the records of all parts are
 // merged into one list instead of being sent per part.
-func (j *job) tell(reply *Reply, merged bool) {
+func (j *job) report(reply *Reply, merged bool) {
 	var bodies [][]byte
-	for _, e := range j.untold {
+	for _, e := range j.unreported {
 		if e.res.Kind != upstream.KindOK {
 			reply.Failed = append(reply.Failed, Failure{Shard: e.shard, Replica: e.replica, Kind: e.res.Kind, Detail: e.res.Detail, Took: e.res.Took})
 			continue
@@ -70,9 +71,9 @@
 		}
 		reply.Parts = append(reply.Parts, part)
 	}
-	j.untold = nil
-	reply.Records = records.Top(bodies, j.top)
-	for shard, replica := range j.replicas {
+	j.unreported = nil
+	reply.Records = records.Top(bodies, j.topK)
+	for shard, replica := range j.inFlight {
 		reply.Pending = append(reply.Pending, Pending{Shard: shard, Replica: replica})
 	}
 }
--- a/entry/internal/subquery/server.go
+++ b/entry/internal/subquery/server.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// lingerFor is the time after the last call for a subquery until its attempts are canceled: the calling host may be
-	// gone. It equals the time for which a host lets its own attempts run on after the response was sent.
-	lingerFor = 300 * time.Millisecond
-	// mostShards per subquery and mostJobs limit the memory that other hosts can make this one use.
-	mostShards = 1024
-	mostJobs   = 4096
+	// idleTimeout is the time after the last call for a subquery until its attempts are canceled: the calling host may
+	// be gone. It equals the time for which a host lets its own attempts run on after the response was sent.
+	idleTimeout = 300 * time.Millisecond
+	// maxShards per subquery and maxJobs limit the memory that other hosts can make this one use.
+	maxShards = 1024
+	maxJobs   = 4096
 )
 
 // Options configures a Server.
@@ -59,15 +59,15 @@
 
 // Gather sends the attempts and replies once all have ended, or after Args.First.
 func (s *Server) Gather(args *Args, reply *Reply) error {
-	if reply.Declined = s.declines(args); reply.Declined != "" {
+	if reply.Declined = s.declineReason(args); reply.Declined != "" {
 		return nil
 	}
-	j := s.begin(args)
+	j := s.start(args)
 	if j == nil {
 		reply.Declined = "a subquery of that name is under way, or too many are"
 		return nil
 	}
-	s.answer(args.Job, j, args.First, true, reply)
+	s.collect(args.Job, j, args.First, true, reply)
 	return nil
 }
 
@@ -80,7 +80,7 @@
 		reply.Forgotten = true
 		return nil
 	}
-	s.answer(args.Job, j, args.Wait, false, reply)
+	s.collect(args.Job, j, args.Wait, false, reply)
 	return nil
 }
 
@@ -90,14 +90,14 @@
 	return nil
 }
 
-// declines returns the reason to decline a subquery, or an empty string.
-func (s *Server) declines(args *Args) string {
+// declineReason returns the reason to decline a subquery, or an empty string.
+func (s *Server) declineReason(args *Args) string {
 	switch {
 	case s.opts.Leaving():
 		return "the host is leaving"
 	case s.opts.Version() != args.Version:
 		return "another configuration is in force"
-	case len(args.Shards) > mostShards:
+	case len(args.Shards) > maxShards:
 		return "too many shards"
 	case args.Left <= 0:
 		return "the deadline has passed"
@@ -105,13 +105,13 @@
 	return ""
 }
 
-// begin registers a subquery and sends its attempts. It returns nil if the subquery's name is in use or too many
+// start registers a subquery and sends its attempts. It returns nil if the subquery's ID is in use or too many
 // subqueries are in progress.
-func (s *Server) begin(args *Args) *job {
+func (s *Server) start(args *Args) *job {
 	ctx, cancel := context.WithCancel(context.Background())
-	j := &job{ctx: ctx, cancel: cancel, top: args.Top, ends: make(chan ended, len(args.Shards)), replicas: map[int]string{}}
+	j := &job{ctx: ctx, cancel: cancel, topK: args.Top, results: make(chan attemptResult, len(args.Shards)), inFlight: map[int]string{}}
 	s.mu.Lock()
-	if s.jobs[args.Job] != nil || len(s.jobs) >= mostJobs {
+	if s.jobs[args.Job] != nil || len(s.jobs) >= maxJobs {
 		s.mu.Unlock()
 		cancel()
 		return nil
@@ -120,45 +120,45 @@
 	s.mu.Unlock()
 	now := s.opts.Clock.Now()
 	for i := range args.Shards {
-		s.try(j, args, i, now)
+		s.sendAttempt(j, args, i, now)
 	}
 	return j
 }
 
-// try sends one attempt to the best replica of a shard.
-func (s *Server) try(j *job, args *Args, i int, now time.Time) {
+// sendAttempt sends one attempt to the best replica of a shard.
+func (s *Server) sendAttempt(j *job, args *Args, i int, now time.Time) {
 	svc := s.opts.Service(args.Shards[i])
 	c, verdict := svc.Pick(now, endpoints.Need{Need: pick.Need{Usual: args.Usual, Within: args.Within}, Homes: args.Homes}, s.opts.Draw)
 	if verdict != endpoints.Found {
-		j.untold = append(j.untold, ended{shard: i, res: exchange.Result{Kind: upstream.KindNotSent, Detail: "replicas at the other host: " + string(verdict)}})
+		j.unreported = append(j.unreported, attemptResult{shard: i, res: exchange.Result{Kind: upstream.KindNotSent, Detail: "replicas at the other host: " + string(verdict)}})
 		return
 	}
 	id := c.Replica.ID()
-	j.replicas[i] = id
+	j.inFlight[i] = id
 	call := endpoints.Call{Request: &args.Request, Deadline: now.Add(args.Left), Connections: svc.Connections(), Usual: args.Usual, Unloaded: args.Unloaded, ForOther: true}
 	go func() {
 		res := guarded.Send(j.ctx, s.opts.Quarantine, guarded.Try{Fingerprint: args.Fingerprint, Shard: i, Replica: c.Replica, Call: call})
-		j.ends <- ended{shard: i, replica: id, res: res}
+		j.results <- attemptResult{shard: i, replica: id, res: res}
 	}()
 }
 
-// answer waits for results, adds them to reply, and ends the subquery once no shard is pending.
-func (s *Server) answer(name uint64, j *job, wait time.Duration, merged bool, reply *Reply) {
+// collect waits for results, adds them to reply, and ends the subquery once no shard is pending.
+func (s *Server) collect(id uint64, j *job, wait time.Duration, merged bool, reply *Reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.calls++
 	calls := j.calls
-	j.wait(s.opts.Clock.After(wait), !merged)
-	j.tell(reply, merged)
+	j.awaitResults(s.opts.Clock.After(wait), !merged)
+	j.report(reply, merged)
 	if len(reply.Pending) == 0 || j.ctx.Err() != nil {
-		s.end(name)
+		s.end(id)
 		return
 	}
-	s.opts.Clock.AfterFunc(lingerFor, func() { s.expire(name, j, calls) })
+	s.opts.Clock.AfterFunc(idleTimeout, func() { s.endIfIdle(id, j, calls) })
 }
 
-// expire ends a subquery if no call has come since the one with the given number.
-func (s *Server) expire(name uint64, j *job, calls int) {
+// endIfIdle ends a subquery if no call has come since the one with the given number.
+func (s *Server) endIfIdle(id uint64, j *job, calls int) {
 	if !j.mu.TryLock() {
 		// Another call is waiting for results and schedules the next check when it ends.
 		return
@@ -166,15 +166,15 @@
 	last := j.calls == calls
 	j.mu.Unlock()
 	if last {
-		s.end(name)
+		s.end(id)
 	}
 }
 
 // end cancels a subquery and removes it.
-func (s *Server) end(name uint64) {
+func (s *Server) end(id uint64) {
 	s.mu.Lock()
-	j := s.jobs[name]
-	delete(s.jobs, name)
+	j := s.jobs[id]
+	delete(s.jobs, id)
 	s.mu.Unlock()
 	if j != nil {
 		j.cancel()
--- a/entry/internal/subquery/server_test.go
+++ b/entry/internal/subquery/server_test.go
@@ -18,21 +18,21 @@
 	"guavaspring.org/platform/wire"
 )
 
-const shards = 3
+const shardCount = 3
 
-// bed is a subquery server with one replica for each of three shards.
-type bed struct {
+// testBed is a subquery server with one replica for each of three shards.
+type testBed struct {
 	server   *subquery.Server
 	replicas []*replicatest.Replica
 	version  int64
 	leaving  bool
 }
 
-func newBed(t *testing.T) *bed {
+func newTestBed(t *testing.T) *testBed {
 	farm := replicatest.New()
 	t.Cleanup(farm.Close)
-	b := &bed{version: 7}
-	for i := range shards {
+	b := &testBed{version: 7}
+	for i := range shardCount {
 		name := string(rune('a' + i))
 		b.replicas = append(b.replicas, farm.Add(name, 1, replicatest.OK(name, 30*time.Millisecond, "0123456789abcde"+name)))
 	}
@@ -56,7 +56,7 @@
 }
 
 // arrivals returns the number of requests that the replicas received.
-func (b *bed) arrivals() int {
+func (b *testBed) arrivals() int {
 	n := 0
 	for _, r := range b.replicas {
 		n += r.Arrivals()
@@ -66,13 +66,13 @@
 
 // Guards against lost or unmerged parts: when all replicas reply in time, the first reply holds every part and one
 // merged list of the top records.
-func TestPartsComeMerged(t *testing.T) {
+func TestFirstReplyMergesRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestBed(t)
 		var rep subquery.Reply
 		qt.Assert(t, b.server.Gather(args(), &rep), qt.IsNil)
 		qt.Check(t, rep.Declined, qt.Equals, "")
-		qt.Check(t, rep.Parts, qt.HasLen, shards)
+		qt.Check(t, rep.Parts, qt.HasLen, shardCount)
 		qt.Check(t, rep.Pending, qt.HasLen, 0)
 		qt.Check(t, string(rep.Records), qt.Equals, "0123456789abcdec0123456789abcdeb")
 		qt.Check(t, b.server.Running(), qt.Equals, 0)
@@ -82,21 +82,21 @@
 // Guards against attempts that are sent for a declined subquery: the host is shutting down, has another configuration
 // in force, the deadline has passed, or the shards are too many. Nothing may reach a replica, because the calling host
 // then sends the attempts itself.
-func TestDeclinedSendsNothing(t *testing.T) {
+func TestDeclinedSubquerySendsNothing(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(b *bed, a *subquery.Args)
+		change func(b *testBed, a *subquery.Args)
 		want   string
 	}{
-		{"leaving", func(b *bed, _ *subquery.Args) { b.leaving = true }, "the host is leaving"},
-		{"an older configuration here", func(b *bed, _ *subquery.Args) { b.version = 6 }, "another configuration is in force"},
-		{"a newer configuration here", func(b *bed, _ *subquery.Args) { b.version = 8 }, "another configuration is in force"},
-		{"late", func(_ *bed, a *subquery.Args) { a.Left = 0 }, "the deadline has passed"},
-		{"hostile", func(_ *bed, a *subquery.Args) { a.Shards = make([]string, 5000) }, "too many shards"},
+		{"shutting down", func(b *testBed, _ *subquery.Args) { b.leaving = true }, "the host is leaving"},
+		{"an older configuration here", func(b *testBed, _ *subquery.Args) { b.version = 6 }, "another configuration is in force"},
+		{"a newer configuration here", func(b *testBed, _ *subquery.Args) { b.version = 8 }, "another configuration is in force"},
+		{"deadline passed", func(_ *testBed, a *subquery.Args) { a.Left = 0 }, "the deadline has passed"},
+		{"too many shards", func(_ *testBed, a *subquery.Args) { a.Shards = make([]string, 5000) }, "too many shards"},
 	}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			b, a := newBed(t), args()
+			b, a := newTestBed(t), args()
 			test.change(b, a)
 			var rep subquery.Reply
 			qt.Assert(t, b.server.Gather(a, &rep), qt.IsNil)
@@ -110,13 +110,13 @@
 
 // Guards against subqueries that leak when the calling host is lost while a replica is slow. Without further calls the
 // attempt must be canceled and the subquery removed.
-func TestNobodyAsksForTheRest(t *testing.T) {
+func TestAbandonedSubqueryIsCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestBed(t)
 		b.replicas[1].Handle = replicatest.OK("b", 5*time.Second, "0123456789abcdeb")
 		var rep subquery.Reply
 		qt.Assert(t, b.server.Gather(args(), &rep), qt.IsNil)
-		qt.Check(t, rep.Parts, qt.HasLen, shards-1)
+		qt.Check(t, rep.Parts, qt.HasLen, shardCount-1)
 		qt.Check(t, rep.Pending, qt.DeepEquals, []subquery.Pending{{Shard: 1, Replica: "b-1"}})
 		qt.Check(t, b.server.Running(), qt.Equals, 1)
 		time.Sleep(500 * time.Millisecond)
@@ -127,9 +127,9 @@
 
 // Guards against subqueries that expire while the calling host still polls. A replica is slow; its part must be in a
 // later reply.
-func TestRestIsTold(t *testing.T) {
+func TestRestReturnsLatePart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestBed(t)
 		b.replicas[1].Handle = replicatest.OK("b", 900*time.Millisecond, "0123456789abcdeb")
 		var rep subquery.Reply
 		qt.Assert(t, b.server.Gather(args(), &rep), qt.IsNil)
@@ -145,10 +145,10 @@
 }
 
 // Guards against attempts that run on after the calling host dropped the subquery, and against a second Gather call
-// with the same name that sends the attempts again.
-func TestDropEndsTries(t *testing.T) {
+// with the same ID that sends the attempts again.
+func TestDropCancelsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newTestBed(t)
 		b.replicas[1].Handle = replicatest.OK("b", 5*time.Second, "0123456789abcdeb")
 		var rep, again subquery.Reply
 		qt.Assert(t, b.server.Gather(args(), &rep), qt.IsNil)
@@ -156,7 +156,7 @@
 		qt.Check(t, again.Declined, qt.Not(qt.Equals), "")
 		qt.Assert(t, b.server.Drop(&subquery.DropArgs{Job: 1}, nil), qt.IsNil)
 		qt.Check(t, b.server.Running(), qt.Equals, 0)
-		qt.Check(t, b.arrivals(), qt.Equals, shards)
+		qt.Check(t, b.arrivals(), qt.Equals, shardCount)
 		time.Sleep(5 * time.Second)
 	})
 }
