--- a/entry/internal/exchange/conn.go
+++ b/entry/internal/exchange/conn.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// interim is the lowest status of a final reply; lower ones are interim replies.
-	interim = 200
+	readBufferBytes = 4 << 10
+	// minFinalStatus is the lowest status of a final reply; lower ones are interim replies.
+	minFinalStatus = 200
 )
 
 // conn is one connection to the replica. A single goroutine reads from it until it is closed.
 type conn struct {
-	tcp  net.Conn
-	pool *Pool
-	// since is the time of the last use, until the time from which the connection may not be reused. The pool's mutex
-	// guards both.
-	since, until time.Time
+	netConn net.Conn
+	pool    *Pool
+	// lastUsed is the time of the last use, reusableUntil the time from which the connection may not be reused. The
+	// pool's mutex guards both.
+	lastUsed, reusableUntil time.Time
 
 	mu      sync.Mutex
-	waiting *waiting
-	ended   bool
+	pending *pendingCall
+	closed  bool
 }
 
-// waiting is the call whose reply is expected next on the connection.
-type waiting struct {
+// pendingCall is the call whose reply is expected next on the connection.
+type pendingCall struct {
 	done   chan Result
 	id     string
 	method string
 }
 
-// begin makes w the call whose reply is expected next. It reports false if the connection is closed.
-func (c *conn) begin(w *waiting) bool {
+// expect makes w the call whose reply is expected next. It reports false if the connection is closed.
+func (c *conn) expect(w *pendingCall) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return false
 	}
-	c.waiting = w
+	c.pending = w
 	return true
 }
 
-// run writes the request and waits for the reply or for the end of ctx.
-func (c *conn) run(ctx context.Context, call *Call, w *waiting) Result {
+// roundTrip writes the request and waits for the reply or for the end of ctx.
+func (c *conn) roundTrip(ctx context.Context, call *Call, w *pendingCall) Result {
 	clk := c.pool.opts.Clock
 	start := clk.Now()
-	sent, err := c.send(call, start)
+	sent, err := c.writeRequest(call, start)
 	if err != nil {
 		c.close()
 		kind := upstream.KindBroken
@@ -74,37 +74,37 @@
 	return res
 }
 
-// send writes the request and reports whether any byte of it may have been sent. The remaining time in the header is
-// computed right before the write.
-func (c *conn) send(call *Call, now time.Time) (bool, error) {
+// writeRequest writes the request and reports whether any byte of it may have been sent. The remaining time in the
+// header is computed right before the write.
+func (c *conn) writeRequest(call *Call, now time.Time) (bool, error) {
 	if call.Guard != nil {
 		if err := call.Guard(); err != nil {
 			return false, err
 		}
 	}
-	left := call.Deadline.Sub(now)
-	if left <= 0 {
+	remaining := call.Deadline.Sub(now)
+	if remaining <= 0 {
 		return false, fmt.Errorf("the deadline passed before the first byte was sent")
 	}
-	b := c.pool.opts.Codec.AppendHead(make([]byte, 0, 512+len(call.Request.Body)), call.Request, call.Replica, left)
+	b := c.pool.opts.Codec.AppendHead(make([]byte, 0, 512+len(call.Request.Body)), call.Request, call.Replica, remaining)
 	b = append(b, call.Request.Body...)
-	if err := c.tcp.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+	if err := c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return false, err
 	}
-	n, err := c.tcp.Write(b)
+	n, err := c.netConn.Write(b)
 	if err != nil {
 		return n > 0, fmt.Errorf("send: %w", err)
 	}
 	return true, nil
 }
 
-// read reads replies until the connection is closed or its state is unknown.
-func (c *conn) read() {
-	br := bufio.NewReaderSize(c.tcp, readBuffer)
+// readLoop reads replies until the connection is closed or its state is unknown.
+func (c *conn) readLoop() {
+	br := bufio.NewReaderSize(c.netConn, readBufferBytes)
 	for {
 		_, err := br.Peek(1)
 		c.mu.Lock()
-		w := c.waiting
+		w := c.pending
 		c.mu.Unlock()
 		if w == nil {
 			// The replica closed the connection, or sent bytes without a request in flight.
@@ -116,8 +116,8 @@
 			w.done <- Result{Kind: upstream.KindBroken, Detail: "the connection broke: " + err.Error()}
 			return
 		}
-		res, reuse := c.reply(br, w)
-		reuse = reuse && br.Buffered() == 0 && c.keep(res.Reply.IdleFor)
+		res, reuse := c.readReply(br, w)
+		reuse = reuse && br.Buffered() == 0 && c.release(res.Reply.IdleFor)
 		if !reuse {
 			c.close()
 		}
@@ -128,30 +128,30 @@
 	}
 }
 
-// keep returns the connection to the pool and reports whether it can be reused.
-func (c *conn) keep(idleFor time.Duration) bool {
+// release returns the connection to the pool and reports whether it can be reused.
+func (c *conn) release(idleFor time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return false
 	}
-	c.waiting = nil
-	return c.pool.put(c, idleFor)
+	c.pending = nil
+	return c.pool.putIdle(c, idleFor)
 }
 
-// reply reads one reply and reports whether the connection can be reused.
-func (c *conn) reply(br *bufio.Reader, w *waiting) (Result, bool) {
-	resp, err := final(br, w.method)
+// readReply reads one reply and reports whether the connection can be reused.
+func (c *conn) readReply(br *bufio.Reader, w *pendingCall) (Result, bool) {
+	resp, err := readFinalResponse(br, w.method)
 	if err != nil {
 		return Result{Kind: upstream.KindBroken, Detail: "the reply can't be read: " + err.Error()}, false
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxReply+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxReplyBytes+1))
 	if err != nil {
 		return Result{Kind: upstream.KindBroken, Detail: "the reply broke off: " + err.Error()}, false
 	}
-	if len(body) > MaxReply {
-		return Result{Kind: upstream.KindError, Detail: fmt.Sprintf("the reply is over %d bytes", MaxReply)}, false
+	if len(body) > MaxReplyBytes {
+		return Result{Kind: upstream.KindError, Detail: fmt.Sprintf("the reply is over %d bytes", MaxReplyBytes)}, false
 	}
 	head := c.pool.opts.Codec.Reply(resp)
 	if head.ID != "" && head.ID != w.id {
@@ -172,11 +172,11 @@
 	return res, !resp.Close
 }
 
-// final skips interim (1xx) replies and reads the header of the final one.
-func final(br *bufio.Reader, method string) (*http.Response, error) {
+// readFinalResponse skips interim (1xx) replies and reads the header of the final one.
+func readFinalResponse(br *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(br, &http.Request{Method: method})
-		if err != nil || resp.StatusCode >= interim {
+		if err != nil || resp.StatusCode >= minFinalStatus {
 			return resp, err
 		}
 		_ = resp.Body.Close()
@@ -186,13 +186,13 @@
 // close closes the connection, which also ends its reading goroutine.
 func (c *conn) close() {
 	c.mu.Lock()
-	was := c.ended
-	c.ended = true
+	alreadyClosed := c.closed
+	c.closed = true
 	c.mu.Unlock()
-	if was {
+	if alreadyClosed {
 		return
 	}
-	c.pool.drop(c)
-	_ = c.tcp.Close()
-	c.pool.forget()
+	c.pool.remove(c)
+	_ = c.netConn.Close()
+	c.pool.unreserve()
 }
--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -24,25 +24,25 @@
 	// probeTimeout limits the time to open a connection that checks whether a replica still runs after a connection to
 	// it broke. The host of a replica that has exited refuses the connection within one round trip.
 	probeTimeout = 50 * time.Millisecond
-	// unacknowledged is the time after which the kernel breaks a connection with unacknowledged data. It is the only
+	// tcpUserTimeout is the time after which the kernel breaks a connection with unacknowledged data. It is the only
 	// way to detect a host that lost power, or a device on the path that lost the connection's state.
-	unacknowledged = 1500 * time.Millisecond
-	// keepAliveIdle and keepAliveEvery configure TCP keep-alive such that the kernel also breaks a dead idle connection
-	// within unacknowledged.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = 500 * time.Millisecond
+	tcpUserTimeout = 1500 * time.Millisecond
+	// keepAliveIdle and keepAliveInterval configure TCP keep-alive such that the kernel also breaks a dead idle
+	// connection within tcpUserTimeout.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
 	// defaultIdle is the idle timeout of connections to replicas that announce none. idleMargin is subtracted from an
 	// announced idle timeout: if a request crosses the replica's close, it is unknown whether it ran.
 	defaultIdle = 4 * time.Second
 	idleMargin  = time.Second
-	// freshFor is the longest idle time of a connection that is used for a request that must not run twice. A replica,
-	// or a device on the path, may silently drop connections idle for a third of a second or more. A new connection
-	// costs 1 ms.
-	freshFor = 250 * time.Millisecond
+	// maxIdleForOnce is the longest idle time of a connection that is used for a request that must not run twice. A
+	// replica, or a device on the path, may silently drop connections idle for a third of a second or more. A new
+	// connection costs 1 ms.
+	maxIdleForOnce = 250 * time.Millisecond
 	// writeTimeout limits the time to write one request, for replicas that stop reading.
 	writeTimeout = time.Second
-	// MaxReply is the maximum size of a reply body, in bytes.
-	MaxReply = 8 << 20
+	// MaxReplyBytes is the maximum size of a reply body, in bytes.
+	MaxReplyBytes = 8 << 20
 )
 
 // Options configures a Pool.
@@ -104,12 +104,12 @@
 	idle []*conn
 	// all holds the open connections, including those in use.
 	all map[*conn]bool
-	// open counts the open connections and those being opened, dialed all connections opened so far.
-	open   int
-	dialed uint64
-	closed bool
-	// ended is set once the replica's process is known to have exited.
-	ended bool
+	// openCount counts the open connections and those being opened, dialed all connections opened so far.
+	openCount int
+	dialed    uint64
+	closed    bool
+	// processExited is set once the replica's process is known to have exited.
+	processExited bool
 }
 
 // New returns an empty pool.
@@ -126,11 +126,11 @@
 // dialTCP opens a TCP connection that the kernel breaks if data or keep-alive probes stay unacknowledged.
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	d := net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: int(unacknowledged / keepAliveEvery)},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: int(tcpUserTimeout / keepAliveInterval)},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
 			ctl := c.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 			return errors.Join(ctl, err)
 		},
@@ -138,11 +138,11 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Free reports whether a connection is idle or can be opened without exceeding most connections.
-func (p *Pool) Free(most int) bool {
+// Free reports whether a connection is idle or can be opened without exceeding maxConns.
+func (p *Pool) Free(maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.idle) > 0 || p.open < most
+	return len(p.idle) > 0 || p.openCount < maxConns
 }
 
 // Dialed returns the total number of connections opened, including failed attempts.
@@ -164,14 +164,14 @@
 }
 
 // End closes all connections, including those in use, because the replica's process has exited. Calls in flight fail at
-// once, and not only when the kernel breaks the connections, up to unacknowledged later if the host does not respond.
+// once, and not only when the kernel breaks the connections, up to tcpUserTimeout later if the host does not respond.
 func (p *Pool) End() {
 	p.mu.Lock()
 	conns := make([]*conn, 0, len(p.all))
 	for c := range p.all {
 		conns = append(conns, c)
 	}
-	p.idle, p.closed, p.ended = nil, true, true
+	p.idle, p.closed, p.processExited = nil, true, true
 	p.mu.Unlock()
 	for _, c := range conns {
 		c.close()
@@ -182,60 +182,61 @@
 // the replica.
 func (p *Pool) Do(ctx context.Context, call *Call) Result {
 	for {
-		c, err := p.take(ctx, call)
+		c, err := p.acquire(ctx, call)
 		if err != nil {
 			return Result{Kind: upstream.KindNotSent, Detail: err.Error(), Busy: errors.Is(err, errBusy)}
 		}
-		w := &waiting{done: make(chan Result, 1), id: call.Request.ID, method: call.Request.Method}
-		if !c.begin(w) {
+		w := &pendingCall{done: make(chan Result, 1), id: call.Request.ID, method: call.Request.Method}
+		if !c.expect(w) {
 			// The replica closed the connection while it was idle. Nothing was sent.
 			continue
 		}
-		res := c.run(ctx, call, w)
-		res.Died = res.Kind == upstream.KindBroken && p.refuses(ctx, call)
+		res := c.roundTrip(ctx, call, w)
+		res.Died = res.Kind == upstream.KindBroken && p.refusesConnection(ctx, call)
 		return res
 	}
 }
 
-// refuses reports whether the replica refuses a new connection. If it accepts, the connection is kept in the pool.
+// refusesConnection reports whether the replica refuses a new connection. If it accepts, the connection is kept in the
+// pool.
 //
 // A connection may break for many reasons, but only the exit of the replica suggests that the request crashed it. A new
 // connection distinguishes the two within one round trip and replaces the broken one.
-func (p *Pool) refuses(ctx context.Context, call *Call) bool {
-	if p.gone() || !p.reserve(call.Connections) {
+func (p *Pool) refusesConnection(ctx context.Context, call *Call) bool {
+	if p.hasExited() || !p.reserve(call.Connections) {
 		return false
 	}
 	c, err := p.dial(ctx, probeTimeout)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	if !p.put(c, 0) {
+	if !p.putIdle(c, 0) {
 		c.close()
 	}
 	return false
 }
 
-// gone reports whether the replica's process is known to have exited. This host then broke the connections itself.
-func (p *Pool) gone() bool {
+// hasExited reports whether the replica's process is known to have exited. This host then broke the connections itself.
+func (p *Pool) hasExited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.processExited
 }
 
-// errEnded is returned if the replica exits before the request is sent.
-var errEnded = errors.New("the replica's process has ended")
+// errReplicaExited is returned if the replica exits before the request is sent.
+var errReplicaExited = errors.New("the replica's process has ended")
 
 // errBusy is returned if the maximum number of connections to the replica is in use.
 var errBusy = errors.New("every connection to the replica is in use")
 
-// take returns an idle connection or opens a new one.
-func (p *Pool) take(ctx context.Context, call *Call) (*conn, error) {
+// acquire returns an idle connection or opens a new one.
+func (p *Pool) acquire(ctx context.Context, call *Call) (*conn, error) {
 	now := p.opts.Clock.Now()
 	p.mu.Lock()
-	for len(p.idle) > 0 && !p.mustDial(call, now) {
+	for len(p.idle) > 0 && !p.needsNewConn(call, now) {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Before(c.until) {
+		if now.Before(c.reusableUntil) {
 			p.mu.Unlock()
 			return c, nil
 		}
@@ -250,14 +251,14 @@
 	return p.dial(ctx, dialTimeout)
 }
 
-// reserve counts one more connection as open. It reports false if there are already most.
-func (p *Pool) reserve(most int) bool {
+// reserve counts one more connection as open. It reports false if maxConns are already open.
+func (p *Pool) reserve(maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= most {
+	if p.openCount >= maxConns {
 		return false
 	}
-	p.open++
+	p.openCount++
 	p.dialed++
 	return true
 }
@@ -268,45 +269,45 @@
 	defer cancel()
 	nc, err := p.opts.Dial(ctx, p.opts.Addr)
 	if err != nil {
-		p.forget()
+		p.unreserve()
 		return nil, fmt.Errorf("connect to %s: %w", p.opts.Addr, err)
 	}
-	c := &conn{tcp: p.opts.Opened(nc), pool: p}
+	c := &conn{netConn: p.opts.Opened(nc), pool: p}
 	p.mu.Lock()
 	p.all[c] = true
-	ended := p.ended
+	exited := p.processExited
 	p.mu.Unlock()
-	if ended {
+	if exited {
 		// The address may already belong to a new process, which is not the replica that the request is for.
 		c.close()
-		return nil, errEnded
+		return nil, errReplicaExited
 	}
-	go c.read()
+	go c.readLoop()
 	return c, nil
 }
 
-// mustDial reports whether the call needs a new connection because even the most recently used idle one, the last of
-// idle, is too old. The caller holds mu; idle is not empty.
-func (p *Pool) mustDial(call *Call, now time.Time) bool {
+// needsNewConn reports whether the call needs a new connection because even the most recently used idle one, the last
+// of idle, is too old. The caller holds mu; idle is not empty.
+func (p *Pool) needsNewConn(call *Call, now time.Time) bool {
 	last := p.idle[len(p.idle)-1]
-	return call.Once && p.open < call.Connections && now.Sub(last.since) > freshFor
+	return call.Once && p.openCount < call.Connections && now.Sub(last.lastUsed) > maxIdleForOnce
 }
 
-// forget uncounts a connection that was closed or could not be opened.
-func (p *Pool) forget() {
+// unreserve uncounts a connection that was closed or could not be opened.
+func (p *Pool) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openCount--
 }
 
-// put adds a connection to the idle ones for the replica's idle timeout, zero if unknown. It reports false if the
+// putIdle adds a connection to the idle ones for the replica's idle timeout, zero if unknown. It reports false if the
 // connection can't be kept.
-func (p *Pool) put(c *conn, idleFor time.Duration) bool {
-	keep := defaultIdle
+func (p *Pool) putIdle(c *conn, idleFor time.Duration) bool {
+	idleTimeout := defaultIdle
 	if idleFor > 0 {
-		keep = idleFor - idleMargin
+		idleTimeout = idleFor - idleMargin
 	}
-	if keep <= 0 {
+	if idleTimeout <= 0 {
 		return false
 	}
 	p.mu.Lock()
@@ -314,14 +315,14 @@
 	if p.closed {
 		return false
 	}
-	c.since = p.opts.Clock.Now()
-	c.until = c.since.Add(keep)
+	c.lastUsed = p.opts.Clock.Now()
+	c.reusableUntil = c.lastUsed.Add(idleTimeout)
 	p.idle = append(p.idle, c)
 	return true
 }
 
-// drop removes a closed connection from the pool.
-func (p *Pool) drop(c *conn) {
+// remove deletes a closed connection from the pool.
+func (p *Pool) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.all, c)
--- a/entry/internal/exchange/pool_test.go
+++ b/entry/internal/exchange/pool_test.go
@@ -33,15 +33,15 @@
 
 // Guards against replies that reach the wrong request, and so the wrong client. A replica sends a second reply to a
 // request that it has already replied to. The next request on the connection must not receive it.
-func TestLateSecondReplyIsNobodys(t *testing.T) {
+func TestLateReplyIsDiscarded(t *testing.T) {
 	tests := []struct {
 		name      string
 		lateAfter time.Duration
 		wait      time.Duration
 	}{
-		{"it comes while the connection is unused", 10 * time.Millisecond, 50 * time.Millisecond},
-		{"it comes with the reply", 0, 0},
-		{"it comes where the next reply is due", 10 * time.Millisecond, 0},
+		{"while the connection is idle", 10 * time.Millisecond, 50 * time.Millisecond},
+		{"with the reply", 0, 0},
+		{"before the next reply", 10 * time.Millisecond, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 
 // Guards against truncated or foreign replies that pass for complete ones. A reply without a length ends with its
 // connection; one that is shorter than its Content-Length is broken.
-func TestReplyIsWholeOrBroken(t *testing.T) {
+func TestReplyKinds(t *testing.T) {
 	whole := platformtest.Reply(200, "one", "s", []byte("whole"))
 	tests := []struct {
 		name string
@@ -131,25 +131,25 @@
 
 // Guards against a remaining time that is computed too early. Opening the connection takes 250 ms of a request's 1 s.
 // The replica must receive the 750 ms that remain then, or it would still work after the client's deadline.
-func TestDeadlineIsWrittenLast(t *testing.T) {
+func TestRemainingTimeIsComputedAfterDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
 		f.DialTime = 250 * time.Millisecond
-		var told string
+		var sentDeadline string
 		r := f.Add("a", 1, func(req *http.Request, b []byte) replicatest.Answer {
-			told = platformtest.Read(req).Deadline
+			sentDeadline = platformtest.Read(req).Deadline
 			return replicatest.OK("a-1", 0, "x")(req, b)
 		})
 		p := newPool(f, r)
 		defer p.Close()
 		qt.Assert(t, p.Do(t.Context(), call("one")).Kind, qt.Equals, upstream.KindOK)
-		qt.Assert(t, told, qt.Equals, "750")
+		qt.Assert(t, sentDeadline, qt.Equals, "750")
 	})
 }
 
 // Guards against requests to a draining replica. The replica starts to drain while a connection to it is being opened:
 // nothing may be sent, and the request must count as not sent.
-func TestGuardIsAskedLast(t *testing.T) {
+func TestGuardRunsAfterDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
 		f.DialTime = 10 * time.Millisecond
@@ -157,10 +157,10 @@
 		p := newPool(f, r)
 		defer p.Close()
 		c := call("one")
-		leaves := time.Now().Add(5 * time.Millisecond)
+		drainsAt := time.Now().Add(5 * time.Millisecond)
 		c.Guard = func() error {
-			if time.Now().After(leaves) {
-				return errors.New("it leaves")
+			if time.Now().After(drainsAt) {
+				return errors.New("the replica drains")
 			}
 			return nil
 		}
