--- a/entry/internal/requestlog/log.go
+++ b/entry/internal/requestlog/log.go
@@ -14,17 +14,16 @@
 )
 
 const (
-	// troubled is the maximum number of lines per second about requests that were incomplete, retried, refused or slower
-	// than their objective. A host answers about 60 requests a second under high load. A line has about 1.5 KB, so that
-	// 150 lines are 225 KB a second.
-	troubled = 150
-	// usual is the maximum number of lines per second about all other requests, which only serve for comparison.
-	usual = 10
-	// admitted is the maximum number of lines per second about requests that must not run twice and are about to be
-	// sent.
-	admitted = 100
-	// tellEvery is the interval between reports of the number of skipped lines.
-	tellEvery = 10 * time.Second
+	// maxTroubledPerSecond limits the lines about requests that were incomplete, retried, refused or slower than their
+	// objective. A host answers about 60 requests a second under high load. A line has about 1.5 KB, so that 150 lines
+	// are 225 KB a second.
+	maxTroubledPerSecond = 150
+	// maxUsualPerSecond limits the lines about all other requests, which only serve for comparison.
+	maxUsualPerSecond = 10
+	// maxAdmittedPerSecond limits the lines about requests that must not run twice and are about to be sent.
+	maxAdmittedPerSecond = 100
+	// skippedReportInterval is the interval between reports of the number of skipped lines.
+	skippedReportInterval = 10 * time.Second
 )
 
 // Options configures a Log.
@@ -37,13 +36,13 @@
 
 // Log writes one line per request, with a rate limit for each kind of line.
 type Log struct {
-	opts                      Options
-	troubled, usual, admitted *event.Limit
+	opts                                     Options
+	troubledLimit, usualLimit, admittedLimit *event.Limit
 }
 
 // New returns a log.
 func New(opts Options) *Log {
-	return &Log{opts: opts, troubled: event.NewLimit(troubled), usual: event.NewLimit(usual), admitted: event.NewLimit(admitted)}
+	return &Log{opts: opts, troubledLimit: event.NewLimit(maxTroubledPerSecond), usualLimit: event.NewLimit(maxUsualPerSecond), admittedLimit: event.NewLimit(maxAdmittedPerSecond)}
 }
 
 // Entry holds the logged data of one request.
@@ -61,9 +60,9 @@
 
 // Write writes the line of one request, unless the rate limit is exceeded.
 func (l *Log) Write(e *Entry) {
-	limit := l.usual
-	if whole := e.Report.Ending == scatter.Complete && e.Report.Retries == 0; !whole || e.Took > e.Query.Route.Objective {
-		limit = l.troubled
+	limit := l.usualLimit
+	if complete := e.Report.Ending == scatter.Complete && e.Report.Retries == 0; !complete || e.Took > e.Query.Route.Objective {
+		limit = l.troubledLimit
 	}
 	if !limit.Allow(l.opts.Clock.Now()) {
 		return
@@ -80,7 +79,7 @@
 // Admitted writes a line about a request that must not run twice, before it is sent. If this host crashes, the line is
 // the only record that the request arrived.
 func (l *Log) Admitted(q *scatter.Query) {
-	if !q.Route.Idempotent && l.admitted.Allow(l.opts.Clock.Now()) {
+	if !q.Route.Idempotent && l.admittedLimit.Allow(l.opts.Clock.Now()) {
 		events.Admitted.Log(l.opts.Log, "request", q.Request.ID, "route", q.Route.Name, "customer", q.Request.Customer, "service", q.Shards[0].Name, "allowed_ms", q.Deadline.Sub(q.Arrived).Milliseconds())
 	}
 }
@@ -122,7 +121,7 @@
 
 // Refused writes the line of a refused request, unless the rate limit is exceeded.
 func (l *Log) Refused(r Refusal) {
-	if l.troubled.Allow(l.opts.Clock.Now()) {
+	if l.troubledLimit.Allow(l.opts.Clock.Now()) {
 		events.Refused.Log(l.opts.Log, "request", r.ID, "host", r.Host, "path", r.Path, "status", r.Status, "cause", r.Cause, "customer", r.Customer, "reason", r.Reason)
 	}
 }
@@ -149,7 +148,7 @@
 
 // Skipped returns the number of lines skipped by the rate limits since the start.
 func (l *Log) Skipped() uint64 {
-	return l.troubled.Skipped() + l.usual.Skipped() + l.admitted.Skipped()
+	return l.troubledLimit.Skipped() + l.usualLimit.Skipped() + l.admittedLimit.Skipped()
 }
 
 // Run periodically reports the number of skipped and lost lines, until done is closed.
@@ -157,11 +156,11 @@
 	var skipped, dropped uint64
 	for {
 		select {
-		case <-l.opts.Clock.After(tellEvery):
+		case <-l.opts.Clock.After(skippedReportInterval):
 		case <-done:
 			return
 		}
-		troubledNow, usualNow := l.troubled.Skipped(), l.usual.Skipped()+l.admitted.Skipped()
+		troubledNow, usualNow := l.troubledLimit.Skipped(), l.usualLimit.Skipped()+l.admittedLimit.Skipped()
 		droppedNow := uint64(0)
 		if l.opts.Dropped != nil {
 			droppedNow = l.opts.Dropped()
--- a/entry/internal/requestlog/log_test.go
+++ b/entry/internal/requestlog/log_test.go
@@ -27,7 +27,7 @@
 
 // Guards against rate limits that drop the lines of failed requests. A thousand requests succeed and one fails within a
 // second; the log must hold the failed one with its steps.
-func TestFailedRequestIsFound(t *testing.T) {
+func TestFailedRequestIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
 		l := requestlog.New(requestlog.Options{Clock: clock.System{}, Log: event.NewLogger(&out)})
@@ -47,7 +47,7 @@
 
 // Guards against an unbounded log while all requests fail: the log must stay within its limit and report the number of
 // skipped lines.
-func TestLinesAreBounded(t *testing.T) {
+func TestLogIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
 		l := requestlog.New(requestlog.Options{Clock: clock.System{}, Log: event.NewLogger(&out)})
