--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -104,7 +104,7 @@
 	idle []*conn
 	// all holds the open connections, including those in use.
 	all map[*conn]bool
-	// openCount counts the open connections and those being opened, dialed all connections opened so far.
+	// openCount counts the open connections and those being opened, dialed all attempts to open one so far.
 	openCount int
 	dialed    uint64
 	closed    bool
@@ -145,7 +145,7 @@
 	return len(p.idle) > 0 || p.openCount < maxConns
 }
 
-// Dialed returns the total number of connections opened, including failed attempts.
+// Dialed returns the total number of attempts to open a connection.
 func (p *Pool) Dialed() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
