--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a new connection: a replica accepts within about 6 ms, and one that has lost
-	// power never answers.
+	// dialTimeout limits the time to open a connection. A replica accepts within about 6 ms; one that lost power never
+	// replies.
 	dialTimeout = 300 * time.Millisecond
-	// probeTimeout bounds the wait for the connection that tells whether a replica lives whose connection broke; one
-	// that has ended refuses it within a round trip.
+	// probeTimeout limits the time to open a connection that checks whether a replica still runs after a connection to
+	// it broke. The host of a replica that has exited refuses the connection within one round trip.
 	probeTimeout = 50 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay without an acknowledgement before the kernel breaks the
-	// connection. A host that lost power, or a path that has forgotten the connection, shows no other sign.
-	unacknowledged = 1500 * time.Millisecond
-	// keepAliveIdle and keepAliveEvery let an unused connection that fell silent break within unacknowledged too.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = 500 * time.Millisecond
-	// defaultIdle is how long an unused connection is kept where the replica does not say; idleMargin is taken off what
-	// it says, since a request that crosses the replica's close is lost without a sign of whether it ran.
+	// tcpUserTimeout is the time after which the kernel breaks a connection with unacknowledged data. It is the only
+	// way to detect a host that lost power, or a device on the path that lost the connection's state.
+	tcpUserTimeout = 1500 * time.Millisecond
+	// keepAliveIdle and keepAliveInterval configure TCP keep-alive such that the kernel also breaks a dead idle
+	// connection within tcpUserTimeout.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	// defaultIdle is the idle timeout of connections to replicas that announce none. idleMargin is subtracted from an
+	// announced idle timeout: if a request crosses the replica's close, it is unknown whether it ran.
 	defaultIdle = 4 * time.Second
 	idleMargin  = time.Second
-	// freshFor is how long a connection may have been unused before it carries a request that must not run twice. A
-	// replica, or something on the way, may have forgotten it without a sign, from a third of a second on; a new
+	// maxIdleForOnce is the longest idle time of a connection that is used for a request that must not run twice. A
+	// replica, or a device on the path, may silently drop connections idle for a third of a second or more. A new
 	// connection costs 1 ms.
-	freshFor = 250 * time.Millisecond
-	// writeTimeout bounds the sending of one request to a replica that does not read.
+	maxIdleForOnce = 250 * time.Millisecond
+	// writeTimeout limits the time to write one request, for replicas that stop reading.
 	writeTimeout = time.Second
-	// MaxReply is the most bytes of one reply that are read.
-	MaxReply = 8 << 20
+	// MaxReplyBytes is the maximum size of a reply body, in bytes.
+	MaxReplyBytes = 8 << 20
 )
 
 // Options configures a Pool.
@@ -51,68 +52,67 @@
 	Codec *opaque.Codec
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	// Opened returns what is used in place of a new connection, such as one that counts its bytes; nil means the
-	// connection itself.
+	// Opened wraps each new connection, for example to count its bytes; nil means no wrapping.
 	Opened func(net.Conn) net.Conn
 }
 
-// Call is one request to be sent to one replica.
+// Call is one request to one replica.
 type Call struct {
 	Request *opaque.Request
-	// Replica is the id of the replica that alone may run the request.
+	// Replica is the ID of the only replica that may run the request.
 	Replica string
-	// Deadline is when the replica has to give up.
+	// Deadline is the time by which the replica must reply.
 	Deadline time.Time
-	// Guard is asked right before the first byte leaves; an error keeps the request from being sent.
+	// Guard is called right before the request is written. If it returns an error, nothing is sent.
 	Guard func() error
-	// Connections bounds the connections to the replica.
+	// Connections is the maximum number of connections to the replica.
 	Connections int
-	// Once says that the request must not run twice, so that a connection that breaks under it leaves its outcome
-	// unknown.
+	// Once marks a request that must not run twice. If the connection breaks, its outcome is unknown.
 	Once bool
 }
 
-// Result says how a call ended.
+// Result is the outcome of a call.
 type Result struct {
 	Kind   upstream.Kind
 	Detail string
-	// Busy says that nothing was sent for want of a connection.
+	// Busy reports that nothing was sent because all connections were in use.
 	Busy bool
-	// Died says that the connection broke and that the replica takes no new one: it ended under the request.
+	// Died reports that the connection broke and the replica refused a new one: it exited while running the request.
 	Died bool
-	// Reply, Status, Header and Body are set where a whole reply to the request came.
+	// Reply, Status, Header and Body are set if the complete reply was received.
 	Reply  opaque.Reply
 	Status int
 	Header map[string][]string
 	Body   []byte
-	// Took is the time from the first byte sent to the end.
+	// Took is the time from the start of the write to the outcome.
 	Took time.Duration
 }
 
-// Whole reports whether the replica's reply is complete and its own, a failure included.
+// Whole reports whether a complete reply to the request was received, including error replies.
 func (r *Result) Whole() bool { return r.Status != 0 }
 
 // Pool holds the connections to one replica.
 //
-// net/http's transport is not used: it resends a request by itself when a kept connection breaks, it hands a request to
-// a connection before the deadline that it carries is known to hold, and it takes a late second reply for the reply to
-// the next request. Here a call writes once, last of all its deadline, and each connection is read by one goroutine
-// that closes it on any byte that no request waits for.
+// It replaces net/http.Transport, which retries a request when a reused connection breaks, needs the header with the
+// remaining time before it has a connection, and takes a late second reply for the reply to the next request. Here a
+// call writes its request once and computes the remaining time right before the write. Each connection is read by one
+// goroutine, which closes it on any byte received without a request in flight.
 type Pool struct {
 	opts Options
 
 	mu   sync.Mutex
 	idle []*conn
-	// all holds the open connections, those in use included.
-	all    map[*conn]bool
-	open   int
-	dialed uint64
-	closed bool
-	// ended says that the replica's process is known to be gone.
-	ended bool
+	// all holds the open connections, including those in use.
+	all map[*conn]bool
+	// openCount counts the open connections and those being opened, dialed all attempts to open one so far.
+	openCount int
+	dialed    uint64
+	closed    bool
+	// processExited is set once the replica's process is known to have exited.
+	processExited bool
 }
 
-// New returns a pool without connections.
+// New returns an empty pool.
 func New(opts Options) *Pool {
 	if opts.Dial == nil {
 		opts.Dial = dialTCP
@@ -123,13 +123,14 @@
 	return &Pool{opts: opts, all: map[*conn]bool{}}
 }
 
+// dialTCP opens a TCP connection that the kernel breaks if data or keep-alive probes stay unacknowledged.
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	d := net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: int(unacknowledged / keepAliveEvery)},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: int(tcpUserTimeout / keepAliveInterval)},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
 			ctl := c.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 			return errors.Join(ctl, err)
 		},
@@ -137,21 +138,21 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Free reports whether a call could have one of most connections now.
-func (p *Pool) Free(most int) bool {
+// Free reports whether a connection is idle or can be opened without exceeding maxConns.
+func (p *Pool) Free(maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.idle) > 0 || p.open < most
+	return len(p.idle) > 0 || p.openCount < maxConns
 }
 
-// Dialed returns how many connections were opened.
+// Dialed returns the total number of attempts to open a connection.
 func (p *Pool) Dialed() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// Close closes the unused connections; those in use are closed as their calls end.
+// Close closes the idle connections. Those in use are closed when their calls end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -162,79 +163,80 @@
 	}
 }
 
-// End closes all connections, those in use included: the process at their other end is known to be gone. What was sent
-// on them breaks now rather than once the kernel finds out, which takes unacknowledged where nothing answers any more.
+// End closes all connections, including those in use, because the replica's process has exited. Calls in flight fail at
+// once, and not only when the kernel breaks the connections, up to tcpUserTimeout later if the host does not respond.
 func (p *Pool) End() {
 	p.mu.Lock()
 	conns := make([]*conn, 0, len(p.all))
 	for c := range p.all {
 		conns = append(conns, c)
 	}
-	p.idle, p.closed, p.ended = nil, true, true
+	p.idle, p.closed, p.processExited = nil, true, true
 	p.mu.Unlock()
 	for _, c := range conns {
 		c.close()
 	}
 }
 
-// Do sends one request and returns its reply; the end of ctx closes the connection, which is how the replica learns of
-// it.
+// Do sends one request and returns its outcome. The end of ctx closes the connection, which signals the cancellation to
+// the replica.
 func (p *Pool) Do(ctx context.Context, call *Call) Result {
 	for {
-		c, err := p.take(ctx, call)
+		c, err := p.acquire(ctx, call)
 		if err != nil {
 			return Result{Kind: upstream.KindNotSent, Detail: err.Error(), Busy: errors.Is(err, errBusy)}
 		}
-		w := &waiting{done: make(chan Result, 1), id: call.Request.ID, method: call.Request.Method}
-		if !c.begin(w) {
-			// The replica closed it while it was unused, and nothing was sent.
+		w := &pendingCall{done: make(chan Result, 1), id: call.Request.ID, method: call.Request.Method}
+		if !c.expect(w) {
+			// The replica closed the connection while it was idle. Nothing was sent.
 			continue
 		}
-		res := c.run(ctx, call, w)
-		res.Died = res.Kind == upstream.KindBroken && p.refuses(ctx, call)
+		res := c.roundTrip(ctx, call, w)
+		res.Died = res.Kind == upstream.KindBroken && p.refusesConnection(ctx, call)
 		return res
 	}
 }
 
-// refuses reports whether the replica takes no new connection, and keeps the one that it got otherwise.
+// refusesConnection reports whether the replica refuses a new connection. If it accepts, the connection is kept in the
+// pool.
 //
-// A connection breaks for many reasons, of which the end of the replica is one. Only that one accuses the request that
-// it ran. A new connection tells them apart within a round trip, and takes the place of the one that is lost.
-func (p *Pool) refuses(ctx context.Context, call *Call) bool {
-	if p.gone() || !p.reserve(call.Connections) {
+// A connection may break for many reasons, but only the exit of the replica suggests that the request crashed it. A new
+// connection distinguishes the two within one round trip and replaces the broken one.
+func (p *Pool) refusesConnection(ctx context.Context, call *Call) bool {
+	if p.hasExited() || !p.reserve(call.Connections) {
 		return false
 	}
 	c, err := p.dial(ctx, probeTimeout)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	if !p.put(c, 0) {
+	if !p.putIdle(c, 0) {
 		c.close()
 	}
 	return false
 }
 
-// gone reports whether the replica's process is known to have ended: what broke then was cut by this host.
-func (p *Pool) gone() bool {
+// hasExited reports whether the replica's process is known to have exited. This host then broke the connections itself.
+func (p *Pool) hasExited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.processExited
 }
 
-// errEnded is why a request was not sent whose replica has ended meanwhile.
-var errEnded = errors.New("the replica's process has ended")
+// errReplicaExited is returned if the replica exits before the request is sent.
+var errReplicaExited = errors.New("the replica's process has ended")
 
-// errBusy is why a request was not sent whose replica allows no further connection.
+// errBusy is returned if the maximum number of connections to the replica is in use.
 var errBusy = errors.New("every connection to the replica is in use")
 
-// take returns an unused connection, or opens one.
-func (p *Pool) take(ctx context.Context, call *Call) (*conn, error) {
+// acquire returns an idle connection or opens a new one.
+func (p *Pool) acquire(ctx context.Context, call *Call) (*conn, error) {
 	now := p.opts.Clock.Now()
 	p.mu.Lock()
-	for len(p.idle) > 0 && !p.mustDial(call, now) {
+	for len(p.idle) > 0 && !p.needsNewConn(call, now) {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Before(c.until) {
+		if now.Before(c.reusableUntil) {
 			p.mu.Unlock()
 			return c, nil
 		}
@@ -249,61 +251,63 @@
 	return p.dial(ctx, dialTimeout)
 }
 
-// reserve takes the place of one more connection, unless there are most already.
-func (p *Pool) reserve(most int) bool {
+// reserve counts one more connection as open. It reports false if maxConns are already open.
+func (p *Pool) reserve(maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= most {
+	if p.openCount >= maxConns {
 		return false
 	}
-	p.open++
+	p.openCount++
 	p.dialed++
 	return true
 }
 
-// dial opens a connection whose place is reserved.
+// dial opens a connection that reserve has counted.
 func (p *Pool) dial(ctx context.Context, timeout time.Duration) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	nc, err := p.opts.Dial(ctx, p.opts.Addr)
 	if err != nil {
-		p.forget()
+		p.unreserve()
 		return nil, fmt.Errorf("connect to %s: %w", p.opts.Addr, err)
 	}
-	c := &conn{tcp: p.opts.Opened(nc), pool: p}
+	c := &conn{netConn: p.opts.Opened(nc), pool: p}
 	p.mu.Lock()
 	p.all[c] = true
-	ended := p.ended
+	exited := p.processExited
 	p.mu.Unlock()
-	if ended {
-		// The address may belong to the next process already, which is not the one that the request was meant for.
+	if exited {
+		// The address may already belong to a new process, which is not the replica that the request is for.
 		c.close()
-		return nil, errEnded
+		return nil, errReplicaExited
 	}
-	go c.read()
+	go c.readLoop()
 	return c, nil
 }
 
-// mustDial reports whether the call needs a new connection though there is one that is unused, the last of which was
-// used last.
-func (p *Pool) mustDial(call *Call, now time.Time) bool {
+// needsNewConn reports whether the call needs a new connection because even the most recently used idle one, the last
+// of idle, is too old. The caller holds mu; idle is not empty.
+func (p *Pool) needsNewConn(call *Call, now time.Time) bool {
 	last := p.idle[len(p.idle)-1]
-	return call.Once && p.open < call.Connections && now.Sub(last.since) > freshFor
+	return call.Once && p.openCount < call.Connections && now.Sub(last.lastUsed) > maxIdleForOnce
 }
 
-func (p *Pool) forget() {
+// unreserve uncounts a connection that was closed or could not be opened.
+func (p *Pool) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openCount--
 }
 
-// put keeps a connection for the next call.
-func (p *Pool) put(c *conn, idleFor time.Duration) bool {
-	keep := defaultIdle
+// putIdle adds a connection to the idle ones for the replica's idle timeout, zero if unknown. It reports false if the
+// connection can't be kept.
+func (p *Pool) putIdle(c *conn, idleFor time.Duration) bool {
+	idleTimeout := defaultIdle
 	if idleFor > 0 {
-		keep = idleFor - idleMargin
+		idleTimeout = idleFor - idleMargin
 	}
-	if keep <= 0 {
+	if idleTimeout <= 0 {
 		return false
 	}
 	p.mu.Lock()
@@ -311,14 +315,14 @@
 	if p.closed {
 		return false
 	}
-	c.since = p.opts.Clock.Now()
-	c.until = c.since.Add(keep)
+	c.lastUsed = p.opts.Clock.Now()
+	c.reusableUntil = c.lastUsed.Add(idleTimeout)
 	p.idle = append(p.idle, c)
 	return true
 }
 
-// drop removes a connection that is closed.
-func (p *Pool) drop(c *conn) {
+// remove deletes a closed connection from the pool.
+func (p *Pool) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.all, c)
