--- a/entry/internal/callers/request.go
+++ b/entry/internal/callers/request.go
@@ -15,7 +15,7 @@
 	"guavaspring.org/core/caller"
 )
 
-// The limits of what callers may send.
+// Limits on the parts of a request. Lengths are in bytes.
 const (
 	maxBody       = 1 << 20
 	maxName       = 128
@@ -28,9 +28,9 @@
 	unknownCaller = "unnamed"
 )
 
-// readBody returns the whole body, and has answered the request where it reports false.
+// readBody returns the whole request body. It writes an error response itself and then returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	// A caller that sends its body byte by byte would else take a goroutine and a connection for as long as it likes.
+	// Without a read deadline, a caller that sends its body byte by byte holds a goroutine and a connection forever.
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -47,7 +47,7 @@
 	return b, true
 }
 
-// DecodeQuery reads the body of a query and fills in its limit; the error says what is wrong in one line.
+// DecodeQuery decodes the body of a query and sets the default limit. The error is one line, fit for the caller.
 func DecodeQuery(body []byte) (caller.Query, error) {
 	var q caller.Query
 	if err := decode(body, &q); err != nil {
@@ -62,7 +62,7 @@
 	return q, shorter("key", q.Key, maxKey)
 }
 
-// DecodeWrite reads the body of a write; the error says what is wrong in one line.
+// DecodeWrite decodes the body of a write. The error is one line, fit for the caller.
 func DecodeWrite(body []byte) (caller.Write, error) {
 	var op caller.Write
 	if err := decode(body, &op); err != nil {
@@ -71,7 +71,7 @@
 	return op, shorter("op_id", op.OpID, maxKey)
 }
 
-// decode takes exactly one JSON object without unknown keys: a key that is misspelt would else be ignored in silence.
+// decode accepts exactly one JSON object and rejects unknown keys, so that a misspelled key isn't silently ignored.
 func decode(body []byte, v any) error {
 	switch trimmed := bytes.TrimSpace(body); {
 	case len(trimmed) == 0:
@@ -79,7 +79,7 @@
 	case bytes.Equal(trimmed, []byte("null")):
 		return errors.New("the body is null; want a JSON object")
 	case !utf8.Valid(body):
-		// The decoder would put replacement characters in place of what was asked.
+		// The decoder replaces invalid bytes by U+FFFD, so the query would differ from the one sent.
 		return errors.New("the body is not UTF-8")
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// plain says in the caller's words what encoding/json says in Go's.
+// plain rewrites an error of encoding/json without Go-specific terms.
 func plain(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -105,6 +105,7 @@
 	return fmt.Errorf("the body is not the JSON wanted: %s", strings.TrimPrefix(err.Error(), "json: "))
 }
 
+// requestID returns the ID in the request header, or a new one.
 func (h *handler) requestID(r *http.Request) (string, error) {
 	id, err := header(r, caller.HeaderRequest, maxName)
 	if id == "" && err == nil {
@@ -113,6 +114,7 @@
 	return id, err
 }
 
+// callerOf returns the name of the caller from the request header, or unknownCaller.
 func callerOf(r *http.Request) (string, error) {
 	name, err := header(r, caller.HeaderCaller, maxName)
 	if name == "" && err == nil {
@@ -121,7 +123,8 @@
 	return name, err
 }
 
-// header returns a header that goes into replies, logs and other requests, and must be the same in all of them.
+// header returns a header value. It allows printable ASCII only, because the value is copied unchanged into responses,
+// log lines and further requests.
 func header(r *http.Request, name string, most int) (string, error) {
 	v := r.Header.Get(name)
 	if err := shorter(name, v, most); err != nil {
@@ -135,6 +138,7 @@
 	return v, nil
 }
 
+// shorter rejects a value of more than most bytes.
 func shorter(name, v string, most int) error {
 	if len(v) > most {
 		return fmt.Errorf("%s: %d bytes long; want at most %d", name, len(v), most)
@@ -142,6 +146,7 @@
 	return nil
 }
 
+// deadlineOf returns the deadline from the request header: def after arrival where it is absent, at most longest after.
 func deadlineOf(r *http.Request, arrived time.Time, def, longest time.Duration) (time.Time, error) {
 	s := r.Header.Get(caller.HeaderDeadline)
 	if s == "" {
@@ -154,6 +159,7 @@
 	return arrived.Add(min(time.Duration(ms)*time.Millisecond, longest)), nil
 }
 
+// addressRequest parses the parameters of a request for addresses.
 func addressRequest(r *http.Request) (AddressRequest, error) {
 	q := r.URL.Query()
 	req := AddressRequest{Service: q.Get("service"), Zone: q.Get("zone")}
--- a/entry/internal/callers/server.go
+++ b/entry/internal/callers/server.go
@@ -24,8 +24,8 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
-// The limits of a connection: headers hold a name, two ids, a deadline and a ticket; a body of maxBody comes within
-// bodyTimeout over a slow line.
+// Limits of a connection. The headers have to fit a name, two IDs, a deadline and a ticket; bodyTimeout is enough for a
+// body of maxBody bytes over a slow link.
 const (
 	maxHeaders    = 16 << 10
 	headerTimeout = 5 * time.Second
@@ -33,7 +33,7 @@
 	idleTimeout   = 2 * time.Minute
 )
 
-// Options configures a Server.
+// Options configures the server that New returns.
 type Options struct {
 	Clock   clock.Clock
 	Log     logr.Logger
@@ -41,33 +41,33 @@
 	NewID   func() string
 	Explain *explain.Store
 	Metrics *prometheus.Registry
-	// Answered is told of each query and write that was answered; it may be nil.
+	// Answered is called after each query and write with its outcome and duration; it may be nil.
 	Answered func(service, kind, outcome string, took time.Duration)
-	// Service returns a service by name, or nil.
+	// Service returns a service by name, or nil where it is not configured.
 	Service func(name string) *service.Service
-	// Ready reports whether the host can serve, and why not.
+	// Ready returns nil if the host can serve, otherwise the reason.
 	Ready func() error
-	// Addresses answers which hosts a caller should use.
+	// Addresses returns the hosts that a caller should use.
 	Addresses func(req AddressRequest) (caller.Addresses, error)
-	// Refresh reports whether callers of a service should ask for addresses again; nil means never.
+	// Refresh reports whether callers of a service should request addresses again; nil means never.
 	Refresh func(service string) bool
-	// Filter stands before every request; it may be nil.
+	// Filter is middleware around all handlers; it may be nil.
 	Filter func(next http.Handler) http.Handler
 	// Write runs a write.
 	Write func(ctx context.Context, req writes.Request) caller.WriteAnswer
 }
 
-// AddressRequest is one address request as it arrived at the host.
+// AddressRequest holds the parameters of a request for addresses.
 type AddressRequest struct {
 	Service string
 	Caller  string
-	// Zone is the availability zone that the caller names as its own; it may be empty.
+	// Zone is the availability zone of the caller as stated by it; it may be empty.
 	Zone string
-	// Tickets is how many write tickets are wanted for each address, 0 to 100.
+	// Tickets is the number of write tickets requested for each address, 0 to 100.
 	Tickets int
 }
 
-// New returns the kratos HTTP server of a host; it listens once it is started.
+// New returns the kratos HTTP server for callers and operators; it listens once it is started.
 func New(opts Options) *khttp.Server {
 	if opts.Refresh == nil {
 		opts.Refresh = func(string) bool { return false }
@@ -95,6 +95,7 @@
 
 type handler struct{ opts Options }
 
+// adapt turns an HTTP handler function into a kratos one that recovers from panics.
 func (h *handler) adapt(f func(w http.ResponseWriter, r *http.Request)) khttp.HandlerFunc {
 	return func(ctx khttp.Context) error {
 		w, r := ctx.Response(), ctx.Request()
@@ -104,10 +105,10 @@
 	}
 }
 
-// recover answers a request whose handler met a broken invariant.
+// recover logs a panic of a handler and responds with status 500.
 //
-// Left to net/http, the connection would end without a word: the caller could not tell it from a host that
-// died, and requests of others on the same connection would be lost with it.
+// net/http would only close the connection. The caller couldn't distinguish that from a crash of the host, and other
+// requests on the same connection would be lost.
 func (h *handler) recover(w http.ResponseWriter, r *http.Request) {
 	v := recover()
 	if v == nil {
@@ -171,14 +172,14 @@
 	reply(w, http.StatusOK, ans)
 }
 
-// call is what a query and a write have in common.
+// call holds the parameters that queries and writes share.
 type call struct {
 	service           *service.Service
 	id, caller        string
 	arrived, deadline time.Time
 }
 
-// begin reads everything but the body, and has answered the request where it reports false.
+// begin parses everything but the body. It writes an error response itself and then returns false.
 func (h *handler) begin(w http.ResponseWriter, r *http.Request) (call, bool) {
 	c := call{arrived: h.opts.Clock.Now()}
 	name := mux.Vars(r)["service"]
@@ -245,7 +246,7 @@
 	}{"ready"})
 }
 
-// refresh repeats in the body what the header says, for callers that see only the body.
+// refresh reports whether the refresh header is set; the body repeats it for callers that read only the body.
 func refresh(w http.ResponseWriter) bool { return w.Header().Get(caller.HeaderUseAddresses) != "" }
 
 func queryStatus(o caller.Outcome) int {
@@ -259,6 +260,7 @@
 	}
 }
 
+// retryAfter sets the Retry-After header, rounded up to whole seconds.
 func retryAfter(w http.ResponseWriter, ms int64) {
 	if ms > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((ms+999)/1000, 10))
@@ -268,11 +270,11 @@
 func reply(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("callers: a reply can't be encoded: %v", err))
+		panic(fmt.Sprintf("callers: encode response body of type %T: %v", v, err))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may have gone; nothing is left to tell it.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write(b)
 }
 
--- a/entry/internal/callers/doors_test.go
+++ b/entry/internal/callers/server_test.go
@@ -32,7 +32,7 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
-// newUpstream answers every query with one hit.
+// newUpstream starts a replica that returns one hit for every query.
 func newUpstream(t *testing.T) netip.AddrPort {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/health", func(w http.ResponseWriter, _ *http.Request) {
@@ -46,7 +46,7 @@
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-// newHost serves the callers' API of one service on a port of its own.
+// newHost starts a server with the API for callers and one service.
 func newHost(t *testing.T) *httptest.Server {
 	doc := document.Default()
 	doc.Service = "remnant-finder"
@@ -101,8 +101,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// A caller's program is wrong in one of the ways that programs are. It must be told which part of its
-// request is wrong and what would be right, and the next request on the same host must be answered.
+// Guards against invalid requests that are accepted, or rejected without the faulty part and the accepted values, and
+// against a host that can't serve the next request after one of them.
 func TestBadInput(t *testing.T) {
 	srv := newHost(t)
 	long := strings.Repeat("x", 300)
@@ -154,15 +154,14 @@
 	}
 }
 
-// reason returns the reason of a problem, empty where the body is none.
+// reason returns the reason in an error response, or "" where the body is not one.
 func reason(body string) string {
 	var p caller.Problem
 	_ = json.Unmarshal([]byte(body), &p)
 	return p.Reason
 }
 
-// One request meets a broken invariant. Its caller must be told, not left with a connection that ends
-// without a word, and the host must go on.
+// Guards against a panic in a handler that closes the connection without a response, or that stops the host.
 func TestPanicIsAnswered(t *testing.T) {
 	c := qt.New(t)
 	srv := newHost(t)
@@ -173,8 +172,8 @@
 	c.Check(status, qt.Equals, http.StatusOK)
 }
 
-// A caller goes away in the middle of its body, or says that the body is longer than it is. Nothing may be
-// run for it, and the connection must not be taken for good.
+// Guards against a request that runs, or holds its connection forever, although its body ends before Content-Length:
+// the caller disconnected in the middle of the body or stated a wrong length.
 func TestBodyThatEndsEarly(t *testing.T) {
 	c := qt.New(t)
 	srv := newHost(t)
@@ -193,14 +192,14 @@
 	c.Check(b.String(), qt.Contains, "the body can't be read")
 }
 
-// FuzzQueryBody looks for a body that ends the process or is answered with neither an answer nor a reason.
+// FuzzQueryBody looks for a body that makes DecodeQuery panic or return a query outside of the limits.
 func FuzzQueryBody(f *testing.F) {
 	for _, seed := range []string{`{"query":"blue linen","limit":3,"key":"blue"}`, `{}`, `null`, `[`, `{"limit":1e400}`, "{\"query\":\"\xff\"}"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if q, err := callers.DecodeQuery(body); err == nil && (q.Limit < 1 || q.Limit > 1000 || len(q.Key) > 256) {
-			t.Fatalf("%q was taken for %+v", body, q)
+			t.Fatalf("%q was decoded as %+v, outside of the limits", body, q)
 		}
 	})
 }
