--- a/entry/internal/listing/doc.go
+++ b/entry/internal/listing/doc.go
@@ -1,2 +1,3 @@
-// Package listing keeps the platform's replica list as rows that hosts share, so that few of them read the list itself.
+// Package listing stores the platform's replica list as rows that hosts exchange, so that only a few hosts have to read
+// the list from the platform.
 package listing
--- a/entry/internal/listing/table.go
+++ b/entry/internal/listing/table.go
@@ -14,24 +14,27 @@
 )
 
 const (
-	// goneFor is how long a removal is remembered. A host that was paused for longer may bring the replica back until
-	// the next reading removes it again.
+	// goneFor is the time for which a removed replica is kept as a tombstone. A host that was paused for longer may
+	// add the replica again until the next read of the list removes it.
 	goneFor = time.Hour
-	// aheadMost bounds a stamp of another host, so that none is so high that no reading could exceed it.
+	// aheadMost is how far in the future the stamp of another host may lie. A stamp beyond all clocks would let the row
+	// win over every later read of the list.
 	aheadMost = 24 * time.Hour
-	// MaxRows bounds the rows held, since they come from other processes: four times the 24,000 of a large fleet with
-	// as many removals.
-	MaxRows    = 200_000
+	// MaxRows limits the number of rows, since they come from other processes. It is four times the rows of a large
+	// fleet: 24,000 replicas and as many tombstones.
+	MaxRows = 200_000
+	// pruneEvery is the interval at which expired tombstones are deleted.
 	pruneEvery = time.Minute
 )
 
-// Row is the state of one replica as a watcher read it.
+// Row is the state of one replica as read from the platform's list.
 type Row struct {
 	Replica platform.Replica
-	// Stamp orders the states of a replica: milliseconds of the reading that saw the change, and more than the stamp
-	// before it. Zero means that the row was there when a host first read the list, and gives way to any change.
+	// Stamp orders the states of a replica; the highest wins. It is the Unix time in milliseconds of the read that found
+	// the change, or the previous stamp plus one if that is higher. Zero marks a row that a host found in its first read
+	// of the list; any change has a higher stamp.
 	Stamp int64
-	// Gone says that the list no longer holds the replica.
+	// Gone marks a tombstone: the replica is no longer in the list.
 	Gone bool
 }
 
@@ -40,21 +43,22 @@
 type held struct {
 	Row
 	place digest.Entry
-	// changed is the count of the table's changes when this row came.
+	// changed is the table's change count after this row was set.
 	changed uint64
 }
 
-// Table holds the rows of all replicas. The platform's list has no versions, and a reading can lag; whatever a reading
-// contradicts is therefore stamped above what it contradicts, so that the newest reading wins at every host.
+// Table holds the rows of all replicas. The platform's list has no versions and a read can return a stale list. A row
+// that a read changes therefore gets a higher stamp than the row it replaces: the latest read wins on all hosts.
 type Table struct {
 	clock clock.Clock
 
-	mu      sync.Mutex
-	rows    map[key]held
+	mu   sync.Mutex
+	rows map[key]held
+	// total is the XOR of the sums of all rows.
 	total   uint64
 	changes uint64
 	pruned  time.Time
-	// list and entries are made anew after a change.
+	// list and entries are caches; listed and placed report whether they are up to date.
 	list     []platform.Replica
 	entries  []digest.Entry
 	listed   bool
@@ -65,17 +69,17 @@
 // New returns an empty table.
 func New(c clock.Clock) *Table { return &Table{clock: c, rows: map[key]held{}} }
 
-// Changes returns the number of changes so far; a reading passes what it was before the reading began.
+// Changes returns the number of changes so far. Take it before a read of the platform's list and pass it to Read.
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
 }
 
-// Read takes over a reading that began at started, when Changes was begun, and returns the rows it changed.
+// Read applies a list that was read from the platform and returns the rows it changed. The read began at started, when
+// Changes returned begun.
 //
-// A row that came from another host while the reading was on its way is left to the next reading: this one may be
-// older.
+// Rows that another host changed during the read stay as they are until the next read, since this list may be older.
 func (t *Table) Read(started time.Time, begun uint64, list []platform.Replica) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +96,8 @@
 			continue
 		}
 		if !ok && first {
-			// Every host that starts reads the same; stamped anew, rows that nobody changed would go round.
+			// All hosts find the same rows in their first read. With new stamps the hosts would exchange them all as
+			// changes.
 			t.set(k, Row{Replica: r})
 			continue
 		}
@@ -106,6 +111,7 @@
 	return changed
 }
 
+// above returns stamp, raised above that of the present row if there is one.
 func above(stamp int64, have held, ok bool) int64 {
 	if !ok {
 		return stamp
@@ -113,7 +119,7 @@
 	return max(stamp, have.Stamp+1)
 }
 
-// Merge takes over the rows of another host that are newer, and returns them.
+// Merge applies those rows of another host that are newer, and returns them.
 func (t *Table) Merge(rows []Row) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,11 +139,12 @@
 	return fresh
 }
 
-// newer orders by stamp; of two states with one stamp every host keeps the same, whichever it is.
+// newer reports whether r replaces have. Equal stamps are ordered by digest sum, so that all hosts keep the same row.
 func newer(r Row, have held) bool {
 	return cmp.Or(cmp.Compare(r.Stamp, have.Stamp), cmp.Compare(place(r).Sum, have.place.Sum)) > 0
 }
 
+// set stores a row, updates the total and invalidates the caches.
 func (t *Table) set(k key, r Row) Row {
 	t.changes++
 	at := place(r)
@@ -147,8 +154,8 @@
 	return r
 }
 
-// List returns the replicas that are listed, ordered by service and ID; the second result is false before anything was
-// read or heard. The list is shared and must not be changed.
+// List returns the listed replicas ordered by service and ID. The second result is false until the first read or the
+// first row of another host. The list is shared and must not be changed.
 func (t *Table) List() ([]platform.Replica, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,7 +196,7 @@
 	return t.entries
 }
 
-// Rows returns up to most rows below p.
+// Rows returns at most most rows with the prefix p.
 func (t *Table) Rows(p digest.Prefix, most int) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +209,7 @@
 	return list
 }
 
-// prune forgets old removals, which would otherwise pile up with every deployment.
+// prune deletes expired tombstones, which would otherwise accumulate with every deployment.
 func (t *Table) prune() {
 	now := t.clock.Now()
 	if now.Sub(t.pruned) < pruneEvery {
@@ -218,21 +225,24 @@
 	}
 }
 
+// expired reports whether r is a tombstone older than goneFor.
 func expired(r Row, now time.Time) bool {
 	return r.Gone && now.Sub(time.UnixMilli(r.Stamp)) > goneFor
 }
 
+// place returns the digest entry of a row.
 func place(r Row) digest.Entry {
 	p := r.Replica
 	k := hash(p.Service, p.ID)
 	return digest.Entry{Key: k, Sum: hash(p.Service, p.ID, p.Addr.String(), p.Zone, string(p.State), strconv.FormatInt(r.Stamp, 10), strconv.FormatBool(r.Gone))}
 }
 
-// hash spreads the low bits of FNV over the high ones, which the prefixes use.
+// hash returns the FNV-1a hash of the parts. The multiplication spreads the low bits over the high ones, which the
+// prefixes use.
 func hash(parts ...string) uint64 {
 	f := fnv.New64a()
 	for _, p := range parts {
-		// Writing to a hash returns no error.
+		// Write of a hash never returns an error.
 		_, _ = f.Write([]byte(p))
 		_, _ = f.Write([]byte{0})
 	}
--- a/entry/internal/listing/table_test.go
+++ b/entry/internal/listing/table_test.go
@@ -15,17 +15,17 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// handClock stands still between the steps of a model, and may be wrong.
+// handClock is a manual clock that all hosts of a model share, with a skew for each host.
 type handClock struct {
 	clock.Clock
 	now  *time.Time
 	skew time.Duration
 }
 
-// Now returns the model's time as this host has it.
+// Now returns the model's time plus the skew of this host.
 func (c handClock) Now() time.Time { return c.now.Add(c.skew) }
 
-// model is a platform with lagging copies, and hosts of which the first three read it.
+// model simulates a platform with lagging copies of the list, and hosts of which the first three read it.
 type model struct {
 	rnd    *rand.Rand
 	now    time.Time
@@ -35,12 +35,14 @@
 	flight []*reading
 }
 
+// reading is a read of the list in flight.
 type reading struct {
 	list    []platform.Replica
 	started time.Time
 	begun   uint64
 }
 
+// watchers is the number of hosts that read the list from the platform.
 const watchers = 3
 
 func newModel(seed uint64) *model {
@@ -54,9 +56,10 @@
 	return m
 }
 
+// truth returns the current list.
 func (m *model) truth() []platform.Replica { return m.past[len(m.past)-1] }
 
-// change adds a replica, removes it or changes its state; few IDs make them come back.
+// change adds a replica, removes it or changes its state. There are only five IDs, so that removed replicas come back.
 func (m *model) change() {
 	list := slices.Clone(m.truth())
 	id := fmt.Sprint("r-", m.rnd.IntN(5))
@@ -72,11 +75,13 @@
 	m.past = append(m.past, list)
 }
 
+// begin starts a read at watcher w that returns the list as it was lag changes ago.
 func (m *model) begin(w, lag int) {
 	at := max(0, len(m.past)-1-lag)
 	m.flight[w] = &reading{list: m.past[at], started: m.clocks[w].Now(), begun: m.tables[w].Changes()}
 }
 
+// end applies the read in flight at watcher w.
 func (m *model) end(w int) {
 	if r := m.flight[w]; r != nil {
 		m.tables[w].Read(r.started, r.begun, r.list)
@@ -84,7 +89,7 @@
 	m.flight[w] = nil
 }
 
-// exchange gives each of two hosts all rows of the other.
+// exchange merges all rows of two hosts into each other.
 func (m *model) exchange(a, b int) {
 	rows := m.tables[a].Rows(digest.Prefix{}, MaxRows)
 	m.tables[a].Merge(m.tables[b].Rows(digest.Prefix{}, MaxRows))
@@ -94,7 +99,7 @@
 func (m *model) step() {
 	m.now = m.now.Add(time.Duration(m.rnd.IntN(1500)) * time.Millisecond)
 	if m.rnd.IntN(200) == 0 {
-		// Everything was paused, or the platform was down, for longer than removals are remembered.
+		// All hosts are paused, or the platform is down, for longer than tombstones are kept.
 		m.now = m.now.Add(2 * time.Hour)
 	}
 	switch w := m.rnd.IntN(watchers); m.rnd.IntN(6) {
@@ -110,7 +115,7 @@
 	case 4:
 		m.tables[m.rnd.IntN(len(m.tables))].Total()
 	case 5:
-		// A host that starts again has nothing, and may read first or hear the others first.
+		// A host restarts with an empty table; its first rows come from a read or from another host.
 		if i := m.rnd.IntN(len(m.tables)); m.rnd.IntN(10) == 0 {
 			m.tables[i] = New(m.clocks[i])
 			m.flight[i] = nil
@@ -118,21 +123,21 @@
 	}
 }
 
-// Story: watchers read copies of the list that lag, are paused in the middle of a reading for longer than removals are
-// remembered, and are cut off from the others; the hosts' clocks differ by minutes. A replica that was removed long ago
-// gets calls, or one that came back gets none, if an older state wins for good. Once readings are current again, each
-// host must end with what the newest reading says, and all with the same sums.
+// Guards against an old state of a replica that wins for good, so that a removed replica gets requests or a restored
+// one gets none. Watchers read lagging copies of the list, are paused during a read for longer than tombstones are
+// kept, and are cut off from other hosts; clocks differ by minutes. Once reads are current again, all hosts must have
+// the list of the newest read and the same digest.
 func TestNoHostEndsWithAnOlderList(t *testing.T) {
 	for seed := range uint64(1000) {
 		m := newModel(seed)
 		for range 300 {
 			m.step()
 		}
-		// Readings that were on their way all the time end now, the oldest last.
+		// Apply the reads that are still in flight.
 		for w := range watchers {
 			m.end(w)
 		}
-		// One watcher is left, and its clock may be behind those of the others.
+		// Only one watcher goes on reading, and its clock may be behind those of the other hosts.
 		last := int(seed) % watchers
 		for range 4 {
 			m.now = m.now.Add(time.Second)
@@ -157,9 +162,9 @@
 	}
 }
 
-// Story: a watcher is paused while its reading is on the way. Meanwhile another watcher sees a replica removed and
-// tells it. The old reading then ends; if it put the replica back, every host would send calls to an address that is
-// gone.
+// Guards against a slow read that adds a removed replica again, so that all hosts send requests to an address that no
+// longer exists. A watcher is paused during a read; meanwhile another watcher finds the replica removed and sends the
+// row.
 func TestReadingThatWasOvertakenChangesNothing(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1e9, 0)
@@ -174,15 +179,15 @@
 	now = started
 	c.Assert(paused.Merge(told), qt.HasLen, 1)
 	c.Assert(paused.Read(started, begun, list), qt.HasLen, 0)
-	// The next reading may bring it back, and must.
+	// The next read began after the removal and must restore the replica.
 	c.Assert(paused.Read(started, paused.Changes(), list), qt.HasLen, 1)
 	after, ok := paused.List()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(after, qt.HasLen, 2)
 }
 
-// Story: eight hosts start at once with 6,000 replicas, and each has heard some rows of another when its first reading
-// ends. Stamped anew, thousands of rows that nobody changed went round between the hosts for a minute.
+// Guards against new stamps for unchanged rows in the first read of a host that has already received some rows of
+// another. When eight hosts started at once with 6,000 replicas, they exchanged thousands of such rows for a minute.
 func TestFirstReadingStampsNothingAnew(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1e9, 0)
@@ -193,7 +198,7 @@
 	late.Merge(early.Rows(digest.Prefix{}, 1))
 	c.Assert(late.Read(now, begun, list), qt.HasLen, 0)
 	c.Assert(late.Total(), qt.Equals, early.Total())
-	// What it contradicts is a change, also in a first reading.
+	// A row that the list contradicts is a change, also in the first read.
 	heard := New(handClock{now: &now})
 	heard.Merge(early.Rows(digest.Prefix{}, MaxRows))
 	c.Assert(heard.Read(now, heard.Changes(), list[:1]), qt.HasLen, 1)
