--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -19,15 +19,19 @@
 )
 
 const (
-	// listed is the most hosts in one zone's object: enough that one of them still runs after an hour without updates.
+	// listed is the maximum number of hosts in the object of one zone: enough that one of them still runs after an hour
+	// without updates.
 	listed = 8
-	// writeEvery is the least time between two writes of one zone's object; with 24 zones that is under one write a
-	// second.
+	// writeEvery is the minimum interval between two writes of one zone's object. With 24 zones that is less than one
+	// write per second.
 	writeEvery = 30 * time.Second
-	readEvery  = 30 * time.Second
-	tickEvery  = 2 * time.Second
-	// meetFor is how long a host that is alone looks for those listed before it writes over them.
-	meetFor     = 5 * time.Second
+	// readEvery is the interval at which the writer of a zone reads all objects.
+	readEvery = 30 * time.Second
+	tickEvery = 2 * time.Second
+	// meetFor is the time after the start during which a host with no other host in its member list tries to reach the
+	// listed ones before it writes the object.
+	meetFor = 5 * time.Second
+	// callTimeout limits one read of all objects, and one write.
 	callTimeout = 2 * time.Second
 )
 
@@ -35,26 +39,27 @@
 type Options struct {
 	Clock clock.Clock
 	Log   logr.Logger
-	// List, Get and Put are the platform's calls.
+	// List, Get and Put call the platform.
 	List func(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error)
 	Get  func(ctx context.Context, kind platform.Kind, name string) (platform.Object, error)
 	Put  func(ctx context.Context, kind platform.Kind, name string, version int64, body []byte) (platform.Object, error)
-	// Era returns the era of the platform's objects, which rises when the platform comes back from an older copy of them;
-	// nil means that it never does.
+	// Era returns the restart era of the platform, which rises when its objects are restored from a backup; nil means
+	// that the era never changes.
 	Era func() int64
-	// Seeded is how long a host waits for the hosts that its settings name before it reads; one that joined by then
-	// doesn't read, since in a fleet that starts at once each read is a call to the platform.
+	// Seeded is the time for which a host tries to join through the seeds in its settings before it reads. A host that
+	// has joined by then doesn't read: when a whole fleet starts at once, each read is a call to the platform. With
+	// zero, every host reads at once.
 	Seeded time.Duration
-	// Self and Hosts return this host's row and every host that is not dead.
+	// Self returns this host's entry in the member list, Hosts all entries that are not dead.
 	Self  func() member.Host
 	Hosts func() []member.Host
 }
 
-// Directory reads the objects of all zones, and writes the one of this host's zone when it is its turn.
+// Directory reads the objects of all zones and writes that of this host's zone if this host is the writer.
 //
-// One host of each zone writes, by rendezvous hash: 5,600 hosts that each kept an entry alive would need 560 writes a
-// second, more than the platform takes. It is a hint only: a host that was told a wrong address finds nobody there and
-// takes the next, so that an outage of an hour costs nothing but fewer good hints.
+// Rendezvous hashing selects one writer in each zone: if each of 5,600 hosts refreshed an entry of its own, the
+// platform would get 560 writes per second, more than it accepts. The addresses are hints. A host that finds no host at
+// one of them tries the next, so an outage of the platform for an hour only makes more of them outdated.
 type Directory struct {
 	opts Options
 
@@ -63,10 +68,10 @@
 	started  time.Time
 	read     time.Time
 	wrote    time.Time
-	// era is the one that was known last, and lost says that what was read and written may be lost since.
+	// era is the last known restart era. lost reports that the objects may have been lost since the last read.
 	era  int64
 	lost bool
-	// last is what the zone's object holds, as read or written last.
+	// last is the content of the zone's object as of the last read or write.
 	last []netip.AddrPort
 }
 
@@ -78,15 +83,16 @@
 	return &Directory{opts: opts}
 }
 
-// Contacts returns the addresses that were listed when the objects were read last.
+// Contacts returns the addresses of the last read.
 func (d *Directory) Contacts() []netip.AddrPort {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.contacts)
 }
 
-// Run keeps the directory until ctx ends. Every host reads once; later only a host that is alone, and the writers, who
-// find in it hosts that joined by other seeds and bring the two fleets together.
+// Run reads and writes the objects until ctx ends. Every host reads once, unless it joins through its seeds. After
+// that, only writers and hosts without others in their member list read. Writers find hosts there that joined through
+// other seeds, so that split fleets merge.
 func (d *Directory) Run(ctx context.Context) {
 	if d.opts.Seeded > 0 {
 		clock.Sleep(ctx, d.opts.Clock, d.opts.Seeded)
@@ -107,9 +113,9 @@
 	if era := d.opts.Era(); era != d.era {
 		d.era, d.lost = era, true
 	}
-	// A host that starts must not write over a fleet that it hasn't met yet. Where it waits for the hosts that its
-	// settings name, the others have the time to meet; in a large fleet that starts at once every third would take
-	// itself for the first of its zone, and write.
+	// A starting host must not overwrite the addresses of a fleet that it hasn't joined yet. With Seeded set, a host
+	// that knows some others waits too: in a large fleet that starts at once, one host in three would otherwise see
+	// itself as the writer of its zone, and write.
 	met := now.Sub(d.started) >= meetFor || !alone && d.opts.Seeded == 0
 	if d.read.IsZero() && d.opts.Seeded == 0 || alone || writer && met && (d.lost || now.Sub(d.read) >= readEvery) {
 		d.readAll(ctx, now)
@@ -119,13 +125,14 @@
 	}
 }
 
-// writes reports whether this host is the first of its zone.
+// writes reports whether this host is the writer of its zone.
 func (d *Directory) writes(hosts []member.Host) bool {
 	self := d.opts.Self()
 	zone := d.inZone(hosts)
 	return len(zone) > 0 && zone[0].ID == self.ID
 }
 
+// inZone returns the hosts of this host's zone and region, the writer first.
 func (d *Directory) inZone(hosts []member.Host) []member.Host {
 	self := d.opts.Self()
 	var zone []member.Host
@@ -144,6 +151,7 @@
 	Hosts  []netip.AddrPort `json:"hosts"`
 }
 
+// readAll reads the objects of all zones.
 func (d *Directory) readAll(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -167,15 +175,15 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// What another host wrote, which may have been cut off and alone, is compared with what should be there.
+	// Another host may have written the zone's object while it was cut off. write compares it with the wanted content.
 	d.contacts, d.read, d.last = contacts, now, own
 	if d.lost {
-		// The zone's object may have to be written again.
+		// The zone's object may be lost and has to be written without waiting for the interval.
 		d.wrote, d.lost = time.Time{}, false
 	}
 }
 
-// write stores the zone's first hosts if they changed.
+// write writes the zone's object if its addresses have changed.
 func (d *Directory) write(ctx context.Context, hosts []member.Host, now time.Time) {
 	want := addresses(d.inZone(hosts))
 	if len(hosts) == 1 {
@@ -194,8 +202,8 @@
 	events.DirectoryWritten.Log(d.opts.Log, "object", d.name(), "hosts", len(want))
 }
 
-// added returns what is listed with this host besides: one that is alone must be found by the next, but it may be alone
-// only because it is cut off, and then those listed are still there for all the others.
+// added returns the listed addresses with that of this host added. A host without others must be listed so that the
+// next one finds it. But it may only be cut off from the others, so the listed addresses have to stay.
 func (d *Directory) added() []netip.AddrPort {
 	self := d.opts.Self().Peer
 	if slices.Contains(d.last, self) {
@@ -206,6 +214,7 @@
 	return list
 }
 
+// store writes the zone's object, on condition that its version is still the one read.
 func (d *Directory) store(ctx context.Context, want []netip.AddrPort) error {
 	self := d.opts.Self()
 	old, err := d.opts.Get(ctx, platform.KindHosts, d.name())
@@ -214,22 +223,23 @@
 	}
 	b, err := json.Marshal(body{Region: self.Region, Zone: self.Zone, Hosts: want})
 	if err != nil {
-		return fmt.Errorf("encode directory of %s: %w", d.name(), err)
+		return fmt.Errorf("encode directory object %s: %w", d.name(), err)
 	}
 	put, err := d.opts.Put(ctx, platform.KindHosts, d.name(), old.Version, b)
 	if err == nil && put.Era != old.Era {
 		d.lost = true
-		return fmt.Errorf("%w: directory of %s: version %d was read in era %d and written in era %d", platform.ErrConflict, d.name(), old.Version, old.Era, put.Era)
+		return fmt.Errorf("%w: directory object %s: version %d was read in era %d but written in era %d", platform.ErrConflict, d.name(), old.Version, old.Era, put.Era)
 	}
 	return err
 }
 
+// name returns the name of the zone's object.
 func (d *Directory) name() string {
 	self := d.opts.Self()
 	return self.Region + "." + self.Zone
 }
 
-// addresses returns the first hosts' addresses, in an order that doesn't depend on who writes.
+// addresses returns the sorted addresses of the first hosts, the same for every writer.
 func addresses(hosts []member.Host) []netip.AddrPort {
 	var list []netip.AddrPort
 	for _, h := range hosts[:min(listed, len(hosts))] {
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -18,7 +18,7 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// store is a platform that holds directory objects and can be down.
+// store is a fake platform that stores directory objects and can be down.
 type store struct {
 	mu   sync.Mutex
 	objs map[string]platform.Object
@@ -103,8 +103,8 @@
 	})
 }
 
-// Story: the platform is down for an hour, and every host is replaced meanwhile. A host that starts after it must find
-// a running one, though nobody could write down the new addresses while they came.
+// Guards against an object that lists only stopped hosts after an outage of the platform. All hosts are replaced during
+// an outage of an hour, in which no addresses can be written; a host that starts afterwards must find a running one.
 func TestDirectoryListsRunningHostsAgainAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -134,15 +134,15 @@
 	})
 }
 
-// Story: a large fleet is restarted, host by host, all day long. If every host wrote its own address the platform would
-// have to take hundreds of writes a second; only the first of the zone writes, and at a bounded rate.
+// Guards against a write rate that grows with the fleet: if every host wrote its address, the rolling restart of a
+// large fleet would cause hundreds of writes per second. Only the writer of the zone may write, at a bounded rate.
 func TestOnlyTheFirstOfTheZoneWritesAtABoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := &store{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		known := hosts(200)
-		// The hosts after the first come and go, which changes the eight that are listed.
+		// The hosts after the first change, and with them the eight listed ones.
 		order := member.Ranked(known, "directory")
 		changing := func() []member.Host { return append([]member.Host{order[0]}, order[1+time.Now().Second()%50:]...) }
 		for _, h := range order[:20] {
@@ -156,9 +156,9 @@
 	})
 }
 
-// Story: three hundred hosts start at once and turn to the few that their settings name. Each knows a few others at
-// first, and takes itself for the first of its zone. While they meet, none of them may call the platform; once they
-// have, the first writes the zone's object.
+// Guards against calls from all hosts of a fleet that starts at once. 250 hosts join through seeds; each knows one
+// other host at first and many see themselves as the writer of the zone. None may call the platform until they have
+// joined; then the writer writes the zone's object.
 func TestHostsThatMeetDoNotCallThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -193,8 +193,8 @@
 	})
 }
 
-// Story: the very first hosts start without seeds, on an empty platform. Each is alone and could wait for ever for
-// another one to be listed; the first must list itself, and a host that is cut off must not stay listed alone.
+// Guards against the first hosts of an empty platform that wait forever for one another to be listed. Without seeds, a
+// host that knows no others must list itself so that the next one finds it.
 func TestHostsWithoutSeedsFindEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -211,8 +211,8 @@
 	})
 }
 
-// Story: a host can't reach the others but reaches the platform, and so takes itself for the only one. If it wrote its
-// zone's object alone, every host that starts would find just that one, until the others write again.
+// Guards against a partitioned host that replaces the listed hosts by itself. It can't reach the others but reaches the
+// platform, and knows no other host; every starting host would find only that one until the others write again.
 func TestHostThatIsCutOffLeavesTheOthersListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -235,8 +235,8 @@
 	})
 }
 
-// Guards against a zone's object that the platform has lost, coming back from an older copy, and that is missing until
-// the hosts change.
+// Guards against a zone's object that the platform lost when it was restored from a backup, and that stays missing
+// until the hosts change.
 func TestLostObjectIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -247,7 +247,7 @@
 		d.opts.Era = era.Load
 		ctx, cancel := context.WithCancel(t.Context())
 		go d.Run(ctx)
-		// Between two ticks, after the regular reading of this minute.
+		// Between two ticks, after the regular read.
 		time.Sleep(time.Minute + tickEvery/2)
 		c.Assert(s.written(), qt.Equals, 1)
 		s.mu.Lock()
@@ -265,8 +265,8 @@
 	})
 }
 
-// Guards against a write whose condition holds by chance: the platform came back from an older copy after the object was
-// read, and its version was given out again for what another host wrote.
+// Guards against a conditional write that succeeds by chance. The platform is restored from a backup after the object
+// was read, and the same version is assigned again to a write of another host.
 func TestWriteAcrossErasIsChecked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/entry/internal/directory/doc.go
+++ b/entry/internal/directory/doc.go
@@ -1,2 +1,3 @@
-// Package directory keeps a small object for each zone on the platform, by which hosts that start find the others.
+// Package directory publishes addresses of running hosts in one platform object for each zone, so that starting hosts
+// can find the others.
 package directory
