--- a/entry/internal/startup/doc.go
+++ b/entry/internal/startup/doc.go
@@ -1,2 +1,2 @@
-// Package startup holds the first requests of a host that has just started until it knows what it needs to serve them.
+// Package startup holds the first requests of a starting host until it has the data that requests need.
 package startup
--- a/entry/internal/startup/startup.go
+++ b/entry/internal/startup/startup.go
@@ -8,15 +8,15 @@
 	"guavaspring.org/core/clock"
 )
 
-// HoldFor is how long requests wait for the configuration and the replicas, from the first one on. That one has the
-// host call the store, which answers in milliseconds; what is not known after this time is not to be had, and waiting
-// would only keep clients from other hosts.
+// HoldFor is the time from the first request on for which requests wait for the configuration and the replicas. The
+// first request triggers the calls to the store, which replies in milliseconds. If they aren't there after this time,
+// the store is unavailable, and waiting longer would only keep clients from trying other hosts.
 const HoldFor = 150 * time.Millisecond
 
-// Startup is the start of one host.
+// Startup tracks whether a starting host has the data that requests need.
 //
-// It answers the moment after all hosts lost power: clients are back at once, and a host that refuses them until it has
-// made its two calls sends each of them away for longer than the calls take.
+// It matters when all hosts restart at once, for example after a power failure. Clients reconnect immediately. A host
+// that rejects them until its two calls to the store have returned makes each client wait longer than the calls take.
 type Startup struct {
 	clock clock.Clock
 
@@ -26,18 +26,18 @@
 	wanted, known chan struct{}
 }
 
-// New returns the start of a host that begins now.
+// New returns a Startup for a host that has none of the data yet.
 func New(c clock.Clock) *Startup {
 	return &Startup{clock: c, wanted: make(chan struct{}), known: make(chan struct{})}
 }
 
-// Wanted is closed once a request waits.
+// Wanted returns a channel that is closed by the first call of Await.
 func (s *Startup) Wanted() <-chan struct{} { return s.wanted }
 
-// Known says that the host knows all that requests need.
+// Known marks all the data that requests need as loaded. It may be called repeatedly.
 func (s *Startup) Known() { s.done.Do(func() { close(s.known) }) }
 
-// Await waits until the host knows what requests need, and reports whether it does.
+// Await waits for Known until HoldFor after the first call has passed or ctx ends, and reports whether it was called.
 func (s *Startup) Await(ctx context.Context) bool {
 	s.first.Do(func() {
 		s.until = s.clock.Now().Add(HoldFor)
--- a/entry/internal/startup/startup_test.go
+++ b/entry/internal/startup/startup_test.go
@@ -11,9 +11,8 @@
 	"guavaspring.org/entry/internal/startup"
 )
 
-// All hosts lost power and are back. A client's request reaches one that has not heard from the store yet, and is told
-// to come back though the host would know all it needs 20 ms later. Where the store is away, the request must not be
-// kept from other hosts for long.
+// Guards against a request that a starting host rejects although the store replies 20 ms later, and against one that is
+// held for long, and so kept from other hosts, while the store is unavailable.
 func TestFirstRequests(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -21,10 +20,10 @@
 		served       bool
 		answered     time.Duration
 	}{
-		{"the store answers", 20 * time.Millisecond, 5 * time.Millisecond, true, 20 * time.Millisecond},
-		{"the store is away", time.Hour, 5 * time.Millisecond, false, 5*time.Millisecond + startup.HoldFor},
-		{"the host has asked nobody yet", 620 * time.Millisecond, 600 * time.Millisecond, true, 620 * time.Millisecond},
-		{"it is known already", time.Millisecond, time.Second, true, time.Second},
+		{"the store replies", 20 * time.Millisecond, 5 * time.Millisecond, true, 20 * time.Millisecond},
+		{"the store is unavailable", time.Hour, 5 * time.Millisecond, false, 5*time.Millisecond + startup.HoldFor},
+		{"the first request comes late", 620 * time.Millisecond, 600 * time.Millisecond, true, 620 * time.Millisecond},
+		{"the data is loaded before the first request", time.Millisecond, time.Second, true, time.Second},
 	}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
@@ -34,13 +33,13 @@
 			time.Sleep(test.comes)
 			select {
 			case <-s.Wanted():
-				t.Error("wanted before a request came")
+				t.Error("Wanted is closed before the first request")
 			default:
 			}
 			qt.Check(t, s.Await(t.Context()), qt.Equals, test.served, qt.Commentf(test.name))
 			qt.Check(t, time.Since(began), qt.Equals, test.answered, qt.Commentf(test.name))
 			<-s.Wanted()
-			// Nobody waits for long again.
+			// No later request waits.
 			time.Sleep(startup.HoldFor)
 			before := time.Now()
 			qt.Check(t, s.Await(t.Context()), qt.Equals, test.served, qt.Commentf(test.name))
