--- a/entry/internal/drainer/doc.go
+++ b/entry/internal/drainer/doc.go
@@ -1,2 +1,2 @@
-// Package drainer takes a host out of service without cutting off a request.
+// Package drainer drains a host before it stops, so that no request is cut off.
 package drainer
--- a/entry/internal/drainer/drainer.go
+++ b/entry/internal/drainer/drainer.go
@@ -10,37 +10,37 @@
 	"guavaspring.org/core/clock"
 )
 
-// step is how often a grace that may end early is looked at.
+// step is the interval at which Leave checks whether the grace period is over.
 const step = 100 * time.Millisecond
 
 // Options configures a Drainer.
 type Options struct {
-	// Clock tells the time; nil means the system's.
+	// Clock is the time source; nil means the system clock.
 	Clock clock.Clock
-	// Announce tells the other hosts that this one is leaving.
+	// Announce informs the other hosts that this one is leaving.
 	Announce func(ctx context.Context)
-	// Grace is how long callers may go on coming after the announcement: as long as they keep addresses, and the time
-	// the other hosts take to hear of it.
+	// Grace returns the time for which the host accepts requests after the announcement. It covers the time for which
+	// callers cache addresses and the time the announcement takes to reach the other hosts.
 	Grace func() time.Duration
-	// Alone reports whether no other host serves, so that there is nobody to leave the callers to; nil means never.
+	// Alone reports whether no other host could serve the callers, which ends the grace period; nil means never.
 	Alone func() bool
 }
 
-// Drainer takes a host out of service: it announces the stop and goes on serving until callers have had time to leave.
+// Drainer announces that a host stops and keeps it serving until callers have had time to switch to other hosts.
 //
-// A server that closes its port when it is told to stop refuses every caller that still holds its address, and
-// drops a request that arrives on an idle connection in that moment; the caller of a write then can't tell
-// whether it ran. During the grace every reply closes its connection and tells the caller to ask for
-// addresses, so that no connection that is in use is left when the port closes.
+// A server that closes its port at once refuses every caller that still has its address, and drops a request that
+// arrives on an idle connection at that moment; the caller of a write then can't determine whether it ran. During the
+// grace period every response closes its connection and has the caller request addresses again, so that no connection
+// is in use when the port closes.
 type Drainer struct {
 	opts    Options
 	leaving atomic.Bool
-	// left is closed once the grace is over.
+	// left is closed at the end of the grace period.
 	left    chan struct{}
 	running atomic.Int64
 }
 
-// New returns a drainer of a host that serves.
+// New returns a Drainer for a serving host.
 func New(opts Options) *Drainer {
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
@@ -54,14 +54,14 @@
 // Leaving reports whether Leave was called.
 func (d *Drainer) Leaving() bool { return d.leaving.Load() }
 
-// Running returns how many requests are in flight.
+// Running returns the number of requests in flight.
 func (d *Drainer) Running() int { return int(d.running.Load()) }
 
-// Leave announces the stop and returns when the port may be closed, or ctx ends; the server then has to finish what is
-// in flight.
+// Leave announces the stop and returns at the end of the grace period, or when ctx ends. The server may then close its
+// port and has to finish the requests in flight.
 func (d *Drainer) Leave(ctx context.Context) error {
 	if d.leaving.Swap(true) {
-		// A second order to stop must not shorten the grace of the first.
+		// A second stop signal must not shorten the grace period of the first.
 		select {
 		case <-d.left:
 		case <-ctx.Done():
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// Filter counts the requests of next and, once the host is leaving, has each reply say so and close its connection.
+// Filter counts the requests in flight. Once the host is leaving, each response closes its connection and has the
+// caller request addresses again.
 func (d *Drainer) Filter(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.running.Add(1)
--- a/entry/internal/drainer/drainer_test.go
+++ b/entry/internal/drainer/drainer_test.go
@@ -16,7 +16,7 @@
 	"guavaspring.org/entry/internal/drainer"
 )
 
-// steps is a clock whose time moves when the test says so.
+// steps is a manual clock.
 type steps struct {
 	now  chan time.Time
 	tick chan time.Time
@@ -30,17 +30,18 @@
 func (s steps) After(time.Duration) <-chan time.Time               { return s.tick }
 func (s steps) AfterFunc(time.Duration, func()) (stop func() bool) { panic("not used") }
 
-// host is a server on a port of its own that is run and stopped as a host is.
+// host is a server that is started and stopped like a host.
 type host struct {
 	addr      string
 	app       *kratos.App
 	ended     chan error
 	announced chan struct{}
-	// begun receives once a request to /slow runs, which ends when release is closed.
+	// begun receives a value when a request to /slow starts; the request ends when release is closed.
 	begun, release chan struct{}
 	clock          steps
 }
 
+// start runs a host with a grace period of one minute.
 func start(c *qt.C) *host {
 	var lc net.ListenConfig
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -66,7 +67,7 @@
 	return h
 }
 
-// got is what a caller sees of a reply.
+// got holds the checked parts of a response.
 type got struct {
 	status int
 	closes bool
@@ -84,9 +85,9 @@
 	return got{resp.StatusCode, resp.Close, resp.Header.Get(caller.HeaderUseAddresses)}, nil
 }
 
-// An operator stops a host while a family waits for a colour match, and while other callers still hold the
-// host's address. The match must be answered; those that come must be served, and be told to go elsewhere;
-// a connection that lay idle must serve too. Only then may the port close.
+// Guards against requests that are cut off by a planned stop. A request in flight must complete; requests during the
+// grace period, on new and on idle connections, must be served and have the caller request addresses again. Only then
+// may the port close.
 func TestPlannedStopCutsOffNothing(t *testing.T) {
 	c := qt.New(t)
 	h := start(c)
@@ -101,7 +102,7 @@
 		answered <- err
 	}()
 	<-h.begun
-	// The order to stop is given twice, as by a signal and a supervisor.
+	// The host is stopped twice, as by a signal and a supervisor.
 	for range 2 {
 		go func() { _ = h.app.Stop() }()
 	}
@@ -117,7 +118,7 @@
 	h.clock.now <- time.Unix(120, 0)
 	h.clock.tick <- time.Unix(120, 0)
 	for {
-		// The port closes once the grace is over; until then connections are still taken.
+		// The port accepts connections until the end of the grace period.
 		var d net.Dialer
 		conn, err := d.DialContext(context.Background(), "tcp", h.addr)
 		if err != nil {
@@ -127,7 +128,7 @@
 	}
 	select {
 	case err := <-answered:
-		c.Fatalf("the request in flight ended before it was answered: %v", err)
+		c.Fatalf("the request in flight ended before its response was sent: %v", err)
 	default:
 	}
 	close(h.release)
@@ -135,8 +136,7 @@
 	c.Check(<-h.ended, qt.IsNil)
 }
 
-// The last host of a site is stopped. There is nobody to leave the callers to, so it must not keep the
-// operator waiting.
+// Guards against a needless grace period: the last serving host is stopped, so callers have no other host to switch to.
 func TestGraceEndsWhereNoOtherHostServes(t *testing.T) {
 	c := qt.New(t)
 	others := 3
@@ -152,7 +152,7 @@
 	c.Check(d.Leaving(), qt.IsTrue)
 }
 
-// still is a clock that does not move, and whose waits end at once.
+// still is a clock whose time stands still and whose waits end at once.
 type still struct{}
 
 func (still) Now() time.Time { return time.Unix(0, 0) }
