--- a/entry/internal/snapshot/doc.go
+++ b/entry/internal/snapshot/doc.go
@@ -1,2 +1,2 @@
-// Package snapshot decides which index version a query is pinned to.
+// Package snapshot selects the index version that a query is pinned to.
 package snapshot
--- a/entry/internal/snapshot/snapshot.go
+++ b/entry/internal/snapshot/snapshot.go
@@ -6,30 +6,30 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// wantHolders is how many replicas of a shard should hold a version before queries move to it: with one, a single slow
-// replica has no alternative, and the whole load of its shard moves to it at once.
+// wantHolders is the number of replicas of each shard that should hold a version before queries move to it. With a
+// single one, the whole load of the shard moves to it at once, and there is no other replica if it is slow.
 const wantHolders = 2
 
 // Options configures a Picker.
 type Options struct {
-	// Moved is told when queries move from one shard map to another; it may be nil.
+	// Moved is called when queries move from one shard map to another; it may be nil.
 	Moved func(from, to replica.VersionMap)
 }
 
-// Picker decides which version the queries of one service are pinned to, and remembers the last.
+// Picker selects the index version for the queries of one service and stores the last selection.
 //
-// It answers versions that come and go while queries run. Without the memory, queries swing between two
-// versions whenever a replica is lost, and a caller sees results go back in time. The rules, in order:
-// stay while the version is complete; move to a newer one that every shard holds twice, or once where the
-// version in use has no more either; go back only when no newer version is complete; and where none is
-// complete, take the one with the largest share of shards held.
+// Versions appear and disappear while queries run. Without the last selection, queries would alternate between two
+// versions whenever a replica is lost, and a caller would see older results after newer ones. The rules, in order:
+// keep the version while it is complete; move to a newer one that has two holders of every shard, or one holder if the
+// version in use has no more; move back only if no newer version is complete; if none is complete, use the version with
+// the largest share of shards held.
 type Picker struct {
 	opts Options
 	mu   sync.Mutex
 	last replica.VersionMap
 }
 
-// New returns a picker without memory.
+// New returns a Picker that has selected no version yet.
 func New(opts Options) *Picker {
 	if opts.Moved == nil {
 		opts.Moved = func(_, _ replica.VersionMap) {}
@@ -37,7 +37,7 @@
 	return &Picker{opts: opts}
 }
 
-// Pick returns the map that a query is pinned to, or false where no version is known.
+// Pick returns the shard map that a query is pinned to, or false if no version is known.
 func (p *Picker) Pick(view *replica.View) (replica.VersionMap, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,6 +52,7 @@
 	return vm, true
 }
 
+// pick applies the rules of Picker to versions, which are sorted from newest to oldest.
 func pick(versions []replica.VersionMap, last replica.VersionMap) (replica.VersionMap, bool) {
 	need := wantHolders
 	for _, vm := range versions {
@@ -74,7 +75,7 @@
 	return fullest(versions)
 }
 
-// newest returns the newest map, at or after the version, of which every shard has need holders.
+// newest returns the newest map at or after version from of which every shard has at least need holders.
 func newest(versions []replica.VersionMap, need int, from int64) (replica.VersionMap, bool) {
 	for _, vm := range versions {
 		if vm.Version >= from && vm.Least >= need {
@@ -84,6 +85,7 @@
 	return replica.VersionMap{}, false
 }
 
+// fullest returns the map with the largest share of shards held.
 func fullest(versions []replica.VersionMap) (replica.VersionMap, bool) {
 	var best replica.VersionMap
 	for _, vm := range versions {
--- a/entry/internal/snapshot/snapshot_test.go
+++ b/entry/internal/snapshot/snapshot_test.go
@@ -9,7 +9,7 @@
 	"guavaspring.org/entry/internal/snapshot"
 )
 
-// vm is a map in which every shard but the first has three holders.
+// vm returns a shard map whose least replicated shard has least holders.
 func vm(version int64, shards, least int) replica.VersionMap {
 	m := replica.VersionMap{Version: version, Holders: make([][]*replica.Replica, shards), Least: least, Held: shards}
 	if least == 0 {
@@ -18,9 +18,8 @@
 	return m
 }
 
-// A quilter reloads a page while replicas come and go. If each loss made queries change their version, she
-// would see bundles appear, vanish and appear again. Queries move on once a version is safely held, and
-// back only where nothing newer is whole.
+// Guards against queries that change their version with each lost replica, so that results appear, disappear and appear
+// again. Queries move to a newer version once it has enough holders, and back only if no newer version is complete.
 func TestPickMoves(t *testing.T) {
 	type views [][]replica.VersionMap
 	for _, test := range []struct {
@@ -28,15 +27,15 @@
 		views views
 		want  []int64
 	}{
-		{"the newest that every shard holds twice", views{{vm(3, 4, 1), vm(2, 4, 2), vm(1, 4, 3)}}, []int64{2}},
+		{"the newest version with two holders of every shard", views{{vm(3, 4, 1), vm(2, 4, 2), vm(1, 4, 3)}}, []int64{2}},
 		{"a new version waits for its second holders", views{{vm(1, 4, 3)}, {vm(2, 4, 1), vm(1, 4, 3)}, {vm(2, 4, 2), vm(1, 4, 2)}}, []int64{1, 1, 2}},
 		{"a lost replica doesn't bring the old version back", views{{vm(2, 4, 2), vm(1, 4, 2)}, {vm(2, 4, 1), vm(1, 4, 2)}}, []int64{2, 2}},
-		{"a lost shard does, where the old version is whole", views{{vm(2, 4, 2), vm(1, 4, 2)}, {vm(2, 4, 0), vm(1, 4, 1)}, {vm(2, 4, 1), vm(1, 4, 2)}, {vm(2, 4, 2), vm(1, 4, 2)}}, []int64{2, 1, 1, 2}},
-		{"replicas that swap versions one by one", views{{vm(1, 4, 3)}, {vm(2, 4, 1), vm(1, 4, 2)}, {vm(2, 4, 2), vm(1, 4, 1)}, {vm(2, 4, 3)}}, []int64{1, 1, 2, 2}},
+		{"a lost shard does if the old version is complete", views{{vm(2, 4, 2), vm(1, 4, 2)}, {vm(2, 4, 0), vm(1, 4, 1)}, {vm(2, 4, 1), vm(1, 4, 2)}, {vm(2, 4, 2), vm(1, 4, 2)}}, []int64{2, 1, 1, 2}},
+		{"replicas change versions one by one", views{{vm(1, 4, 3)}, {vm(2, 4, 1), vm(1, 4, 2)}, {vm(2, 4, 2), vm(1, 4, 1)}, {vm(2, 4, 3)}}, []int64{1, 1, 2, 2}},
 		{"one replica for each shard", views{{vm(1, 4, 1)}, {vm(2, 4, 1), vm(1, 4, 1)}}, []int64{1, 2}},
 		{"a rollback by dropping the newer version", views{{vm(2, 4, 3), vm(1, 4, 3)}, {vm(1, 4, 3)}}, []int64{2, 1}},
-		{"nothing whole: the fuller one", views{{vm(2, 2, 0), vm(1, 4, 0)}}, []int64{1}},
-		{"nothing known", views{{}}, []int64{0}},
+		{"no complete version: the one with the larger share", views{{vm(2, 2, 0), vm(1, 4, 0)}}, []int64{1}},
+		{"no version known", views{{}}, []int64{0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := snapshot.New(snapshot.Options{})
