--- a/entry/internal/records/doc.go
+++ b/entry/internal/records/doc.go
@@ -1,2 +1,2 @@
-// Package records merges the records of the parts of an answer.
+// Package records merges the records of the parts of a response.
 package records
--- a/entry/internal/records/records.go
+++ b/entry/internal/records/records.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// size is the size of one record of a part; a shorter remainder is none.
+// size is the length of a record in bytes; a shorter rest at the end of a part is ignored.
 const size = 16
 
-// Top returns the k greatest records of 16 bytes of all parts, greatest first. The greatest of some parts stand for
-// those parts in a further call.
+// Top returns the k greatest 16-byte records of all parts, greatest first. The result for some of the parts can be
+// passed to another call in place of these parts.
 //
-// Only the k greatest so far are kept in order: of 36 parts with 62 records each most are smaller than all of those,
-// and cost one comparison, where sorting all of them would be most of the work of a query.
+// Only the k greatest records so far are kept sorted. Of 36 parts with 62 records each, most records are smaller than
+// all of these and cost one comparison; sorting all records would be most of the work of a query.
 func Top(parts [][]byte, k int) []byte {
 	greatest := make([][]byte, 0, k+1)
 	for _, part := range parts {
--- a/entry/internal/records/records_test.go
+++ b/entry/internal/records/records_test.go
@@ -12,8 +12,8 @@
 	"guavaspring.org/entry/internal/records"
 )
 
-// A page is the greatest records of all its parts, whatever their order, equal ones counted each, and bytes that are no
-// record left out.
+// Guards against a merge that depends on the order of the parts, drops one of several equal records, or returns the
+// incomplete record at the end of a part.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := rapid.IntRange(0, 8).Draw(t, "k")
