--- a/entry/internal/callers/request.go
+++ b/entry/internal/callers/request.go
@@ -17,15 +17,15 @@
 
 // Limits on the parts of a request. Lengths are in bytes.
 const (
-	maxBody       = 1 << 20
-	maxName       = 128
-	maxKey        = 256
-	maxTicket     = 1024
-	maxTickets    = 100
-	maxDeadline   = 24 * time.Hour
-	defaultLimit  = 20
-	maxLimit      = 1000
-	unknownCaller = "unnamed"
+	maxBodyBytes   = 1 << 20
+	maxNameBytes   = 128
+	maxKeyBytes    = 256
+	maxTicketBytes = 1024
+	maxTickets     = 100
+	maxDeadline    = 24 * time.Hour
+	defaultLimit   = 20
+	maxLimit       = 1000
+	unnamedCaller  = "unnamed"
 )
 
 // readBody returns the whole request body. It writes an error response itself and then returns false.
@@ -33,15 +33,15 @@
 	// Without a read deadline, a caller that sends its body byte by byte holds a goroutine and a connection forever.
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	_ = rc.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		problem(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("the body is over %d bytes", maxBody))
+		writeProblem(w, http.StatusRequestEntityTooLarge, "too_large", fmt.Sprintf("the body is over %d bytes", maxBodyBytes))
 		return nil, false
 	case err != nil:
-		problem(w, http.StatusBadRequest, "bad_request", "the body can't be read: "+err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", "the body can't be read: "+err.Error())
 		return nil, false
 	}
 	return b, true
@@ -59,7 +59,7 @@
 	if q.Limit < 0 || q.Limit > maxLimit {
 		return caller.Query{}, fmt.Errorf("limit: %d is out of range; want 1 to %d", q.Limit, maxLimit)
 	}
-	return q, shorter("key", q.Key, maxKey)
+	return q, checkLength("key", q.Key, maxKeyBytes)
 }
 
 // DecodeWrite decodes the body of a write. The error is one line, fit for the caller.
@@ -68,7 +68,7 @@
 	if err := decode(body, &op); err != nil {
 		return caller.Write{}, err
 	}
-	return op, shorter("op_id", op.OpID, maxKey)
+	return op, checkLength("op_id", op.OpID, maxKeyBytes)
 }
 
 // decode accepts exactly one JSON object and rejects unknown keys, so that a misspelled key isn't silently ignored.
@@ -85,7 +85,7 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return plain(err)
+		return describeDecodeError(err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("the body goes on after the JSON object")
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// plain rewrites an error of encoding/json without Go-specific terms.
-func plain(err error) error {
+// describeDecodeError rewrites an error of encoding/json without Go-specific terms.
+func describeDecodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
 		return fmt.Errorf("%s: %s is the wrong type; want %s", wrongType.Field, wrongType.Value, wrongType.Type)
@@ -107,27 +107,27 @@
 
 // requestID returns the ID in the request header, or a new one.
 func (h *handler) requestID(r *http.Request) (string, error) {
-	id, err := header(r, caller.HeaderRequest, maxName)
+	id, err := printableHeader(r, caller.HeaderRequest, maxNameBytes)
 	if id == "" && err == nil {
 		return h.opts.NewID(), nil
 	}
 	return id, err
 }
 
-// callerOf returns the name of the caller from the request header, or unknownCaller.
-func callerOf(r *http.Request) (string, error) {
-	name, err := header(r, caller.HeaderCaller, maxName)
+// callerName returns the name of the caller from the request header, or unnamedCaller.
+func callerName(r *http.Request) (string, error) {
+	name, err := printableHeader(r, caller.HeaderCaller, maxNameBytes)
 	if name == "" && err == nil {
-		return unknownCaller, nil
+		return unnamedCaller, nil
 	}
 	return name, err
 }
 
-// header returns a header value. It allows printable ASCII only, because the value is copied unchanged into responses,
-// log lines and further requests.
-func header(r *http.Request, name string, most int) (string, error) {
+// printableHeader returns a header value of at most maxBytes. It allows printable ASCII only, because the value is
+// copied unchanged into responses, log lines and further requests.
+func printableHeader(r *http.Request, name string, maxBytes int) (string, error) {
 	v := r.Header.Get(name)
-	if err := shorter(name, v, most); err != nil {
+	if err := checkLength(name, v, maxBytes); err != nil {
 		return "", err
 	}
 	for i := range len(v) {
@@ -138,39 +138,40 @@
 	return v, nil
 }
 
-// shorter rejects a value of more than most bytes.
-func shorter(name, v string, most int) error {
-	if len(v) > most {
-		return fmt.Errorf("%s: %d bytes long; want at most %d", name, len(v), most)
+// checkLength rejects a value longer than maxBytes.
+func checkLength(name, v string, maxBytes int) error {
+	if len(v) > maxBytes {
+		return fmt.Errorf("%s: %d bytes long; want at most %d", name, len(v), maxBytes)
 	}
 	return nil
 }
 
-// deadlineOf returns the deadline from the request header: def after arrival where it is absent, at most longest after.
-func deadlineOf(r *http.Request, arrived time.Time, def, longest time.Duration) (time.Time, error) {
+// parseDeadline returns the deadline from the request header: defaultTimeout after arrival if there is none, and at
+// most maxTimeout after it.
+func parseDeadline(r *http.Request, arrived time.Time, defaultTimeout, maxTimeout time.Duration) (time.Time, error) {
 	s := r.Header.Get(caller.HeaderDeadline)
 	if s == "" {
-		return arrived.Add(def), nil
+		return arrived.Add(defaultTimeout), nil
 	}
 	ms, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
 		return time.Time{}, fmt.Errorf("%s: %q is not a whole number of milliseconds from 1 to %d", caller.HeaderDeadline, s, maxDeadline.Milliseconds())
 	}
-	return arrived.Add(min(time.Duration(ms)*time.Millisecond, longest)), nil
+	return arrived.Add(min(time.Duration(ms)*time.Millisecond, maxTimeout)), nil
 }
 
-// addressRequest parses the parameters of a request for addresses.
-func addressRequest(r *http.Request) (AddressRequest, error) {
+// parseAddressRequest parses the parameters of a request for addresses.
+func parseAddressRequest(r *http.Request) (AddressRequest, error) {
 	q := r.URL.Query()
 	req := AddressRequest{Service: q.Get("service"), Zone: q.Get("zone")}
 	if req.Service == "" {
 		return req, errors.New("service: missing; want the name of a service")
 	}
-	if err := shorter("zone", req.Zone, maxName); err != nil {
+	if err := checkLength("zone", req.Zone, maxNameBytes); err != nil {
 		return req, err
 	}
 	var err error
-	if req.Caller, err = callerOf(r); err != nil {
+	if req.Caller, err = callerName(r); err != nil {
 		return req, err
 	}
 	if s := q.Get("tickets"); s != "" {
--- a/entry/internal/callers/server.go
+++ b/entry/internal/callers/server.go
@@ -25,12 +25,12 @@
 )
 
 // Limits of a connection. The headers have to fit a name, two IDs, a deadline and a ticket; bodyTimeout is enough for a
-// body of maxBody bytes over a slow link.
+// body of maxBodyBytes over a slow link.
 const (
-	maxHeaders    = 16 << 10
-	headerTimeout = 5 * time.Second
-	bodyTimeout   = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
+	maxHeaderBytes = 16 << 10
+	headerTimeout  = 5 * time.Second
+	bodyTimeout    = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
 )
 
 // Options configures the server that New returns.
@@ -81,7 +81,7 @@
 	h := &handler{opts: opts}
 	srv := khttp.NewServer(khttp.Address(opts.Listen.String()), khttp.Timeout(0), khttp.Filter(opts.Filter),
 		khttp.NotFoundHandler(http.HandlerFunc(notFound)), khttp.MethodNotAllowedHandler(http.HandlerFunc(wrongMethod)))
-	srv.ReadHeaderTimeout, srv.IdleTimeout, srv.MaxHeaderBytes = headerTimeout, idleTimeout, maxHeaders
+	srv.ReadHeaderTimeout, srv.IdleTimeout, srv.MaxHeaderBytes = headerTimeout, idleTimeout, maxHeaderBytes
 	r := srv.Route("/")
 	r.GET("/v1/addresses", h.adapt(h.addresses))
 	r.POST("/v1/services/{service}/query", h.adapt(h.query))
@@ -99,27 +99,27 @@
 func (h *handler) adapt(f func(w http.ResponseWriter, r *http.Request)) khttp.HandlerFunc {
 	return func(ctx khttp.Context) error {
 		w, r := ctx.Response(), ctx.Request()
-		defer h.recover(w, r)
+		defer h.recoverPanic(w, r)
 		f(w, r)
 		return nil
 	}
 }
 
-// recover logs a panic of a handler and responds with status 500.
+// recoverPanic logs a panic of a handler and responds with status 500.
 //
 // net/http would only close the connection. The caller couldn't distinguish that from a crash of the host, and other
 // requests on the same connection would be lost.
-func (h *handler) recover(w http.ResponseWriter, r *http.Request) {
+func (h *handler) recoverPanic(w http.ResponseWriter, r *http.Request) {
 	v := recover()
 	if v == nil {
 		return
 	}
 	events.Panicked.Log(h.opts.Log, "path", r.URL.Path, "panic", fmt.Sprint(v), "stack", string(debug.Stack()))
-	problem(w, http.StatusInternalServerError, "internal", "the host met an error of its own; whether the request ran is not known")
+	writeProblem(w, http.StatusInternalServerError, "internal", "the host met an error of its own; whether the request ran is not known")
 }
 
 func (h *handler) query(w http.ResponseWriter, r *http.Request) {
-	call, ok := h.begin(w, r)
+	call, ok := h.parseRequest(w, r)
 	if !ok {
 		return
 	}
@@ -129,26 +129,26 @@
 	}
 	q, err := DecodeQuery(body)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), call.deadline)
 	defer cancel()
 	ans := call.service.Query(ctx, service.QueryRequest{ID: call.id, Caller: call.caller, Arrived: call.arrived, Deadline: call.deadline, Query: q})
-	ans.RefreshAddresses = refresh(w)
+	ans.RefreshAddresses = refreshRequested(w)
 	h.opts.Answered(ans.Service, "query", string(ans.Outcome), h.opts.Clock.Now().Sub(call.arrived))
-	retryAfter(w, ans.RetryAfterMS)
-	reply(w, queryStatus(ans.Outcome), ans)
+	setRetryAfter(w, ans.RetryAfterMS)
+	writeJSON(w, queryStatus(ans.Outcome), ans)
 }
 
 func (h *handler) write(w http.ResponseWriter, r *http.Request) {
-	call, ok := h.begin(w, r)
+	call, ok := h.parseRequest(w, r)
 	if !ok {
 		return
 	}
-	ticket, err := header(r, caller.HeaderTicket, maxTicket)
+	ticket, err := printableHeader(r, caller.HeaderTicket, maxTicketBytes)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_ticket", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_ticket", err.Error())
 		return
 	}
 	body, ok := readBody(w, r)
@@ -157,7 +157,7 @@
 	}
 	op, err := DecodeWrite(body)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), call.deadline)
@@ -166,25 +166,25 @@
 		ID: call.id, Service: mux.Vars(r)["service"], Caller: call.caller, Ticket: ticket,
 		Arrived: call.arrived, Deadline: call.deadline, Write: op,
 	})
-	ans.RefreshAddresses = refresh(w)
+	ans.RefreshAddresses = refreshRequested(w)
 	h.opts.Answered(mux.Vars(r)["service"], "write", string(ans.Outcome), h.opts.Clock.Now().Sub(call.arrived))
-	retryAfter(w, ans.RetryAfterMS)
-	reply(w, http.StatusOK, ans)
+	setRetryAfter(w, ans.RetryAfterMS)
+	writeJSON(w, http.StatusOK, ans)
 }
 
-// call holds the parameters that queries and writes share.
-type call struct {
+// requestParams holds the parameters that queries and writes share.
+type requestParams struct {
 	service           *service.Service
 	id, caller        string
 	arrived, deadline time.Time
 }
 
-// begin parses everything but the body. It writes an error response itself and then returns false.
-func (h *handler) begin(w http.ResponseWriter, r *http.Request) (call, bool) {
-	c := call{arrived: h.opts.Clock.Now()}
+// parseRequest parses everything but the body. It writes an error response itself and then returns false.
+func (h *handler) parseRequest(w http.ResponseWriter, r *http.Request) (requestParams, bool) {
+	c := requestParams{arrived: h.opts.Clock.Now()}
 	name := mux.Vars(r)["service"]
 	if c.service = h.opts.Service(name); c.service == nil {
-		problem(w, http.StatusNotFound, "unknown_service", fmt.Sprintf("no service %q is configured here", name))
+		writeProblem(w, http.StatusNotFound, "unknown_service", fmt.Sprintf("no service %q is configured here", name))
 		return c, false
 	}
 	if h.opts.Refresh(name) {
@@ -192,62 +192,65 @@
 	}
 	doc := c.service.Generation().Document
 	var err error
-	if c.deadline, err = deadlineOf(r, c.arrived, doc.Deadline.Default.Std(), doc.Deadline.Max.Std()); err != nil {
-		problem(w, http.StatusBadRequest, "bad_deadline", err.Error())
+	if c.deadline, err = parseDeadline(r, c.arrived, doc.Deadline.Default.Std(), doc.Deadline.Max.Std()); err != nil {
+		writeProblem(w, http.StatusBadRequest, "bad_deadline", err.Error())
 		return c, false
 	}
 	if c.id, err = h.requestID(r); err != nil {
-		problem(w, http.StatusBadRequest, "bad_request_id", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request_id", err.Error())
 		return c, false
 	}
-	if c.caller, err = callerOf(r); err != nil {
-		problem(w, http.StatusBadRequest, "bad_caller", err.Error())
+	if c.caller, err = callerName(r); err != nil {
+		writeProblem(w, http.StatusBadRequest, "bad_caller", err.Error())
 		return c, false
 	}
 	return c, true
 }
 
 func (h *handler) addresses(w http.ResponseWriter, r *http.Request) {
-	req, err := addressRequest(r)
+	req, err := parseAddressRequest(r)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	ans, err := h.opts.Addresses(req)
 	if err != nil {
-		problem(w, http.StatusNotFound, "unknown_service", err.Error())
+		writeProblem(w, http.StatusNotFound, "unknown_service", err.Error())
 		return
 	}
-	reply(w, http.StatusOK, ans)
+	writeJSON(w, http.StatusOK, ans)
 }
 
 func (h *handler) explanation(w http.ResponseWriter, r *http.Request) {
 	rec, ok := h.opts.Explain.Get(mux.Vars(r)["id"])
 	if !ok {
-		problem(w, http.StatusNotFound, "unknown_explanation", "this host keeps no explanation with that id; it keeps only its latest")
+		writeProblem(w, http.StatusNotFound, "unknown_explanation", "this host keeps no explanation with that id; it keeps only its latest")
 		return
 	}
-	reply(w, http.StatusOK, rec)
+	writeJSON(w, http.StatusOK, rec)
 }
 
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Status string `json:"status"`
 	}{"live"})
 }
 
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if err := h.opts.Ready(); err != nil {
-		problem(w, http.StatusServiceUnavailable, "not_ready", err.Error())
+		writeProblem(w, http.StatusServiceUnavailable, "not_ready", err.Error())
 		return
 	}
-	reply(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Status string `json:"status"`
 	}{"ready"})
 }
 
-// refresh reports whether the refresh header is set; the body repeats it for callers that read only the body.
-func refresh(w http.ResponseWriter) bool { return w.Header().Get(caller.HeaderUseAddresses) != "" }
+// refreshRequested reports whether the response header has the caller request addresses again; the body repeats it for
+// callers that read only the body.
+func refreshRequested(w http.ResponseWriter) bool {
+	return w.Header().Get(caller.HeaderUseAddresses) != ""
+}
 
 func queryStatus(o caller.Outcome) int {
 	switch o {
@@ -260,14 +263,14 @@
 	}
 }
 
-// retryAfter sets the Retry-After header, rounded up to whole seconds.
-func retryAfter(w http.ResponseWriter, ms int64) {
+// setRetryAfter sets the Retry-After header, rounded up to whole seconds.
+func setRetryAfter(w http.ResponseWriter, ms int64) {
 	if ms > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((ms+999)/1000, 10))
 	}
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("callers: encode response body of type %T: %v", v, err))
@@ -278,14 +281,14 @@
 	_, _ = w.Write(b)
 }
 
-func problem(w http.ResponseWriter, status int, code, reason string) {
-	reply(w, status, caller.Problem{Code: code, Reason: reason})
+func writeProblem(w http.ResponseWriter, status int, code, reason string) {
+	writeJSON(w, status, caller.Problem{Code: code, Reason: reason})
 }
 
 func notFound(w http.ResponseWriter, r *http.Request) {
-	problem(w, http.StatusNotFound, "unknown_path", fmt.Sprintf("there is nothing at %s", r.URL.Path))
+	writeProblem(w, http.StatusNotFound, "unknown_path", fmt.Sprintf("there is nothing at %s", r.URL.Path))
 }
 
 func wrongMethod(w http.ResponseWriter, r *http.Request) {
-	problem(w, http.StatusMethodNotAllowed, "wrong_method", fmt.Sprintf("%s can't be used at %s", r.Method, r.URL.Path))
+	writeProblem(w, http.StatusMethodNotAllowed, "wrong_method", fmt.Sprintf("%s can't be used at %s", r.Method, r.URL.Path))
 }
--- a/entry/internal/callers/server_test.go
+++ b/entry/internal/callers/server_test.go
@@ -103,7 +103,7 @@
 
 // Guards against invalid requests that are accepted, or rejected without the faulty part and the accepted values, and
 // against a host that can't serve the next request after one of them.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestIsRejected(t *testing.T) {
 	srv := newHost(t)
 	long := strings.Repeat("x", 300)
 	for _, test := range []struct {
@@ -147,22 +147,22 @@
 			c := qt.New(t)
 			status, body := send(t, srv, test.method, test.path, test.body, test.headers...)
 			c.Check(status, qt.Equals, test.status)
-			c.Check(reason(body), qt.Contains, test.want)
+			c.Check(problemReason(body), qt.Contains, test.want)
 			status, body = send(t, srv, "POST", queryPath, `{"query":"a"}`)
 			c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", body))
 		})
 	}
 }
 
-// reason returns the reason in an error response, or "" where the body is not one.
-func reason(body string) string {
+// problemReason returns the reason in an error response, or "" where the body is not one.
+func problemReason(body string) string {
 	var p caller.Problem
 	_ = json.Unmarshal([]byte(body), &p)
 	return p.Reason
 }
 
 // Guards against a panic in a handler that closes the connection without a response, or that stops the host.
-func TestPanicIsAnswered(t *testing.T) {
+func TestPanicReturns500(t *testing.T) {
 	c := qt.New(t)
 	srv := newHost(t)
 	status, body := send(t, srv, "GET", "/v1/addresses?service=panics", "")
@@ -174,7 +174,7 @@
 
 // Guards against a request that runs, or holds its connection forever, although its body ends before Content-Length:
 // the caller disconnected in the middle of the body or stated a wrong length.
-func TestBodyThatEndsEarly(t *testing.T) {
+func TestTruncatedBodyIsRejected(t *testing.T) {
 	c := qt.New(t)
 	srv := newHost(t)
 	var d net.Dialer
