--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// listed is the maximum number of hosts in the object of one zone: enough that one of them still runs after an hour
-	// without updates.
-	listed = 8
-	// writeEvery is the minimum interval between two writes of one zone's object. With 24 zones that is less than one
-	// write per second.
-	writeEvery = 30 * time.Second
-	// readEvery is the interval at which the writer of a zone reads all objects.
-	readEvery = 30 * time.Second
-	tickEvery = 2 * time.Second
-	// meetFor is the time after the start during which a host with no other host in its member list tries to reach the
+	// maxListedHosts is the maximum number of hosts in the object of one zone: enough that one of them still runs after
+	// an hour without updates.
+	maxListedHosts = 8
+	// minWriteInterval is the minimum interval between two writes of one zone's object. With 24 zones that is less than
+	// one write per second.
+	minWriteInterval = 30 * time.Second
+	// readInterval is the interval at which the writer of a zone reads all objects.
+	readInterval = 30 * time.Second
+	tickInterval = 2 * time.Second
+	// joinTimeout is the time after the start during which a host with no other host in its member list tries to reach the
 	// listed ones before it writes the object.
-	meetFor = 5 * time.Second
+	joinTimeout = 5 * time.Second
 	// callTimeout limits one read of all objects, and one write.
 	callTimeout = 2 * time.Second
 )
@@ -63,16 +63,16 @@
 type Directory struct {
 	opts Options
 
-	mu       sync.Mutex
-	contacts []netip.AddrPort
-	started  time.Time
-	read     time.Time
-	wrote    time.Time
-	// era is the last known restart era. lost reports that the objects may have been lost since the last read.
-	era  int64
-	lost bool
-	// last is the content of the zone's object as of the last read or write.
-	last []netip.AddrPort
+	mu        sync.Mutex
+	contacts  []netip.AddrPort
+	started   time.Time
+	lastRead  time.Time
+	lastWrite time.Time
+	// era is the last known restart era. maybeLost reports that the objects may have been lost since the last read.
+	era       int64
+	maybeLost bool
+	// published is the content of the zone's object as of the last read or write.
+	published []netip.AddrPort
 }
 
 // New returns a directory that does nothing until Run.
@@ -99,41 +99,41 @@
 	}
 	for ctx.Err() == nil {
 		d.tick(ctx)
-		clock.Sleep(ctx, d.opts.Clock, tickEvery)
+		clock.Sleep(ctx, d.opts.Clock, tickInterval)
 	}
 }
 
 func (d *Directory) tick(ctx context.Context) {
 	hosts, now := d.opts.Hosts(), d.opts.Clock.Now()
-	writer := d.writes(hosts)
+	writer := d.isWriter(hosts)
 	alone := len(hosts) == 1
 	if d.started.IsZero() {
 		d.started = now
 	}
 	if era := d.opts.Era(); era != d.era {
-		d.era, d.lost = era, true
+		d.era, d.maybeLost = era, true
 	}
 	// A starting host must not overwrite the addresses of a fleet that it hasn't joined yet. With Seeded set, a host
 	// that knows some others waits too: in a large fleet that starts at once, one host in three would otherwise see
 	// itself as the writer of its zone, and write.
-	met := now.Sub(d.started) >= meetFor || !alone && d.opts.Seeded == 0
-	if d.read.IsZero() && d.opts.Seeded == 0 || alone || writer && met && (d.lost || now.Sub(d.read) >= readEvery) {
+	mayWrite := now.Sub(d.started) >= joinTimeout || !alone && d.opts.Seeded == 0
+	if d.lastRead.IsZero() && d.opts.Seeded == 0 || alone || writer && mayWrite && (d.maybeLost || now.Sub(d.lastRead) >= readInterval) {
 		d.readAll(ctx, now)
 	}
-	if writer && !d.read.IsZero() && met {
-		d.write(ctx, hosts, now)
+	if writer && !d.lastRead.IsZero() && mayWrite {
+		d.writeIfChanged(ctx, hosts, now)
 	}
 }
 
-// writes reports whether this host is the writer of its zone.
-func (d *Directory) writes(hosts []member.Host) bool {
+// isWriter reports whether this host is the writer of its zone.
+func (d *Directory) isWriter(hosts []member.Host) bool {
 	self := d.opts.Self()
-	zone := d.inZone(hosts)
+	zone := d.zoneHosts(hosts)
 	return len(zone) > 0 && zone[0].ID == self.ID
 }
 
-// inZone returns the hosts of this host's zone and region, the writer first.
-func (d *Directory) inZone(hosts []member.Host) []member.Host {
+// zoneHosts returns the hosts of this host's zone and region, the writer first.
+func (d *Directory) zoneHosts(hosts []member.Host) []member.Host {
 	self := d.opts.Self()
 	var zone []member.Host
 	for _, h := range hosts {
@@ -144,8 +144,8 @@
 	return member.Ranked(zone, "directory")
 }
 
-// body is the object of one zone.
-type body struct {
+// zoneObject is the object of one zone.
+type zoneObject struct {
 	Region string           `json:"region"`
 	Zone   string           `json:"zone"`
 	Hosts  []netip.AddrPort `json:"hosts"`
@@ -162,87 +162,88 @@
 	}
 	var contacts, own []netip.AddrPort
 	for _, obj := range objs {
-		var b body
+		var b zoneObject
 		if err := json.Unmarshal(obj.Body, &b); err != nil {
 			events.DirectoryUnreadable.Log(d.opts.Log, "object", obj.Name, "reason", err.Error())
 			continue
 		}
 		b.Hosts = slices.DeleteFunc(b.Hosts, func(a netip.AddrPort) bool { return !a.IsValid() || a.Port() == 0 })
-		contacts = append(contacts, b.Hosts[:min(listed, len(b.Hosts))]...)
-		if obj.Name == d.name() {
+		contacts = append(contacts, b.Hosts[:min(maxListedHosts, len(b.Hosts))]...)
+		if obj.Name == d.objectName() {
 			own = b.Hosts
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// Another host may have written the zone's object while it was cut off. write compares it with the wanted content.
-	d.contacts, d.read, d.last = contacts, now, own
-	if d.lost {
+	// Another host may have written the zone's object while it was cut off. writeIfChanged compares it with the wanted
+	// content.
+	d.contacts, d.lastRead, d.published = contacts, now, own
+	if d.maybeLost {
 		// The zone's object may be lost and has to be written without waiting for the interval.
-		d.wrote, d.lost = time.Time{}, false
+		d.lastWrite, d.maybeLost = time.Time{}, false
 	}
 }
 
-// write writes the zone's object if its addresses have changed.
-func (d *Directory) write(ctx context.Context, hosts []member.Host, now time.Time) {
-	want := addresses(d.inZone(hosts))
+// writeIfChanged writes the zone's object if its addresses have changed.
+func (d *Directory) writeIfChanged(ctx context.Context, hosts []member.Host, now time.Time) {
+	want := peerAddresses(d.zoneHosts(hosts))
 	if len(hosts) == 1 {
-		want = d.added()
+		want = d.withSelf()
 	}
-	if slices.Equal(want, d.last) || !d.wrote.IsZero() && now.Sub(d.wrote) < writeEvery {
+	if slices.Equal(want, d.published) || !d.lastWrite.IsZero() && now.Sub(d.lastWrite) < minWriteInterval {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := d.store(ctx, want); err != nil {
+	if err := d.putObject(ctx, want); err != nil {
 		events.DirectoryFailed.Log(d.opts.Log, "call", "put", "reason", err.Error())
 		return
 	}
-	d.last, d.wrote = want, now
-	events.DirectoryWritten.Log(d.opts.Log, "object", d.name(), "hosts", len(want))
+	d.published, d.lastWrite = want, now
+	events.DirectoryWritten.Log(d.opts.Log, "object", d.objectName(), "hosts", len(want))
 }
 
-// added returns the listed addresses with that of this host added. A host without others must be listed so that the
+// withSelf returns the listed addresses with that of this host added. A host without others must be listed so that the
 // next one finds it. But it may only be cut off from the others, so the listed addresses have to stay.
-func (d *Directory) added() []netip.AddrPort {
+func (d *Directory) withSelf() []netip.AddrPort {
 	self := d.opts.Self().Peer
-	if slices.Contains(d.last, self) {
-		return d.last
+	if slices.Contains(d.published, self) {
+		return d.published
 	}
-	list := append([]netip.AddrPort{self}, d.last[:min(listed-1, len(d.last))]...)
+	list := append([]netip.AddrPort{self}, d.published[:min(maxListedHosts-1, len(d.published))]...)
 	slices.SortFunc(list, netip.AddrPort.Compare)
 	return list
 }
 
-// store writes the zone's object, on condition that its version is still the one read.
-func (d *Directory) store(ctx context.Context, want []netip.AddrPort) error {
+// putObject writes the zone's object, on condition that its version is still the one read.
+func (d *Directory) putObject(ctx context.Context, want []netip.AddrPort) error {
 	self := d.opts.Self()
-	old, err := d.opts.Get(ctx, platform.KindHosts, d.name())
+	old, err := d.opts.Get(ctx, platform.KindHosts, d.objectName())
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return err
 	}
-	b, err := json.Marshal(body{Region: self.Region, Zone: self.Zone, Hosts: want})
+	b, err := json.Marshal(zoneObject{Region: self.Region, Zone: self.Zone, Hosts: want})
 	if err != nil {
-		return fmt.Errorf("encode directory object %s: %w", d.name(), err)
+		return fmt.Errorf("encode directory object %s: %w", d.objectName(), err)
 	}
-	put, err := d.opts.Put(ctx, platform.KindHosts, d.name(), old.Version, b)
+	put, err := d.opts.Put(ctx, platform.KindHosts, d.objectName(), old.Version, b)
 	if err == nil && put.Era != old.Era {
-		d.lost = true
-		return fmt.Errorf("%w: directory object %s: version %d was read in era %d but written in era %d", platform.ErrConflict, d.name(), old.Version, old.Era, put.Era)
+		d.maybeLost = true
+		return fmt.Errorf("%w: directory object %s: version %d was read in era %d but written in era %d", platform.ErrConflict, d.objectName(), old.Version, old.Era, put.Era)
 	}
 	return err
 }
 
-// name returns the name of the zone's object.
-func (d *Directory) name() string {
+// objectName returns the name of the zone's object.
+func (d *Directory) objectName() string {
 	self := d.opts.Self()
 	return self.Region + "." + self.Zone
 }
 
-// addresses returns the sorted addresses of the first hosts, the same for every writer.
-func addresses(hosts []member.Host) []netip.AddrPort {
+// peerAddresses returns the sorted addresses of the first hosts, the same for every writer.
+func peerAddresses(hosts []member.Host) []netip.AddrPort {
 	var list []netip.AddrPort
-	for _, h := range hosts[:min(listed, len(hosts))] {
+	for _, h := range hosts[:min(maxListedHosts, len(hosts))] {
 		list = append(list, h.Peer)
 	}
 	slices.SortFunc(list, netip.AddrPort.Compare)
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -18,8 +18,8 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// store is a fake platform that stores directory objects and can be down.
-type store struct {
+// fakePlatform stores directory objects and can be down.
+type fakePlatform struct {
 	mu   sync.Mutex
 	objs map[string]platform.Object
 	down bool
@@ -28,7 +28,7 @@
 	calls int
 }
 
-func (s *store) list(context.Context, platform.Kind) ([]platform.Object, int64, error) {
+func (s *fakePlatform) list(context.Context, platform.Kind) ([]platform.Object, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -42,7 +42,7 @@
 	return list, 0, nil
 }
 
-func (s *store) get(_ context.Context, _ platform.Kind, name string) (platform.Object, error) {
+func (s *fakePlatform) get(_ context.Context, _ platform.Kind, name string) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -56,7 +56,7 @@
 	return obj, nil
 }
 
-func (s *store) put(_ context.Context, _ platform.Kind, name string, version int64, b []byte) (platform.Object, error) {
+func (s *fakePlatform) put(_ context.Context, _ platform.Kind, name string, version int64, b []byte) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -71,13 +71,13 @@
 	return s.objs[name], nil
 }
 
-func (s *store) setDown(down bool) {
+func (s *fakePlatform) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-func (s *store) written() int {
+func (s *fakePlatform) writeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.puts
@@ -96,7 +96,7 @@
 	return list
 }
 
-func newDirectory(s *store, self member.Host, known func() []member.Host) *Directory {
+func newDirectory(s *fakePlatform, self member.Host, known func() []member.Host) *Directory {
 	return New(Options{
 		Clock: clock.System{}, Log: logr.Discard(), List: s.list, Get: s.get, Put: s.put,
 		Self: func() member.Host { return self }, Hosts: known,
@@ -105,16 +105,16 @@
 
 // Guards against an object that lists only stopped hosts after an outage of the platform. All hosts are replaced during
 // an outage of an hour, in which no addresses can be written; a host that starts afterwards must find a running one.
-func TestDirectoryListsRunningHostsAgainAfterAnOutage(t *testing.T) {
+func TestRunningHostsAreListedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		known := hosts(3)
 		ctx, cancel := context.WithCancel(t.Context())
 		first := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
 		go first.Run(ctx)
 		time.Sleep(time.Minute)
-		c.Assert(s.written(), qt.Equals, 1)
+		c.Assert(s.writeCount(), qt.Equals, 1)
 		cancel()
 
 		s.setDown(true)
@@ -136,10 +136,10 @@
 
 // Guards against a write rate that grows with the fleet: if every host wrote its address, the rolling restart of a
 // large fleet would cause hundreds of writes per second. Only the writer of the zone may write, at a bounded rate.
-func TestOnlyTheFirstOfTheZoneWritesAtABoundedRate(t *testing.T) {
+func TestOnlyWriterOfZoneWritesAtBoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		known := hosts(200)
 		// The hosts after the first change, and with them the eight listed ones.
@@ -149,8 +149,8 @@
 			go newDirectory(s, h, changing).Run(ctx)
 		}
 		time.Sleep(10 * time.Minute)
-		c.Assert(s.written() <= 21, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.written()))
-		c.Assert(s.written() >= 10, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.written()))
+		c.Assert(s.writeCount() <= 21, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.writeCount()))
+		c.Assert(s.writeCount() >= 10, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.writeCount()))
 		cancel()
 		synctest.Wait()
 	})
@@ -159,10 +159,10 @@
 // Guards against calls from all hosts of a fleet that starts at once. 250 hosts join through seeds; each knows one
 // other host at first and many see themselves as the writer of the zone. None may call the platform until they have
 // joined; then the writer writes the zone's object.
-func TestHostsThatMeetDoNotCallThePlatform(t *testing.T) {
+func TestJoiningHostsDoNotCallPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		all := hosts(250)
 		began := time.Now()
@@ -184,7 +184,7 @@
 		c.Check(s.calls, qt.Equals, 0)
 		s.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		c.Check(s.written(), qt.Equals, 1)
+		c.Check(s.writeCount(), qt.Equals, 1)
 		s.mu.Lock()
 		c.Check(s.calls <= 3, qt.IsTrue, qt.Commentf("%d calls", s.calls))
 		s.mu.Unlock()
@@ -195,10 +195,10 @@
 
 // Guards against the first hosts of an empty platform that wait forever for one another to be listed. Without seeds, a
 // host that knows no others must list itself so that the next one finds it.
-func TestHostsWithoutSeedsFindEachOther(t *testing.T) {
+func TestFirstHostWithoutSeedsListsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		go newDirectory(s, host(1), func() []member.Host { return []member.Host{host(1)} }).Run(ctx)
 		time.Sleep(10 * time.Second)
@@ -213,10 +213,10 @@
 
 // Guards against a partitioned host that replaces the listed hosts by itself. It can't reach the others but reaches the
 // platform, and knows no other host; every starting host would find only that one until the others write again.
-func TestHostThatIsCutOffLeavesTheOthersListed(t *testing.T) {
+func TestPartitionedHostKeepsOthersListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		known := hosts(5)
 		ctx, cancel := context.WithCancel(t.Context())
 		writer := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
@@ -240,7 +240,7 @@
 func TestLostObjectIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		var era atomic.Int64
 		known := hosts(3)
 		d := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
@@ -248,15 +248,15 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go d.Run(ctx)
 		// Between two ticks, after the regular read.
-		time.Sleep(time.Minute + tickEvery/2)
-		c.Assert(s.written(), qt.Equals, 1)
+		time.Sleep(time.Minute + tickInterval/2)
+		c.Assert(s.writeCount(), qt.Equals, 1)
 		s.mu.Lock()
 		clear(s.objs)
 		calls := s.calls
 		s.mu.Unlock()
 		era.Add(1)
 		time.Sleep(3 * time.Second)
-		c.Check(s.written(), qt.Equals, 2)
+		c.Check(s.writeCount(), qt.Equals, 2)
 		s.mu.Lock()
 		c.Check(s.calls-calls <= 3, qt.IsTrue, qt.Commentf("%d calls", s.calls-calls))
 		s.mu.Unlock()
@@ -267,10 +267,10 @@
 
 // Guards against a conditional write that succeeds by chance. The platform is restored from a backup after the object
 // was read, and the same version is assigned again to a write of another host.
-func TestWriteAcrossErasIsChecked(t *testing.T) {
+func TestWriteAcrossErasIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		known := hosts(3)
 		d := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
 		restored := false
@@ -282,9 +282,9 @@
 			return obj, err
 		}
 		d.tick(t.Context())
-		c.Check(d.last, qt.HasLen, 0)
-		time.Sleep(tickEvery)
+		c.Check(d.published, qt.HasLen, 0)
+		time.Sleep(tickInterval)
 		d.tick(t.Context())
-		c.Check(d.last, qt.HasLen, 3)
+		c.Check(d.published, qt.HasLen, 3)
 	})
 }
