--- a/entry/internal/startup/startup.go
+++ b/entry/internal/startup/startup.go
@@ -20,9 +20,9 @@
 type Startup struct {
 	clock clock.Clock
 
-	first         sync.Once
-	until         time.Time
-	done          sync.Once
+	startWait     sync.Once
+	deadline      time.Time
+	markKnown     sync.Once
 	wanted, known chan struct{}
 }
 
@@ -35,15 +35,15 @@
 func (s *Startup) Wanted() <-chan struct{} { return s.wanted }
 
 // Known marks all the data that requests need as loaded. It may be called repeatedly.
-func (s *Startup) Known() { s.done.Do(func() { close(s.known) }) }
+func (s *Startup) Known() { s.markKnown.Do(func() { close(s.known) }) }
 
 // Await waits for Known until HoldFor after the first call has passed or ctx ends, and reports whether it was called.
 func (s *Startup) Await(ctx context.Context) bool {
-	s.first.Do(func() {
-		s.until = s.clock.Now().Add(HoldFor)
+	s.startWait.Do(func() {
+		s.deadline = s.clock.Now().Add(HoldFor)
 		close(s.wanted)
 	})
-	left := s.until.Sub(s.clock.Now())
+	left := s.deadline.Sub(s.clock.Now())
 	if left <= 0 {
 		select {
 		case <-s.known:
--- a/entry/internal/startup/startup_test.go
+++ b/entry/internal/startup/startup_test.go
@@ -13,12 +13,12 @@
 
 // Guards against a request that a starting host rejects although the store replies 20 ms later, and against one that is
 // held for long, and so kept from other hosts, while the store is unavailable.
-func TestFirstRequests(t *testing.T) {
+func TestFirstRequestsWaitForData(t *testing.T) {
 	tests := []struct {
-		name         string
-		known, comes time.Duration
-		served       bool
-		answered     time.Duration
+		name                     string
+		knownAfter, requestAfter time.Duration
+		served                   bool
+		returnsAfter             time.Duration
 	}{
 		{"the store replies", 20 * time.Millisecond, 5 * time.Millisecond, true, 20 * time.Millisecond},
 		{"the store is unavailable", time.Hour, 5 * time.Millisecond, false, 5*time.Millisecond + startup.HoldFor},
@@ -29,15 +29,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			s := startup.New(clock.System{})
-			time.AfterFunc(test.known, s.Known)
-			time.Sleep(test.comes)
+			time.AfterFunc(test.knownAfter, s.Known)
+			time.Sleep(test.requestAfter)
 			select {
 			case <-s.Wanted():
 				t.Error("Wanted is closed before the first request")
 			default:
 			}
 			qt.Check(t, s.Await(t.Context()), qt.Equals, test.served, qt.Commentf(test.name))
-			qt.Check(t, time.Since(began), qt.Equals, test.answered, qt.Commentf(test.name))
+			qt.Check(t, time.Since(began), qt.Equals, test.returnsAfter, qt.Commentf(test.name))
 			<-s.Wanted()
 			// No later request waits.
 			time.Sleep(startup.HoldFor)
