--- a/entry/internal/drainer/drainer.go
+++ b/entry/internal/drainer/drainer.go
@@ -10,8 +10,8 @@
 	"guavaspring.org/core/clock"
 )
 
-// step is the interval at which Leave checks whether the grace period is over.
-const step = 100 * time.Millisecond
+// pollInterval is the interval at which Leave checks whether the grace period is over.
+const pollInterval = 100 * time.Millisecond
 
 // Options configures a Drainer.
 type Options struct {
@@ -35,9 +35,9 @@
 type Drainer struct {
 	opts    Options
 	leaving atomic.Bool
-	// left is closed at the end of the grace period.
-	left    chan struct{}
-	running atomic.Int64
+	// graceOver is closed at the end of the grace period.
+	graceOver chan struct{}
+	inFlight  atomic.Int64
 }
 
 // New returns a Drainer for a serving host.
@@ -48,14 +48,14 @@
 	if opts.Alone == nil {
 		opts.Alone = func() bool { return false }
 	}
-	return &Drainer{opts: opts, left: make(chan struct{})}
+	return &Drainer{opts: opts, graceOver: make(chan struct{})}
 }
 
 // Leaving reports whether Leave was called.
 func (d *Drainer) Leaving() bool { return d.leaving.Load() }
 
 // Running returns the number of requests in flight.
-func (d *Drainer) Running() int { return int(d.running.Load()) }
+func (d *Drainer) Running() int { return int(d.inFlight.Load()) }
 
 // Leave announces the stop and returns at the end of the grace period, or when ctx ends. The server may then close its
 // port and has to finish the requests in flight.
@@ -63,17 +63,17 @@
 	if d.leaving.Swap(true) {
 		// A second stop signal must not shorten the grace period of the first.
 		select {
-		case <-d.left:
+		case <-d.graceOver:
 		case <-ctx.Done():
 		}
 		return nil
 	}
-	defer close(d.left)
+	defer close(d.graceOver)
 	end := d.opts.Clock.Now().Add(d.opts.Grace())
 	d.opts.Announce(ctx)
 	for d.opts.Clock.Now().Before(end) && !d.opts.Alone() {
 		select {
-		case <-d.opts.Clock.After(step):
+		case <-d.opts.Clock.After(pollInterval):
 		case <-ctx.Done():
 			return nil
 		}
@@ -85,8 +85,8 @@
 // caller request addresses again.
 func (d *Drainer) Filter(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.running.Add(1)
-		defer d.running.Add(-1)
+		d.inFlight.Add(1)
+		defer d.inFlight.Add(-1)
 		if d.leaving.Load() {
 			w.Header().Set("Connection", "close")
 			w.Header().Set(caller.HeaderUseAddresses, caller.UseRefresh)
--- a/entry/internal/drainer/drainer_test.go
+++ b/entry/internal/drainer/drainer_test.go
@@ -16,19 +16,19 @@
 	"guavaspring.org/entry/internal/drainer"
 )
 
-// steps is a manual clock.
-type steps struct {
+// manualClock is a clock that the test advances.
+type manualClock struct {
 	now  chan time.Time
 	tick chan time.Time
 }
 
-func (s steps) Now() time.Time {
+func (s manualClock) Now() time.Time {
 	now := <-s.now
 	s.now <- now
 	return now
 }
-func (s steps) After(time.Duration) <-chan time.Time               { return s.tick }
-func (s steps) AfterFunc(time.Duration, func()) (stop func() bool) { panic("not used") }
+func (s manualClock) After(time.Duration) <-chan time.Time               { return s.tick }
+func (s manualClock) AfterFunc(time.Duration, func()) (stop func() bool) { panic("not used") }
 
 // host is a server that is started and stopped like a host.
 type host struct {
@@ -38,18 +38,18 @@
 	announced chan struct{}
 	// begun receives a value when a request to /slow starts; the request ends when release is closed.
 	begun, release chan struct{}
-	clock          steps
+	clock          manualClock
 }
 
-// start runs a host with a grace period of one minute.
-func start(c *qt.C) *host {
+// startHost runs a host with a grace period of one minute.
+func startHost(c *qt.C) *host {
 	var lc net.ListenConfig
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	h := &host{
 		addr: l.Addr().String(), ended: make(chan error, 1), announced: make(chan struct{}),
 		begun: make(chan struct{}), release: make(chan struct{}),
-		clock: steps{now: make(chan time.Time, 1), tick: make(chan time.Time)},
+		clock: manualClock{now: make(chan time.Time, 1), tick: make(chan time.Time)},
 	}
 	h.clock.now <- time.Unix(0, 0)
 	d := drainer.New(drainer.Options{
@@ -67,34 +67,34 @@
 	return h
 }
 
-// got holds the checked parts of a response.
-type got struct {
-	status int
-	closes bool
-	use    string
+// response holds the checked parts of a response.
+type response struct {
+	status       int
+	closesConn   bool
+	useAddresses string
 }
 
-func (h *host) get(c *qt.C, client *http.Client, path string) (got, error) {
+func (h *host) get(c *qt.C, client *http.Client, path string) (response, error) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+h.addr+path, nil)
 	c.Assert(err, qt.IsNil)
 	resp, err := client.Do(req)
 	if err != nil {
-		return got{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
-	return got{resp.StatusCode, resp.Close, resp.Header.Get(caller.HeaderUseAddresses)}, nil
+	return response{resp.StatusCode, resp.Close, resp.Header.Get(caller.HeaderUseAddresses)}, nil
 }
 
 // Guards against requests that are cut off by a planned stop. A request in flight must complete; requests during the
 // grace period, on new and on idle connections, must be served and have the caller request addresses again. Only then
 // may the port close.
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+func TestPlannedStopCutsOffNoRequest(t *testing.T) {
 	c := qt.New(t)
-	h := start(c)
+	h := startHost(c)
 	idle := &http.Client{Transport: &http.Transport{}}
 	resp, err := h.get(c, idle, "/quick")
 	c.Assert(err, qt.IsNil)
-	c.Check(resp, qt.Equals, got{status: http.StatusOK})
+	c.Check(resp, qt.Equals, response{status: http.StatusOK})
 
 	answered := make(chan error, 1)
 	go func() {
@@ -111,7 +111,7 @@
 	for _, client := range []*http.Client{idle, {Transport: &http.Transport{}}} {
 		resp, err := h.get(c, client, "/quick")
 		c.Assert(err, qt.IsNil)
-		c.Check(resp, qt.Equals, got{http.StatusOK, true, caller.UseRefresh})
+		c.Check(resp, qt.Equals, response{http.StatusOK, true, caller.UseRefresh})
 	}
 
 	<-h.clock.now
@@ -137,11 +137,11 @@
 }
 
 // Guards against a needless grace period: the last serving host is stopped, so callers have no other host to switch to.
-func TestGraceEndsWhereNoOtherHostServes(t *testing.T) {
+func TestGraceEndsIfNoOtherHostServes(t *testing.T) {
 	c := qt.New(t)
 	others := 3
 	d := drainer.New(drainer.Options{
-		Clock: still{}, Grace: func() time.Duration { return time.Minute }, Announce: func(context.Context) {},
+		Clock: stoppedClock{}, Grace: func() time.Duration { return time.Minute }, Announce: func(context.Context) {},
 		Alone: func() bool {
 			others--
 			return others == 0
@@ -152,13 +152,13 @@
 	c.Check(d.Leaving(), qt.IsTrue)
 }
 
-// still is a clock whose time stands still and whose waits end at once.
-type still struct{}
+// stoppedClock is a clock whose time never advances and whose waits end at once.
+type stoppedClock struct{}
 
-func (still) Now() time.Time { return time.Unix(0, 0) }
-func (still) After(time.Duration) <-chan time.Time {
+func (stoppedClock) Now() time.Time { return time.Unix(0, 0) }
+func (stoppedClock) After(time.Duration) <-chan time.Time {
 	ch := make(chan time.Time, 1)
 	ch <- time.Unix(0, 0)
 	return ch
 }
-func (still) AfterFunc(time.Duration, func()) (stop func() bool) { panic("not used") }
+func (stoppedClock) AfterFunc(time.Duration, func()) (stop func() bool) { panic("not used") }
