--- a/entry/internal/listing/table_test.go
+++ b/entry/internal/listing/table_test.go
@@ -15,7 +15,7 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// manualClock is a manual clock that all hosts of a model share, with a skew for each host.
+// manualClock is a clock that all hosts of a model share and the model advances, with a skew for each host.
 type manualClock struct {
 	clock.Clock
 	now  *time.Time
