--- a/entry/internal/snapshot/snapshot.go
+++ b/entry/internal/snapshot/snapshot.go
@@ -6,9 +6,9 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// wantHolders is the number of replicas of each shard that should hold a version before queries move to it. With a
+// preferredHolders is the number of replicas of each shard that should hold a version before queries move to it. With a
 // single one, the whole load of the shard moves to it at once, and there is no other replica if it is slow.
-const wantHolders = 2
+const preferredHolders = 2
 
 // Options configures a Picker.
 type Options struct {
@@ -54,39 +54,39 @@
 
 // pick applies the rules of Picker to versions, which are sorted from newest to oldest.
 func pick(versions []replica.VersionMap, last replica.VersionMap) (replica.VersionMap, bool) {
-	need := wantHolders
+	minHolders := preferredHolders
 	for _, vm := range versions {
 		if vm.Same(last) {
-			need = min(need, max(1, vm.Least))
+			minHolders = min(minHolders, max(1, vm.Least))
 		}
 	}
-	if vm, ok := newest(versions, need, last.Version); ok {
+	if vm, ok := newest(versions, minHolders, last.Version); ok {
 		return vm, true
 	}
 	if vm, ok := newest(versions, 1, last.Version); ok {
 		return vm, true
 	}
-	if vm, ok := newest(versions, wantHolders, 0); ok {
+	if vm, ok := newest(versions, preferredHolders, 0); ok {
 		return vm, true
 	}
 	if vm, ok := newest(versions, 1, 0); ok {
 		return vm, true
 	}
-	return fullest(versions)
+	return largestShare(versions)
 }
 
-// newest returns the newest map at or after version from of which every shard has at least need holders.
-func newest(versions []replica.VersionMap, need int, from int64) (replica.VersionMap, bool) {
+// newest returns the newest map at or after minVersion of which every shard has at least minHolders holders.
+func newest(versions []replica.VersionMap, minHolders int, minVersion int64) (replica.VersionMap, bool) {
 	for _, vm := range versions {
-		if vm.Version >= from && vm.Least >= need {
+		if vm.Version >= minVersion && vm.Least >= minHolders {
 			return vm, true
 		}
 	}
 	return replica.VersionMap{}, false
 }
 
-// fullest returns the map with the largest share of shards held.
-func fullest(versions []replica.VersionMap) (replica.VersionMap, bool) {
+// largestShare returns the map with the largest share of shards held.
+func largestShare(versions []replica.VersionMap) (replica.VersionMap, bool) {
 	var best replica.VersionMap
 	for _, vm := range versions {
 		if vm.Share() > best.Share() {
--- a/entry/internal/snapshot/snapshot_test.go
+++ b/entry/internal/snapshot/snapshot_test.go
@@ -20,7 +20,7 @@
 
 // Guards against queries that change their version with each lost replica, so that results appear, disappear and appear
 // again. Queries move to a newer version once it has enough holders, and back only if no newer version is complete.
-func TestPickMoves(t *testing.T) {
+func TestPickChangesVersion(t *testing.T) {
 	type views [][]replica.VersionMap
 	for _, test := range []struct {
 		name  string
