--- a/entry/internal/records/records.go
+++ b/entry/internal/records/records.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// size is the length of a record in bytes; a shorter rest at the end of a part is ignored.
-const size = 16
+// recordSize is the length of a record in bytes; a shorter rest at the end of a part is ignored.
+const recordSize = 16
 
 // Top returns the k greatest 16-byte records of all parts, greatest first. The result for some of the parts can be
 // passed to another call in place of these parts.
@@ -16,8 +16,8 @@
 func Top(parts [][]byte, k int) []byte {
 	greatest := make([][]byte, 0, k+1)
 	for _, part := range parts {
-		for ; len(part) >= size; part = part[size:] {
-			record := part[:size]
+		for ; len(part) >= recordSize; part = part[recordSize:] {
+			record := part[:recordSize]
 			if len(greatest) == k && (k == 0 || bytes.Compare(record, greatest[k-1]) <= 0) {
 				continue
 			}
--- a/entry/internal/records/records_test.go
+++ b/entry/internal/records/records_test.go
@@ -14,7 +14,7 @@
 
 // Guards against a merge that depends on the order of the parts, drops one of several equal records, or returns the
 // incomplete record at the end of a part.
-func TestMerge(t *testing.T) {
+func TestTopMatchesSortedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := rapid.IntRange(0, 8).Draw(t, "k")
 		var parts [][]byte
