--- a/entry/internal/listing/table.go
+++ b/entry/internal/listing/table.go
@@ -77,10 +77,10 @@
 }
 
 // Read applies a list that was read from the platform and returns the rows it changed. The read began at started, when
-// Changes returned begun.
+// Changes returned changesBefore.
 //
 // Rows that another host changed during the read stay as they are until the next read, since this list may be older.
-func (t *Table) Read(started time.Time, begun uint64, list []platform.Replica) []Row {
+func (t *Table) Read(started time.Time, changesBefore uint64, list []platform.Replica) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	first := !t.hasRead
@@ -92,7 +92,7 @@
 		k := key{r.Service, r.ID}
 		present[k] = true
 		have, ok := t.rows[k]
-		if have.changedAt > begun || (ok && !have.Gone && have.Replica == r) || (!ok && len(t.rows) >= MaxRows) {
+		if have.changedAt > changesBefore || (ok && !have.Gone && have.Replica == r) || (!ok && len(t.rows) >= MaxRows) {
 			continue
 		}
 		if !ok && first {
@@ -104,7 +104,7 @@
 		changed = append(changed, t.set(k, Row{Replica: r, Stamp: nextStamp(stamp, have, ok)}))
 	}
 	for k, have := range t.rows {
-		if !present[k] && !have.Gone && have.changedAt <= begun {
+		if !present[k] && !have.Gone && have.changedAt <= changesBefore {
 			changed = append(changed, t.set(k, Row{Replica: have.Replica, Stamp: nextStamp(stamp, have, true), Gone: true}))
 		}
 	}
--- a/entry/internal/listing/table_test.go
+++ b/entry/internal/listing/table_test.go
@@ -37,9 +37,9 @@
 
 // pendingRead is a read of the list in flight.
 type pendingRead struct {
-	list    []platform.Replica
-	started time.Time
-	begun   uint64
+	list          []platform.Replica
+	started       time.Time
+	changesBefore uint64
 }
 
 // watchers is the number of hosts that read the list from the platform.
@@ -78,13 +78,13 @@
 // beginRead starts a read at watcher w that returns the list as it was lag changes ago.
 func (m *model) beginRead(w, lag int) {
 	at := max(0, len(m.history)-1-lag)
-	m.inFlight[w] = &pendingRead{list: m.history[at], started: m.clocks[w].Now(), begun: m.tables[w].Changes()}
+	m.inFlight[w] = &pendingRead{list: m.history[at], started: m.clocks[w].Now(), changesBefore: m.tables[w].Changes()}
 }
 
 // endRead applies the read in flight at watcher w.
 func (m *model) endRead(w int) {
 	if r := m.inFlight[w]; r != nil {
-		m.tables[w].Read(r.started, r.begun, r.list)
+		m.tables[w].Read(r.started, r.changesBefore, r.list)
 	}
 	m.inFlight[w] = nil
 }
@@ -137,7 +137,7 @@
 		for w := range watchers {
 			m.endRead(w)
 		}
-		// Only one watcher goes on reading, and its clock may be behind those of the other hosts.
+		// Only one watcher continues to read, and its clock may be behind those of the other hosts.
 		last := int(seed) % watchers
 		for range 4 {
 			m.now = m.now.Add(time.Second)
