--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -114,8 +114,8 @@
 		d.era, d.maybeLost = era, true
 	}
 	// A starting host must not overwrite the addresses of a fleet that it hasn't joined yet. With Seeded set, a host
-	// that knows some others waits too: in a large fleet that starts at once, one host in three would otherwise see
-	// itself as the writer of its zone, and write.
+	// with some others in its member list waits too: in a large fleet that starts at once, one host in three would
+	// otherwise see itself as the writer of its zone, and write.
 	mayWrite := now.Sub(d.started) >= joinTimeout || !alone && d.opts.Seeded == 0
 	if d.lastRead.IsZero() && d.opts.Seeded == 0 || alone || writer && mayWrite && (d.maybeLost || now.Sub(d.lastRead) >= readInterval) {
 		d.readAll(ctx, now)
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -156,9 +156,9 @@
 	})
 }
 
-// Guards against calls from all hosts of a fleet that starts at once. 250 hosts join through seeds; each knows one
-// other host at first and many see themselves as the writer of the zone. None may call the platform until they have
-// joined; then the writer writes the zone's object.
+// Guards against calls from all hosts of a fleet that starts at once. 250 hosts join through seeds; each has one other
+// host in its member list at first, and many see themselves as the writer of the zone. None may call the platform until
+// they have joined; then the writer writes the zone's object.
 func TestJoiningHostsDoNotCallPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -194,7 +194,7 @@
 }
 
 // Guards against the first hosts of an empty platform that wait forever for one another to be listed. Without seeds, a
-// host that knows no others must list itself so that the next one finds it.
+// host without others in its member list must list itself so that the next one finds it.
 func TestFirstHostWithoutSeedsListsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -212,7 +212,8 @@
 }
 
 // Guards against a partitioned host that replaces the listed hosts by itself. It can't reach the others but reaches the
-// platform, and knows no other host; every starting host would find only that one until the others write again.
+// platform, and has no others in its member list; if it wrote only itself, every starting host would find just that one
+// until the others write again.
 func TestPartitionedHostKeepsOthersListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
