--- a/entry/internal/callers/server.go
+++ b/entry/internal/callers/server.go
@@ -24,16 +24,16 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
-// The limits of a connection: headers hold a name, two ids, a deadline and a ticket; a body of maxBody comes within
-// bodyTimeout over a slow line.
+// Limits of a connection. The headers have to fit a name, two IDs, a deadline and a ticket; bodyTimeout is enough for a
+// body of maxBodyBytes over a slow link.
 const (
-	maxHeaders    = 16 << 10
-	headerTimeout = 5 * time.Second
-	bodyTimeout   = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
+	maxHeaderBytes = 16 << 10
+	headerTimeout  = 5 * time.Second
+	bodyTimeout    = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
 )
 
-// Options configures a Server.
+// Options configures the server that New returns.
 type Options struct {
 	Clock   clock.Clock
 	Log     logr.Logger
@@ -41,33 +41,33 @@
 	NewID   func() string
 	Explain *explain.Store
 	Metrics *prometheus.Registry
-	// Answered is told of each query and write that was answered; it may be nil.
+	// Answered is called after each query and write with its outcome and duration; it may be nil.
 	Answered func(service, kind, outcome string, took time.Duration)
-	// Service returns a service by name, or nil.
+	// Service returns a service by name, or nil where it is not configured.
 	Service func(name string) *service.Service
-	// Ready reports whether the host can serve, and why not.
+	// Ready returns nil if the host can serve, otherwise the reason.
 	Ready func() error
-	// Addresses answers which hosts a caller should use.
+	// Addresses returns the hosts that a caller should use.
 	Addresses func(req AddressRequest) (caller.Addresses, error)
-	// Refresh reports whether callers of a service should ask for addresses again; nil means never.
+	// Refresh reports whether callers of a service should request addresses again; nil means never.
 	Refresh func(service string) bool
-	// Filter stands before every request; it may be nil.
+	// Filter is middleware around all handlers; it may be nil.
 	Filter func(next http.Handler) http.Handler
 	// Write runs a write.
 	Write func(ctx context.Context, req writes.Request) caller.WriteAnswer
 }
 
-// AddressRequest is one address request as it arrived at the host.
+// AddressRequest holds the parameters of a request for addresses.
 type AddressRequest struct {
 	Service string
 	Caller  string
-	// Zone is the availability zone that the caller names as its own; it may be empty.
+	// Zone is the availability zone of the caller as stated by it; it may be empty.
 	Zone string
-	// Tickets is how many write tickets are wanted for each address, 0 to 100.
+	// Tickets is the number of write tickets requested for each address, 0 to 100.
 	Tickets int
 }
 
-// New returns the kratos HTTP server of a host; it listens once it is started.
+// New returns the kratos HTTP server for callers and operators; it listens once it is started.
 func New(opts Options) *khttp.Server {
 	if opts.Refresh == nil {
 		opts.Refresh = func(string) bool { return false }
@@ -81,7 +81,7 @@
 	h := &handler{opts: opts}
 	srv := khttp.NewServer(khttp.Address(opts.Listen.String()), khttp.Timeout(0), khttp.Filter(opts.Filter),
 		khttp.NotFoundHandler(http.HandlerFunc(notFound)), khttp.MethodNotAllowedHandler(http.HandlerFunc(wrongMethod)))
-	srv.ReadHeaderTimeout, srv.IdleTimeout, srv.MaxHeaderBytes = headerTimeout, idleTimeout, maxHeaders
+	srv.ReadHeaderTimeout, srv.IdleTimeout, srv.MaxHeaderBytes = headerTimeout, idleTimeout, maxHeaderBytes
 	r := srv.Route("/")
 	r.GET("/v1/addresses", h.adapt(h.addresses))
 	r.POST("/v1/services/{service}/query", h.adapt(h.query))
@@ -95,30 +95,31 @@
 
 type handler struct{ opts Options }
 
+// adapt turns an HTTP handler function into a kratos one that recovers from panics.
 func (h *handler) adapt(f func(w http.ResponseWriter, r *http.Request)) khttp.HandlerFunc {
 	return func(ctx khttp.Context) error {
 		w, r := ctx.Response(), ctx.Request()
-		defer h.recover(w, r)
+		defer h.recoverPanic(w, r)
 		f(w, r)
 		return nil
 	}
 }
 
-// recover answers a request whose handler met a broken invariant.
+// recoverPanic logs a panic of a handler and responds with status 500.
 //
-// Left to net/http, the connection would end without a word: the caller could not tell it from a host that
-// died, and requests of others on the same connection would be lost with it.
-func (h *handler) recover(w http.ResponseWriter, r *http.Request) {
+// net/http would only close the connection. The caller couldn't distinguish that from a crash of the host, and other
+// requests on the same connection would be lost.
+func (h *handler) recoverPanic(w http.ResponseWriter, r *http.Request) {
 	v := recover()
 	if v == nil {
 		return
 	}
 	events.Panicked.Log(h.opts.Log, "path", r.URL.Path, "panic", fmt.Sprint(v), "stack", string(debug.Stack()))
-	problem(w, http.StatusInternalServerError, "internal", "the host met an error of its own; whether the request ran is not known")
+	writeProblem(w, http.StatusInternalServerError, "internal", "the host met an error of its own; whether the request ran is not known")
 }
 
 func (h *handler) query(w http.ResponseWriter, r *http.Request) {
-	call, ok := h.begin(w, r)
+	call, ok := h.parseRequest(w, r)
 	if !ok {
 		return
 	}
@@ -128,26 +129,26 @@
 	}
 	q, err := DecodeQuery(body)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), call.deadline)
 	defer cancel()
 	ans := call.service.Query(ctx, service.QueryRequest{ID: call.id, Caller: call.caller, Arrived: call.arrived, Deadline: call.deadline, Query: q})
-	ans.RefreshAddresses = refresh(w)
+	ans.RefreshAddresses = refreshRequested(w)
 	h.opts.Answered(ans.Service, "query", string(ans.Outcome), h.opts.Clock.Now().Sub(call.arrived))
-	retryAfter(w, ans.RetryAfterMS)
-	reply(w, queryStatus(ans.Outcome), ans)
+	setRetryAfter(w, ans.RetryAfterMS)
+	writeJSON(w, queryStatus(ans.Outcome), ans)
 }
 
 func (h *handler) write(w http.ResponseWriter, r *http.Request) {
-	call, ok := h.begin(w, r)
+	call, ok := h.parseRequest(w, r)
 	if !ok {
 		return
 	}
-	ticket, err := header(r, caller.HeaderTicket, maxTicket)
+	ticket, err := printableHeader(r, caller.HeaderTicket, maxTicketBytes)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_ticket", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_ticket", err.Error())
 		return
 	}
 	body, ok := readBody(w, r)
@@ -156,7 +157,7 @@
 	}
 	op, err := DecodeWrite(body)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), call.deadline)
@@ -165,25 +166,25 @@
 		ID: call.id, Service: mux.Vars(r)["service"], Caller: call.caller, Ticket: ticket,
 		Arrived: call.arrived, Deadline: call.deadline, Write: op,
 	})
-	ans.RefreshAddresses = refresh(w)
+	ans.RefreshAddresses = refreshRequested(w)
 	h.opts.Answered(mux.Vars(r)["service"], "write", string(ans.Outcome), h.opts.Clock.Now().Sub(call.arrived))
-	retryAfter(w, ans.RetryAfterMS)
-	reply(w, http.StatusOK, ans)
+	setRetryAfter(w, ans.RetryAfterMS)
+	writeJSON(w, http.StatusOK, ans)
 }
 
-// call is what a query and a write have in common.
-type call struct {
+// requestParams holds the parameters that queries and writes share.
+type requestParams struct {
 	service           *service.Service
 	id, caller        string
 	arrived, deadline time.Time
 }
 
-// begin reads everything but the body, and has answered the request where it reports false.
-func (h *handler) begin(w http.ResponseWriter, r *http.Request) (call, bool) {
-	c := call{arrived: h.opts.Clock.Now()}
+// parseRequest parses everything but the body. It writes an error response itself and then returns false.
+func (h *handler) parseRequest(w http.ResponseWriter, r *http.Request) (requestParams, bool) {
+	c := requestParams{arrived: h.opts.Clock.Now()}
 	name := mux.Vars(r)["service"]
 	if c.service = h.opts.Service(name); c.service == nil {
-		problem(w, http.StatusNotFound, "unknown_service", fmt.Sprintf("no service %q is configured here", name))
+		writeProblem(w, http.StatusNotFound, "unknown_service", fmt.Sprintf("no service %q is configured here", name))
 		return c, false
 	}
 	if h.opts.Refresh(name) {
@@ -191,62 +192,65 @@
 	}
 	doc := c.service.Generation().Document
 	var err error
-	if c.deadline, err = deadlineOf(r, c.arrived, doc.Deadline.Default.Std(), doc.Deadline.Max.Std()); err != nil {
-		problem(w, http.StatusBadRequest, "bad_deadline", err.Error())
+	if c.deadline, err = parseDeadline(r, c.arrived, doc.Deadline.Default.Std(), doc.Deadline.Max.Std()); err != nil {
+		writeProblem(w, http.StatusBadRequest, "bad_deadline", err.Error())
 		return c, false
 	}
 	if c.id, err = h.requestID(r); err != nil {
-		problem(w, http.StatusBadRequest, "bad_request_id", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request_id", err.Error())
 		return c, false
 	}
-	if c.caller, err = callerOf(r); err != nil {
-		problem(w, http.StatusBadRequest, "bad_caller", err.Error())
+	if c.caller, err = callerName(r); err != nil {
+		writeProblem(w, http.StatusBadRequest, "bad_caller", err.Error())
 		return c, false
 	}
 	return c, true
 }
 
 func (h *handler) addresses(w http.ResponseWriter, r *http.Request) {
-	req, err := addressRequest(r)
+	req, err := parseAddressRequest(r)
 	if err != nil {
-		problem(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeProblem(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	ans, err := h.opts.Addresses(req)
 	if err != nil {
-		problem(w, http.StatusNotFound, "unknown_service", err.Error())
+		writeProblem(w, http.StatusNotFound, "unknown_service", err.Error())
 		return
 	}
-	reply(w, http.StatusOK, ans)
+	writeJSON(w, http.StatusOK, ans)
 }
 
 func (h *handler) explanation(w http.ResponseWriter, r *http.Request) {
 	rec, ok := h.opts.Explain.Get(mux.Vars(r)["id"])
 	if !ok {
-		problem(w, http.StatusNotFound, "unknown_explanation", "this host keeps no explanation with that id; it keeps only its latest")
+		writeProblem(w, http.StatusNotFound, "unknown_explanation", "this host keeps no explanation with that id; it keeps only its latest")
 		return
 	}
-	reply(w, http.StatusOK, rec)
+	writeJSON(w, http.StatusOK, rec)
 }
 
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Status string `json:"status"`
 	}{"live"})
 }
 
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if err := h.opts.Ready(); err != nil {
-		problem(w, http.StatusServiceUnavailable, "not_ready", err.Error())
+		writeProblem(w, http.StatusServiceUnavailable, "not_ready", err.Error())
 		return
 	}
-	reply(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Status string `json:"status"`
 	}{"ready"})
 }
 
-// refresh repeats in the body what the header says, for callers that see only the body.
-func refresh(w http.ResponseWriter) bool { return w.Header().Get(caller.HeaderUseAddresses) != "" }
+// refreshRequested reports whether the response header has the caller request addresses again; the body repeats it for
+// callers that read only the body.
+func refreshRequested(w http.ResponseWriter) bool {
+	return w.Header().Get(caller.HeaderUseAddresses) != ""
+}
 
 func queryStatus(o caller.Outcome) int {
 	switch o {
@@ -259,31 +263,32 @@
 	}
 }
 
-func retryAfter(w http.ResponseWriter, ms int64) {
+// setRetryAfter sets the Retry-After header, rounded up to whole seconds.
+func setRetryAfter(w http.ResponseWriter, ms int64) {
 	if ms > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((ms+999)/1000, 10))
 	}
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("callers: a reply can't be encoded: %v", err))
+		panic(fmt.Sprintf("callers: encode response body of type %T: %v", v, err))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may have gone; nothing is left to tell it.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write(b)
 }
 
-func problem(w http.ResponseWriter, status int, code, reason string) {
-	reply(w, status, caller.Problem{Code: code, Reason: reason})
+func writeProblem(w http.ResponseWriter, status int, code, reason string) {
+	writeJSON(w, status, caller.Problem{Code: code, Reason: reason})
 }
 
 func notFound(w http.ResponseWriter, r *http.Request) {
-	problem(w, http.StatusNotFound, "unknown_path", fmt.Sprintf("there is nothing at %s", r.URL.Path))
+	writeProblem(w, http.StatusNotFound, "unknown_path", fmt.Sprintf("there is nothing at %s", r.URL.Path))
 }
 
 func wrongMethod(w http.ResponseWriter, r *http.Request) {
-	problem(w, http.StatusMethodNotAllowed, "wrong_method", fmt.Sprintf("%s can't be used at %s", r.Method, r.URL.Path))
+	writeProblem(w, http.StatusMethodNotAllowed, "wrong_method", fmt.Sprintf("%s can't be used at %s", r.Method, r.URL.Path))
 }
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -18,8 +18,8 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// store is a platform that holds directory objects and can be down.
-type store struct {
+// fakePlatform stores directory objects and can be down.
+type fakePlatform struct {
 	mu   sync.Mutex
 	objs map[string]platform.Object
 	down bool
@@ -28,7 +28,7 @@
 	calls int
 }
 
-func (s *store) list(context.Context, platform.Kind) ([]platform.Object, int64, error) {
+func (s *fakePlatform) list(context.Context, platform.Kind) ([]platform.Object, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -42,7 +42,7 @@
 	return list, 0, nil
 }
 
-func (s *store) get(_ context.Context, _ platform.Kind, name string) (platform.Object, error) {
+func (s *fakePlatform) get(_ context.Context, _ platform.Kind, name string) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -56,7 +56,7 @@
 	return obj, nil
 }
 
-func (s *store) put(_ context.Context, _ platform.Kind, name string, version int64, b []byte) (platform.Object, error) {
+func (s *fakePlatform) put(_ context.Context, _ platform.Kind, name string, version int64, b []byte) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -71,13 +71,13 @@
 	return s.objs[name], nil
 }
 
-func (s *store) setDown(down bool) {
+func (s *fakePlatform) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-func (s *store) written() int {
+func (s *fakePlatform) writeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.puts
@@ -96,25 +96,25 @@
 	return list
 }
 
-func newDirectory(s *store, self member.Host, known func() []member.Host) *Directory {
+func newDirectory(s *fakePlatform, self member.Host, known func() []member.Host) *Directory {
 	return New(Options{
 		Clock: clock.System{}, Log: logr.Discard(), List: s.list, Get: s.get, Put: s.put,
 		Self: func() member.Host { return self }, Hosts: known,
 	})
 }
 
-// Story: the platform is down for an hour, and every host is replaced meanwhile. A host that starts after it must find
-// a running one, though nobody could write down the new addresses while they came.
-func TestDirectoryListsRunningHostsAgainAfterAnOutage(t *testing.T) {
+// Guards against an object that lists only stopped hosts after an outage of the platform. All hosts are replaced during
+// an outage of an hour, in which no addresses can be written; a host that starts afterwards must find a running one.
+func TestRunningHostsAreListedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		known := hosts(3)
 		ctx, cancel := context.WithCancel(t.Context())
 		first := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
 		go first.Run(ctx)
 		time.Sleep(time.Minute)
-		c.Assert(s.written(), qt.Equals, 1)
+		c.Assert(s.writeCount(), qt.Equals, 1)
 		cancel()
 
 		s.setDown(true)
@@ -134,35 +134,35 @@
 	})
 }
 
-// Story: a large fleet is restarted, host by host, all day long. If every host wrote its own address the platform would
-// have to take hundreds of writes a second; only the first of the zone writes, and at a bounded rate.
-func TestOnlyTheFirstOfTheZoneWritesAtABoundedRate(t *testing.T) {
+// Guards against a write rate that grows with the fleet: if every host wrote its address, the rolling restart of a
+// large fleet would cause hundreds of writes per second. Only the writer of the zone may write, at a bounded rate.
+func TestOnlyWriterOfZoneWritesAtBoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		known := hosts(200)
-		// The hosts after the first come and go, which changes the eight that are listed.
+		// The hosts after the first change, and with them the eight listed ones.
 		order := member.Ranked(known, "directory")
 		changing := func() []member.Host { return append([]member.Host{order[0]}, order[1+time.Now().Second()%50:]...) }
 		for _, h := range order[:20] {
 			go newDirectory(s, h, changing).Run(ctx)
 		}
 		time.Sleep(10 * time.Minute)
-		c.Assert(s.written() <= 21, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.written()))
-		c.Assert(s.written() >= 10, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.written()))
+		c.Assert(s.writeCount() <= 21, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.writeCount()))
+		c.Assert(s.writeCount() >= 10, qt.IsTrue, qt.Commentf("%d writes in ten minutes", s.writeCount()))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Story: three hundred hosts start at once and turn to the few that their settings name. Each knows a few others at
-// first, and takes itself for the first of its zone. While they meet, none of them may call the platform; once they
-// have, the first writes the zone's object.
-func TestHostsThatMeetDoNotCallThePlatform(t *testing.T) {
+// Guards against calls from all hosts of a fleet that starts at once. 250 hosts join through seeds; each has one other
+// host in its member list at first, and many see themselves as the writer of the zone. None may call the platform until
+// they have joined; then the writer writes the zone's object.
+func TestJoiningHostsDoNotCallPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		all := hosts(250)
 		began := time.Now()
@@ -184,7 +184,7 @@
 		c.Check(s.calls, qt.Equals, 0)
 		s.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		c.Check(s.written(), qt.Equals, 1)
+		c.Check(s.writeCount(), qt.Equals, 1)
 		s.mu.Lock()
 		c.Check(s.calls <= 3, qt.IsTrue, qt.Commentf("%d calls", s.calls))
 		s.mu.Unlock()
@@ -193,12 +193,12 @@
 	})
 }
 
-// Story: the very first hosts start without seeds, on an empty platform. Each is alone and could wait for ever for
-// another one to be listed; the first must list itself, and a host that is cut off must not stay listed alone.
-func TestHostsWithoutSeedsFindEachOther(t *testing.T) {
+// Guards against the first hosts of an empty platform that wait forever for one another to be listed. Without seeds, a
+// host without others in its member list must list itself so that the next one finds it.
+func TestFirstHostWithoutSeedsListsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		go newDirectory(s, host(1), func() []member.Host { return []member.Host{host(1)} }).Run(ctx)
 		time.Sleep(10 * time.Second)
@@ -211,12 +211,13 @@
 	})
 }
 
-// Story: a host can't reach the others but reaches the platform, and so takes itself for the only one. If it wrote its
-// zone's object alone, every host that starts would find just that one, until the others write again.
-func TestHostThatIsCutOffLeavesTheOthersListed(t *testing.T) {
+// Guards against a partitioned host that replaces the listed hosts by itself. It can't reach the others but reaches the
+// platform, and has no others in its member list; if it wrote only itself, every starting host would find just that one
+// until the others write again.
+func TestPartitionedHostKeepsOthersListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		known := hosts(5)
 		ctx, cancel := context.WithCancel(t.Context())
 		writer := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
@@ -235,28 +236,28 @@
 	})
 }
 
-// Guards against a zone's object that the platform has lost, coming back from an older copy, and that is missing until
-// the hosts change.
+// Guards against a zone's object that the platform lost when it was restored from a backup, and that stays missing
+// until the hosts change.
 func TestLostObjectIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		var era atomic.Int64
 		known := hosts(3)
 		d := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
 		d.opts.Era = era.Load
 		ctx, cancel := context.WithCancel(t.Context())
 		go d.Run(ctx)
-		// Between two ticks, after the regular reading of this minute.
-		time.Sleep(time.Minute + tickEvery/2)
-		c.Assert(s.written(), qt.Equals, 1)
+		// Between two ticks, after the regular read.
+		time.Sleep(time.Minute + tickInterval/2)
+		c.Assert(s.writeCount(), qt.Equals, 1)
 		s.mu.Lock()
 		clear(s.objs)
 		calls := s.calls
 		s.mu.Unlock()
 		era.Add(1)
 		time.Sleep(3 * time.Second)
-		c.Check(s.written(), qt.Equals, 2)
+		c.Check(s.writeCount(), qt.Equals, 2)
 		s.mu.Lock()
 		c.Check(s.calls-calls <= 3, qt.IsTrue, qt.Commentf("%d calls", s.calls-calls))
 		s.mu.Unlock()
@@ -265,12 +266,12 @@
 	})
 }
 
-// Guards against a write whose condition holds by chance: the platform came back from an older copy after the object was
-// read, and its version was given out again for what another host wrote.
-func TestWriteAcrossErasIsChecked(t *testing.T) {
+// Guards against a conditional write that succeeds by chance. The platform is restored from a backup after the object
+// was read, and the same version is assigned again to a write of another host.
+func TestWriteAcrossErasIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{objs: map[string]platform.Object{}}
+		s := &fakePlatform{objs: map[string]platform.Object{}}
 		known := hosts(3)
 		d := newDirectory(s, member.Ranked(known, "directory")[0], func() []member.Host { return known })
 		restored := false
@@ -282,9 +283,9 @@
 			return obj, err
 		}
 		d.tick(t.Context())
-		c.Check(d.last, qt.HasLen, 0)
-		time.Sleep(tickEvery)
+		c.Check(d.published, qt.HasLen, 0)
+		time.Sleep(tickInterval)
 		d.tick(t.Context())
-		c.Check(d.last, qt.HasLen, 3)
+		c.Check(d.published, qt.HasLen, 3)
 	})
 }
