--- a/entry/internal/endpoints/cold.go
+++ b/entry/internal/endpoints/cold.go
@@ -7,33 +7,33 @@
 	"guavaspring.org/core/route"
 )
 
-// coldWindow is the time over which the requests to a cold replica are counted: the second for which its bound holds,
-// and the time that one of them may wait for a connection.
+// coldWindow is the time over which requests to a cold replica are counted: the second for which the limit holds, and
+// the time for which one of them may wait for a connection.
 const coldWindow = 1300 * time.Millisecond
 
-// tooCold is why a request was not sent that would have been too much for a cold replica.
+// tooCold is the failure detail of a request that would exceed the limit of a cold replica.
 const tooCold = "the replica is cold and has got what it bears of this host"
 
-// cold is what a service's replicas bear while they are cold.
+// cold holds the limits of a service's replicas while they are cold.
 type cold struct {
-	// lasts is how long a replica is cold.
+	// lasts is how long a replica stays cold.
 	lasts time.Duration
-	// perSecond is how many requests a second it bears, zero for as many as a warm one.
+	// perSecond is the maximum number of requests per second, zero for no limit.
 	perSecond float64
 }
 
 func coldOf(s route.Service) *cold { return &cold{lasts: s.ColdFor, perSecond: s.ColdPerSecond} }
 
-// noteRow takes over from the row how long the replica stays cold. That may begin anew at any time, as when its zone
-// was evacuated for a while: it is slow then, though all that this host has seen of it was quick.
+// noteRow updates the end of the cold period from the row. A replica may become cold again at any time, for example
+// after its zone was evacuated: it is slow then although all its measured replies were fast.
 func (r *Replica) noteRow(now time.Time) {
 	if r.row.Cold > 0 {
 		r.coldEnd = now.Add(r.row.Cold)
 	}
 }
 
-// noteEvacuation takes the replica for cold where its zone was released: its row may say so only a heartbeat later, and
-// a zone's share of the requests that comes at once lets all its replicas crash.
+// noteEvacuation marks the replica cold if its zone was released: its row may say so only a heartbeat later, and
+// sending a zone its full share at once makes all its replicas crash.
 func (r *Replica) noteEvacuation(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,15 +44,14 @@
 	}
 }
 
-// bearsCold reports whether a cold replica bears one more request of this host.
+// bearsCold reports whether this host may send one more request to a cold replica.
 func (r *Replica) bearsCold(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roomCold(now)
 }
 
-// takeCold counts a request that is about to be sent, and reports whether the replica bears it; one that is warm bears
-// all.
+// takeCold counts a request that is about to be sent, and reports whether the limit allows it; a warm replica has none.
 func (r *Replica) takeCold(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +68,7 @@
 	return true
 }
 
-// roomCold reports whether a cold replica, whose lock is held, bears one more request.
+// roomCold reports whether the limit of a cold replica, whose lock is held, allows one more request.
 func (r *Replica) roomCold(now time.Time) bool {
 	bears := r.service.cold.Load().perSecond
 	if bears <= 0 {
--- a/entry/internal/endpoints/doc.go
+++ b/entry/internal/endpoints/doc.go
@@ -1,3 +1,3 @@
-// Package endpoints holds the replicas of each service as the platform lists them, with what this host has seen of
-// them.
+// Package endpoints holds the listed replicas of each service with the latency, failures and load that this host has
+// measured.
 package endpoints
--- a/entry/internal/endpoints/ended.go
+++ b/entry/internal/endpoints/ended.go
@@ -6,14 +6,14 @@
 	"guavaspring.org/core/platform"
 )
 
-// endedFor is how long the last row of a replica that is gone is remembered: a write that its process had given up
-// reaches the store within seconds.
+// endedFor is how long the last row of a removed replica is kept: a write that its process had given up on reaches the
+// store within seconds.
 const endedFor = time.Minute
 
-// ended holds the last rows of replicas that are gone, so that a late write of one of them brings nothing back.
+// ended holds the last rows of removed replicas, so that a late write does not bring one back.
 type ended struct {
 	rows map[string]endedRow
-	// pruned is when rows that are too old were last forgotten.
+	// pruned is when expired rows were last deleted.
 	pruned time.Time
 }
 
@@ -22,7 +22,7 @@
 	until time.Time
 }
 
-// add remembers a row, and now and then forgets those that are too old.
+// add stores a row, and deletes expired ones at most once per endedFor.
 func (e *ended) add(row platform.Replica, now time.Time) {
 	if now.Sub(e.pruned) >= endedFor {
 		e.prune(now)
@@ -39,7 +39,7 @@
 	}
 }
 
-// row returns the last row of a replica that is gone.
+// row returns the last row of a removed replica.
 func (e *ended) row(id string, now time.Time) (platform.Replica, bool) {
 	old, ok := e.rows[id]
 	return old.row, ok && now.Before(old.until)
--- a/entry/internal/endpoints/evacuation_test.go
+++ b/entry/internal/endpoints/evacuation_test.go
@@ -23,13 +23,13 @@
 	"guavaspring.org/platform/wire"
 )
 
-// zonedTable is the table of a host in zone a, with a replica of the service in each of some zones, of which one at a
-// time may be evacuated.
+// zonedTable is the table of a host in zone a, with one replica of the service in each given zone; one zone at a time
+// may be evacuated.
 type zonedTable struct {
 	*endpoints.Table
 	replicas  []*replicatest.Replica
 	evacuated atomic.Value
-	// share is how many requests a second the host may send to a cold replica.
+	// share is the number of requests per second that the host may send to a cold replica.
 	share int
 }
 
@@ -56,9 +56,9 @@
 	t.Refresh()
 }
 
-// An operator evacuates the zone of the replica that a host likes best. From then on it chooses another one, gathers
-// nothing through hosts of that zone, and says so where no zone is left; once the zone is released it is used as
-// before.
+// Guards against requests sent to an evacuated zone. The zone of the preferred replica is evacuated: the host has to
+// choose another one, leave the zone out of the serving ones, report when no zone is left, and use the zone as before
+// once it is released.
 func TestEvacuatedZoneIsNotChosen(t *testing.T) {
 	f := replicatest.New()
 	table := newZonedTable(f, f.Dial, "a", "b")
@@ -93,8 +93,8 @@
 	qt.Assert(t, verdict, qt.Equals, endpoints.None)
 }
 
-// A request may run in one region only, where the nearest replica is not. It must run there or not at all, however slow
-// that is, also when that region's zone is evacuated.
+// Guards against a request that runs outside its home regions: it must run there or not at all, even when the nearest
+// replica is elsewhere or the home's zone is evacuated.
 func TestHomesAreKept(t *testing.T) {
 	f := replicatest.New()
 	table := newZonedTable(f, f.Dial, "a", "b", "c")
@@ -117,8 +117,8 @@
 	}
 }
 
-// A request has chosen its replica and waits for a connection as the zone is evacuated. Connecting may take as long as
-// the operator's bound, so the request must not leave afterwards.
+// Guards against a request that is sent after its zone was evacuated: it has chosen its replica and waits for a
+// connection, which may take as long as the operator's limit on an evacuation.
 func TestEvacuatedWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -136,8 +136,8 @@
 	})
 }
 
-// A zone is evacuated for a while and its replicas turn cold before it is released. What a host had seen of them was
-// quick, and the row says that they are slow for a while: a replica of another zone goes first, until the time is over.
+// Guards against a preference for a replica that has become cold while its zone was evacuated. Its measured replies
+// were fast, but its row says that it is cold: a replica of another zone has to go first until that time is over.
 func TestColdAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -157,9 +157,9 @@
 	})
 }
 
-// A zone is released and its replica is cold, which its row says only later: it bears six requests a second, of which
-// this host may send two. All that comes beyond goes to the other replica until the time is over; where there is no
-// other one it waits rather than let the replica crash.
+// Guards against overload of a cold replica. Its zone is released, and its row does not say yet that it is cold; its
+// limit is six requests a second, of which this host may send two. Until it is warm the others have to go to the other
+// replica, or wait if there is none, since the replica would crash.
 func TestColdReplicaGetsWhatItBears(t *testing.T) {
 	for _, zones := range [][]string{{"a", "b"}, {"a"}} {
 		synctest.Test(t, func(t *testing.T) {
--- a/entry/internal/endpoints/kept.go
+++ b/entry/internal/endpoints/kept.go
@@ -6,14 +6,14 @@
 	"guavaspring.org/entry/internal/subset"
 )
 
-// chosen is which replicas the host keeps to, worked out from some replicas and hosts.
+// chosen caches this host's subset of the replicas, with the replicas and hosts from which it was computed.
 type chosen struct {
 	replicas []*Replica
 	hosts    []member.Host
 	kept     []*Replica
 }
 
-// kept returns the replicas of a list that the host keeps to; the slice must not be changed.
+// kept returns this host's subset of a list of replicas; the slice must not be changed.
 func (s *Service) kept(list []*Replica) []*Replica {
 	if s.hosts == nil {
 		return list
@@ -27,12 +27,12 @@
 	return c.kept
 }
 
-// sameSlice reports whether two slices are one.
+// sameSlice reports whether two slices share their elements.
 func sameSlice[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// keepTo chooses among the replicas that don't leave and whose zones are not evacuated.
+// keepTo chooses the host's subset among the replicas that are not leaving and whose zones are not evacuated.
 func keepTo(self string, hosts []member.Host, list []*Replica) []*Replica {
 	rows := make([]subset.Replica, 0, len(list))
 	serving := make([]*Replica, 0, len(list))
@@ -50,7 +50,7 @@
 	return kept
 }
 
-// servingRow returns the replica's row, and whether it is there for new requests.
+// servingRow returns the replica's row, and whether the replica takes new requests.
 func (r *Replica) servingRow() (platform.Replica, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/internal/endpoints/kept_test.go
+++ b/entry/internal/endpoints/kept_test.go
@@ -19,7 +19,7 @@
 	"guavaspring.org/platform/wire"
 )
 
-// fleetTable is the table of one of ten hosts in each of three zones, before a service with 15 replicas in each zone.
+// fleetTable is the table of one of ten hosts in each of three zones, for a service with 15 replicas in each zone.
 func fleetTable(farm *replicatest.Farm) *endpoints.Table {
 	var hosts []member.Host
 	for _, zone := range []string{"a", "b", "c"} {
@@ -40,7 +40,7 @@
 	return t
 }
 
-// picked returns how often each replica is chosen in a number of tries.
+// picked returns how often each replica is chosen in a number of choices.
 func picked(s *endpoints.Service, tries int) map[string]int {
 	count := map[string]int{}
 	need := endpoints.Need{Need: pick.Need{Usual: 10 * time.Millisecond, Within: 100 * time.Millisecond}}
@@ -52,8 +52,8 @@
 	return count
 }
 
-// Guards against a host of a large fleet that sends each replica a request a minute: it knows none of them, and opens a
-// connection for each request.
+// Guards against a host of a large fleet that sends each replica a request a minute: it can't measure any of them, and
+// opens a connection for each request.
 func TestHostKeepsToFewReplicas(t *testing.T) {
 	farm := replicatest.New()
 	defer farm.Close()
@@ -65,7 +65,8 @@
 	}
 }
 
-// Guards against a host whose few replicas leave or are evacuated, and that refuses what the others could do.
+// Guards against a host that refuses requests because the replicas of its subset left or are evacuated, while others
+// could serve them.
 func TestHostTakesOthersWhereItsOwnAreGone(t *testing.T) {
 	farm := replicatest.New()
 	defer farm.Close()
@@ -87,8 +88,8 @@
 	}
 }
 
-// Guards against work for all services with each change of one: a fleet's replicas change many times a second on each
-// of a thousand hosts.
+// Guards against work for all services on a change of one: a fleet's replicas change many times a second on each of a
+// thousand hosts.
 func TestChangeOfOneServiceLeavesTheOthers(t *testing.T) {
 	farm := replicatest.New()
 	defer farm.Close()
@@ -104,7 +105,7 @@
 	qt.Assert(t, len(table.Service("b").Replicas()), qt.Equals, 0)
 }
 
-// BenchmarkChange shows what one change costs beside other services.
+// BenchmarkChange measures one change in a table with many other services.
 func BenchmarkChange(b *testing.B) {
 	for _, services := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(services, "_services"), func(b *testing.B) {
--- a/entry/internal/endpoints/load.go
+++ b/entry/internal/endpoints/load.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// tookWeight is the weight of the newest try in the mean time of a service's tries: one in a hundred takes five
-	// times as long, and must not double what all others are expected to wait.
+	// tookWeight is the weight of the newest attempt in the mean time of a service's attempts: one in a hundred takes
+	// five times as long, and must not double the expected wait of all others.
 	tookWeight = 1.0 / 16
-	// meanOver is the time over which the tries under way are averaged: long enough for a host of a large fleet, which
-	// has one under way now and then, and short beside the seconds of a burst.
+	// meanOver is the time constant of the mean number of attempts in flight: long enough for a host of a large fleet,
+	// which rarely has one in flight, and short compared with the seconds of a burst.
 	meanOver = time.Second
 )
 
-// load is how busy this host keeps the replicas of a service.
+// load is this host's load on the replicas of a service.
 type load struct {
 	mu sync.Mutex
-	// running counts the tries under way, took is how long the late ones took.
+	// running is the number of attempts in flight, took the mean time of recent ones.
 	running int
 	took    time.Duration
-	// average is the mean of running as of at.
+	// average is the mean of running, as of at.
 	average float64
 	at      time.Time
 }
@@ -44,14 +44,14 @@
 	l.took += time.Duration(tookWeight * float64(took-l.took))
 }
 
-// advance brings the mean up to now.
+// advance updates the mean to now.
 func (l *load) advance(now time.Time) {
 	old := math.Exp(-now.Sub(l.at).Seconds() / meanOver.Seconds())
 	l.average = old*l.average + (1-old)*float64(l.running)
 	l.at = now
 }
 
-// mean returns how many tries were under way lately.
+// mean returns the recent mean number of attempts in flight.
 func (l *load) mean(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 	return l.average
 }
 
-// wait returns how long a number of waiting tries take to be sent.
+// wait returns the time until a number of waiting attempts are sent.
 func (l *load) wait(waiting int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/internal/endpoints/queue.go
+++ b/entry/internal/endpoints/queue.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Rank says how much a waiting try is worth to its request; the lower goes first.
+// Rank is the priority of a waiting attempt; lower ranks go first.
 type Rank int
 
-// The ranks of waiting tries.
+// The ranks of waiting attempts.
 const (
-	// Needed means that without the try the request can't be answered with success in time.
+	// Needed means that the request can't succeed in time without the attempt.
 	Needed Rank = iota
-	// Useful means that the request can be answered without it, less completely.
+	// Useful means that the request can succeed without the attempt, but with a less complete response.
 	Useful
-	// Late means that the answer has missed its objective already.
+	// Late means that the response has already missed its latency objective.
 	Late
 )
 
-// Waiter is one try that waits for a replica of a service to have room.
+// Waiter is an attempt that waits until a replica of a service has room.
 type Waiter struct {
-	// Since is when the try began to wait.
+	// Since is when the attempt began to wait.
 	Since time.Time
-	// Due is when the try has to leave for its answer to come in time; from then on it ranks as Late.
+	// Due is the latest time to send the attempt for its reply to come in time; from then on it ranks as Late.
 	Due time.Time
-	// Wake is called once when there may be room; it must not block.
+	// Wake is called once when a replica may have room; it must not block.
 	Wake func()
 
 	rank Rank
 }
 
-// queue holds the tries that wait for one service.
+// queue holds the waiting attempts of one service.
 //
-// It answers a shard that gets more work than its replicas left can do: the shard of a page whose other two replicas
-// were taken away. Sent on at once, all tries stand in the replica's queue past their objective and each page waits for
-// them in vain. Held here, the work that decides whether a page can be answered goes first, and what is late goes last.
+// It covers a shard whose remaining replicas can't do all its work, for example after two of three were removed. If all
+// attempts were sent at once, they would wait in the replica's queue past their objective, and every page would miss
+// the shard. Held here, attempts that decide whether a page succeeds go first, and late ones last.
 type queue struct {
 	mu      sync.Mutex
 	waiting []*Waiter
 }
 
-// Wait lets w wait with a rank; a waiter that waits already takes the new rank.
+// Wait adds w with a rank; if w is waiting already, its rank changes.
 func (q *queue) Wait(w *Waiter, rank Rank) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// Leave ends the wait of w.
+// Leave removes w.
 func (q *queue) Leave(w *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// Waiting returns how many tries wait.
+// Waiting returns the number of waiting attempts.
 func (q *queue) Waiting() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -74,7 +74,7 @@
 	return w.rank
 }
 
-// Wake wakes the waiter that goes first.
+// Wake removes and wakes the waiter that goes first.
 func (q *queue) Wake(now time.Time) {
 	q.mu.Lock()
 	if len(q.waiting) == 0 {
@@ -88,11 +88,11 @@
 	w.Wake()
 }
 
-// first returns the place of the waiter that goes first, of those with the lowest rank.
+// first returns the index of the waiter that goes first, among those with the lowest rank.
 //
-// While the queue is short that is the one that has waited longest. Once it has waited for half of what it can, more
-// comes than can be done: in that order all would leave at the last moment and come back late. Then the newest goes
-// first, which is in time, and those that can't all be served are the ones that have waited.
+// Normally that is the one that has waited longest. Once it has waited for half of the time it has, the service is
+// overloaded: in arrival order all attempts would be sent at the last moment and come back late. Then the newest one
+// goes first, which is still in time, and only attempts that have waited long are late.
 func (q *queue) first(now time.Time) int {
 	oldest, newest := 0, 0
 	for i, w := range q.waiting {
--- a/entry/internal/endpoints/replica.go
+++ b/entry/internal/endpoints/replica.go
@@ -17,64 +17,62 @@
 )
 
 const (
-	// slownessWeight and failureWeight are the weights of a new sample; about four samples outweigh what was known
-	// before.
+	// slownessWeight and failureWeight are the weights of a new sample; about four samples outweigh all earlier ones.
 	slownessWeight = 0.3
 	failureWeight  = 0.25
-	// outlier is how many times the usual a reply takes that is a long piece of work more often than a slow replica:
-	// one in a hundred takes five times as long. It counts with outlierWeight; a replica that is ten times slower still
-	// stands at twice the usual after one.
+	// outlier is the factor over the usual time from which a reply is more often long work than a slow replica: one in
+	// a hundred takes five times as long. Such a reply has the weight outlierWeight; after one, a replica that is ten
+	// times slower is still estimated at twice the usual.
 	outlier       = 2.5
 	outlierWeight = 0.1
-	// outlierAgain is the weight of an outlier that was sent after another one had come, with none in time between. A
-	// pause is met by all that is under way, and once; a replica that is ten times slower would otherwise be tried
-	// twice a second by each host, which forgets it as fast as it learns.
+	// outlierAgain is the weight of an outlier that was sent after the previous one had come, with no normal reply
+	// between. A pause hits all requests in flight, and only once; without the larger weight each host would try a
+	// replica that is ten times slower twice a second, as the estimate decays as fast as it grows.
 	outlierAgain = 0.5
-	// mostSlowness bounds what one sample can say, so that a replica that was dark is found again soon.
+	// mostSlowness bounds one sample, so that a replica that did not respond for a while is used again soon.
 	mostSlowness = 20
-	// firstPause and mostPause bound how long a replica that can't be reached is left alone; the time doubles with each
-	// failure.
+	// firstPause and mostPause bound the backoff after a replica could not be reached; it doubles with each failure.
 	firstPause = 100 * time.Millisecond
 	mostPause  = 2 * time.Second
-	// coldFor is how long a replica that was listed after the first list counts as cold: replicas are slow for some
+	// coldFor is how long a replica counts as cold that was added after the first list: replicas are slow for some
 	// seconds after their start.
 	coldFor = 3 * time.Second
 )
 
-// Replica is one replica with what this host has seen of it.
+// Replica is one process of a replica with what this host has measured of it.
 type Replica struct {
 	clock   clock.Clock
 	near    bool
 	region  string
 	service *Service
 	pool    *exchange.Pool
-	// evacuated reports whether nothing may be sent to the replicas of a zone.
+	// evacuated reports whether the replicas of a zone may get no requests.
 	evacuated func(zone string) bool
-	// coldShare returns how many requests this host may send to the replica in a second while it is cold.
+	// coldShare returns the number of requests per second that this host may send to the replica while it is cold.
 	coldShare func(replica string, perSecond float64) int
 
 	mu     sync.Mutex
 	row    platform.Replica
 	usable bool
-	// lapsed is when a row that vanished while the store was away counts as gone; zero where it is listed.
+	// lapsed is when a replica is removed whose row vanished during an outage of the store; zero while it is listed.
 	lapsed  time.Time
 	coldEnd time.Time
-	// spared says that the replica's zone was evacuated when the table last looked, coldSent when requests were sent to
+	// spared is whether the replica's zone was evacuated at the last update, coldSent the times of recent requests to
 	// it while it was cold.
 	spared   bool
 	coldSent []time.Time
-	// running holds the starts of the requests under way, in no order.
+	// running holds the start of each request in flight by its number.
 	running map[uint64]time.Time
 	next    uint64
-	// slowness and failures are as of seen, and lose weight from then on.
+	// slowness and failures are as of seen, and decay from then on.
 	slowness, failures float64
 	seen               time.Time
-	// reported is what the replica says of its speed and its queue.
+	// reported is the load that the replica reports.
 	reported reported
-	// late is when an outlier came last, zero where a reply in time has come since.
+	// late is when the last outlier came, zero if a normal reply has come since.
 	late time.Time
-	// until is when the replica may be tried again after it could not be reached, tries how often in a row that
-	// happened.
+	// until is the end of the backoff after the replica could not be reached, tries the number of such failures in a
+	// row.
 	until time.Time
 	tries int
 }
@@ -93,8 +91,8 @@
 	return r.row.Zone
 }
 
-// Process names the replica's process: a replica that starts again keeps its id, and what its former process did
-// doesn't count against it.
+// Process identifies the replica's process: a replica that starts again keeps its id, and failures of its former
+// process must not count against the new one.
 func (r *Replica) Process() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,7 +102,7 @@
 	return r.row.ID + "@" + strconv.FormatInt(r.row.Started.UnixMilli(), 10)
 }
 
-// Usable reports whether new requests may be sent to the replica: it is listed, does not leave, and its zone is not
+// Usable reports whether new requests may be sent to the replica: it is listed and not leaving, and its zone is not
 // evacuated.
 func (r *Replica) Usable() bool {
 	r.mu.Lock()
@@ -116,7 +114,7 @@
 	return r.usable && (r.lapsed.IsZero() || now.Before(r.lapsed)) && !r.evacuated(r.row.Zone)
 }
 
-// begin counts a request as under way and returns its number.
+// begin counts a request as in flight and returns its number.
 func (r *Replica) begin(now time.Time) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +123,8 @@
 	return r.next
 }
 
-// end counts the request as ended and learns from its result, where usual is the time of a healthy replica.
+// end counts the request as ended and updates the estimates from its result, where usual is the time of a healthy
+// replica.
 func (r *Replica) end(n uint64, res *exchange.Result, usual time.Duration) {
 	now := r.clock.Now()
 	r.mu.Lock()
@@ -137,7 +136,7 @@
 		r.learn(now, res.Took, usual, 0)
 		r.tries, r.until = 0, time.Time{}
 	case upstream.KindCanceled:
-		// A request that was given up took at least so long.
+		// A canceled request would have taken at least this long.
 		if float64(res.Took) > r.slownessAt(now)*float64(usual) {
 			r.learn(now, res.Took, usual, r.failures)
 		}
@@ -146,7 +145,7 @@
 			r.unreachable(now)
 		}
 	case upstream.KindRefused:
-		// The address belongs to another replica: nothing can be had here until the list says so.
+		// The address belongs to another replica: this one can't be used until the list changes.
 		r.usable = false
 	default:
 		r.learnFailure(now)
@@ -162,7 +161,7 @@
 	r.tries++
 }
 
-// times returns how many times the usual a reply took.
+// times returns the ratio of a reply's time to the usual one.
 func times(took, usual time.Duration) float64 {
 	return float64(took) / float64(max(usual, time.Millisecond))
 }
@@ -175,7 +174,7 @@
 	r.seen = now
 }
 
-// weigh returns the weight of a reply that was sent at some time and took x times the usual.
+// weigh returns the weight of a reply that was sent at the given time and took x times the usual.
 func (r *Replica) weigh(now, sent time.Time, x float64) float64 {
 	before := r.late
 	switch {
@@ -186,7 +185,7 @@
 		r.late = now
 		return outlierWeight
 	case sent.Before(before):
-		// It was there when the last one was: the same pause.
+		// It was in flight when the previous outlier came: the same pause delayed both.
 		return 0
 	}
 	r.late = now
@@ -207,7 +206,7 @@
 
 func (r *Replica) failuresAt(now time.Time) float64 { return r.failures * r.fade(now) }
 
-// view returns what a decision needs, whether the replica is left alone for a while, and whether it may be used at all.
+// view returns the input of a choice, whether the replica is in backoff, and whether it may be used at all.
 func (r *Replica) view(now time.Time) (v pick.Replica, resting, usable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,22 +222,22 @@
 
 var errUnusable = errors.New("the replica leaves or is gone, or its zone is evacuated")
 
-// Call is one request to be sent to a replica.
+// Call is one request to a replica.
 type Call struct {
 	Request *opaque.Request
-	// Deadline is when the replica has to give up.
+	// Deadline is when the replica must stop working on the request.
 	Deadline time.Time
-	// Connections is the most connections that this host may hold to the replica.
+	// Connections is the maximum number of connections from this host to the replica.
 	Connections int
-	// Usual is the time that a healthy replica takes, Unloaded the time while nothing queues there, zero for unknown.
+	// Usual is the time that a healthy replica takes, Unloaded the time without queueing there, zero if unknown.
 	Usual, Unloaded time.Duration
-	// Once says that the request must not run twice.
+	// Once forbids running the request twice.
 	Once bool
-	// ForOther says that the request came to another host, which counts it as its own.
+	// ForOther marks a request that another host received and counts as its own.
 	ForOther bool
 }
 
-// Send sends one request, unless the replica was found leaving meanwhile, and learns from how it ends.
+// Send sends one request, unless the replica has become unusable, and updates the estimates from its result.
 func (r *Replica) Send(ctx context.Context, call Call) exchange.Result {
 	began := r.clock.Now()
 	if !r.takeCold(began) {
@@ -250,7 +249,7 @@
 	}
 	res := r.pool.Do(ctx, &exchange.Call{
 		Request: call.Request, Replica: r.ID(), Deadline: call.Deadline, Connections: call.Connections, Once: call.Once,
-		// What waited for a connection may have outlived the replica's place in the list.
+		// The replica may have been removed while the request waited for a connection.
 		Guard: func() error {
 			if !r.Usable() {
 				return errUnusable
--- a/entry/internal/endpoints/reported.go
+++ b/entry/internal/endpoints/reported.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// paceForget and queueForget are the times in which what a replica reported of its speed and of its queue loses two
-	// thirds of its weight: the work beside it on its machine comes and goes within half a second, and a queue is gone
-	// or twice as long within the time of some replies.
+	// paceForget and queueForget are the time constants with which a reported pace and a reported queue decay: two
+	// thirds of the weight is lost after one. Interference on a shared machine comes and goes within half a second, and
+	// a queue is empty or twice as long after a few replies.
 	paceForget  = 400 * time.Millisecond
 	queueForget = 150 * time.Millisecond
-	// trustWeight is the weight of the newest reply in how often the replica's word foretold its replies, and
-	// believedFrom is from where on it counts. One reply in twenty meets a pause or is long work, which no word
-	// foretells; a word that is wrong for every second one says nothing.
+	// trustWeight is the weight of the newest reply in the share of accurate reports, and believedFrom is the least
+	// share at which reports are used. About one reply in twenty meets a pause or is long work, which no report
+	// predicts; a report that is wrong for every second reply carries no information.
 	trustWeight  = 0.2
 	believedFrom = 0.6
-	// foretold is how many times longer than the reported pace a reply may take, or shorter, for the word to hold.
+	// foretold is the factor by which a reply may take longer or shorter than the reported pace for the report to count
+	// as accurate.
 	foretold = 2.5
 )
 
-// reported is what a replica says of itself with its replies.
+// reported is the load that a replica reports with its replies.
 //
-// It answers machines that replicas share with others, and queues that other hosts fill. Of a replica that turns four
-// times slower for half a second a host learns by the replies that come late, which are as often long pieces of work,
-// so that it counts the first one little; by the time that it knows, the machine is as quick as before, and the replica
-// is left alone for seconds. And of many hosts none sees what the others send. The replica's word tells both at
-// once. Its speed is believed as far as it foretold the replies: some replicas say nothing, or the same always.
+// It covers machines that replicas share with other programs, and queues that other hosts fill. If a replica becomes
+// four times slower for half a second, its replies show it too late: a late reply is as often long work, so the first
+// one has little weight, and once the slowness is measured the machine has recovered while the replica is avoided for
+// seconds. And no host sees the requests of the others. The report shows both at once. It is weighted by how often it
+// predicted the replies, since some replicas report nothing or a constant.
 type reported struct {
-	// pace is how long work takes there, in times of the usual, zero where that was never said; queue is how many
-	// requests wait, in times of the slots.
+	// pace is the factor by which work currently takes longer than usual, zero if never reported; queue is the number
+	// of waiting requests per slot.
 	pace, queue float64
 	at          time.Time
-	// trust is the share of the latest replies that took about as long as the pace had them take.
+	// trust is the share of recent replies whose time matched the reported pace.
 	trust float64
 }
 
-// note takes over the word of a reply that took x times the usual; nil is none.
+// note stores the load reported with a reply that took x times the usual; nil means no report.
 func (p *reported) note(now time.Time, word *opaque.Load, x float64) {
 	if word == nil || word.Pace <= 0 {
 		return
@@ -54,7 +55,8 @@
 	p.pace, p.queue, p.at = word.Pace, float64(word.Waiting)/float64(word.Slots), now
 }
 
-// slowness returns how many times longer than usual replies take, where learned is what the replies themselves showed.
+// slowness returns the factor by which replies are expected to take longer than usual, where learned is the measured
+// one.
 func (p *reported) slowness(now time.Time, learned float64) float64 {
 	if p.pace <= 0 || p.trust < believedFrom {
 		return learned
@@ -62,7 +64,7 @@
 	return learned + p.trust*p.fade(now, paceForget)*(p.pace-learned)
 }
 
-// queued returns how many requests are expected to wait there, in times of the slots.
+// queued returns the expected number of waiting requests per slot.
 func (p *reported) queued(now time.Time) float64 {
 	if p.pace <= 0 {
 		return 0
--- a/entry/internal/endpoints/reported_test.go
+++ b/entry/internal/endpoints/reported_test.go
@@ -16,8 +16,8 @@
 	"guavaspring.org/platform/platformtest"
 )
 
-// shared answers as a replica whose machine turns four times slower for half a second in five, from a time on, and
-// reports it as said has it.
+// shared returns the handler of a replica whose machine is four times slower for half a second in every five, starting
+// at an offset in milliseconds, and that reports the load header returned by said.
 func shared(name string, from int64, said func(slow bool) string) func(*http.Request, []byte) replicatest.Answer {
 	return func(req *http.Request, body []byte) replicatest.Answer {
 		slow := (time.Now().UnixMilli()+from)%5000 < 500
@@ -31,9 +31,10 @@
 	}
 }
 
-// A host asks a service nine times a second, whose replicas stand on machines that turn four times slower for half a
-// second in five. Whoever chose without looking would get one reply in ten late. With the replicas' word at most a
-// third of those may be late; where it says nothing or is wrong, never more than without looking.
+// Guards against requests sent to a replica while its shared machine is slow. A host sends nine requests a second to a
+// service whose replicas are four times slower for half a second in every five, so that a choice without reports gets
+// one late reply in ten. With accurate reports at most a third of those may be late; with missing or wrong reports no
+// more than without them.
 func TestReplicasWordOfTheirSpeed(t *testing.T) {
 	const asked = 600
 	truth := func(slow bool) string {
--- a/entry/internal/endpoints/restart_test.go
+++ b/entry/internal/endpoints/restart_test.go
@@ -19,7 +19,7 @@
 	"guavaspring.org/entry/internal/replicatest"
 )
 
-// restarted returns a replica's row after it has started again.
+// restarted returns a replica's row after a restart.
 func restarted(row platform.Replica, after time.Duration, sequence int64) platform.Replica {
 	row.Started, row.Sequence = row.Started.Add(after), sequence
 	return row
@@ -30,7 +30,7 @@
 	return r.Row
 }
 
-// oneReplica returns a table that has listed one replica, and its row.
+// oneReplica returns a table with one listed replica, and the replica's row.
 func oneReplica(t *testing.T) (*endpoints.Table, platform.Replica) {
 	f := replicatest.New()
 	t.Cleanup(f.Close)
@@ -45,8 +45,8 @@
 	return r.Send(t.Context(), endpoints.Call{Request: req, Deadline: time.Now().Add(10 * time.Second), Connections: 4, Usual: 30 * time.Millisecond, Once: once})
 }
 
-// A replica crashes while its requests fail and its address refuses, and starts again under its id. The new process
-// must not wait out the rest and the failures of the old one: its shard would stay short for seconds.
+// Guards against backoff and failures of a crashed process that count against the process started next under the same
+// id: its shard would miss a replica for seconds.
 func TestRestartedReplicaIsNewToAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -82,8 +82,8 @@
 	})
 }
 
-// An address answers that it belongs to another replica, since one of another service had it for a while. The replica
-// then starts again under its id and address; what the old address said must not keep the new process out for good.
+// Guards against a replica that stays unusable after a restart. Its address was taken by another service's replica for
+// a while and rejected its requests; then it starts again under its id and address.
 func TestRestartEndsMisdirection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -103,9 +103,9 @@
 	})
 }
 
-// A write is under way at a replica whose host loses power, so that its connection says nothing more; the replica
-// starts again under its id. The write is lost at that moment, not at the deadline, its outcome is not known, and the
-// new process never gets it.
+// Guards against a write that waits for its deadline after its replica restarted. The replica's host loses power, so
+// that the connection stays silent, and the replica starts again under its id. The write has to fail at that moment
+// with an unknown outcome, and the new process must not receive it.
 func TestRestartEndsWhatIsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -129,9 +129,9 @@
 	})
 }
 
-// A write that a replica had given up reaches the store late: it says that the replica is ready, after it has said that
-// it leaves, has started again, or is gone. Believed, it would bring back a process that ended, or send requests to one
-// that is about to.
+// Guards against a late write that brings back an ended process, or sends requests to one that is about to end. A row
+// that the replica had given up on writing reaches the store after a row that it leaves, after its restart, or after
+// its removal.
 func TestLateRowBringsNothingBack(t *testing.T) {
 	leaving := func(r platform.Replica) platform.Replica {
 		r.State = platform.StateLeaving
@@ -139,12 +139,12 @@
 	}
 	tests := []struct {
 		name string
-		// rows returns what is known when the late row comes, after the first one.
+		// rows returns the rows known when the late row comes, following the first one.
 		rows func(first platform.Replica) []platform.Replica
-		// gone says that the last of rows is the row of a replica that is taken off the list.
+		// gone is whether the replica of the last row is taken off the list.
 		gone   bool
 		usable int
-		// started is how long after the first process the one started that is in use then.
+		// started is the time from the start of the first process to that of the process in use at the end.
 		started time.Duration
 	}{
 		{"after it said that it leaves", func(r platform.Replica) []platform.Replica {
@@ -189,9 +189,8 @@
 	}
 }
 
-// The clock of a replica's host is set back, and the replica starts again: by its clock it started before its former
-// process. It writes again and again; left out for good, its shard would have a replica less for as long as the process
-// lives.
+// Guards against a replica that is left out for as long as its process lives. The clock of its host is set back, so
+// that after a restart its start is before that of its former process; it keeps writing its row.
 func TestRestartOnAClockThatWasSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, row := oneReplica(t)
@@ -204,9 +203,9 @@
 	})
 }
 
-// An entry is overwritten with nonsense, or claims to have started tomorrow. It names no replica from then on, also
-// right after an outage of the store, when what vanished is still used for a while; once it is good again the replica
-// is used again.
+// Guards against the use of a replica whose entry is unreadable or has a start in the future. It has to be removed at
+// once, even after an outage of the store, when vanished replicas are still used for a while, and used again once its
+// entry is valid.
 func TestEntryThatCannotBeBelieved(t *testing.T) {
 	for _, returned := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/entry/internal/endpoints/rows.go
+++ b/entry/internal/endpoints/rows.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// doubtFor is how long a row of an earlier start is not believed: a replica that lives writes every 1.2 s, and the
-	// third write that changes nothing says that no later process is there.
+	// doubtFor is the time for which a row of an earlier start is held back: a live replica writes every 1.2 s, and if
+	// a third write still brings no newer row, no later process exists.
 	doubtFor = 3600 * time.Millisecond
-	// mostAhead is how far the clock of a replica's host may be ahead of this one's. Clocks jump by seconds; a start
-	// that is further ahead would make every true row an old one.
+	// mostAhead bounds how far the clock of a replica's host may be ahead of this host's. Clocks jump by seconds;
+	// accepting a start further ahead would make every correct row look old.
 	mostAhead = time.Minute
 )
 
-// set takes over a row, unless it is older than what is known.
+// set applies a row, unless it is older than the known one.
 func (t *Table) set(row platform.Replica) {
 	now := t.opts.Clock.Now()
 	if row.Started.Sub(now) > mostAhead {
-		events.ReplicaRowOld.Log(t.opts.Log, "replica", row.ID, "started", row.Started, "reason", "it starts in the future")
+		events.ReplicaRowOld.Log(t.opts.Log, "replica", row.ID, "started", row.Started, "reason", "the start time is in the future")
 		t.remove(row.ID, false)
 		return
 	}
@@ -34,7 +34,7 @@
 	t.put(row, now)
 }
 
-// last returns the newest row that was known of a replica.
+// last returns the newest known row of a replica, listed or removed.
 func (t *Table) last(id string, now time.Time) (platform.Replica, bool) {
 	if r := t.replicas[id]; r != nil {
 		return r.row, true
@@ -42,11 +42,11 @@
 	return t.ended.row(id, now)
 }
 
-// doubt leaves out a row that is older than the one known.
+// doubt holds back a row that is older than the known one.
 //
-// A row of the same process is old for good. One of another process is a late write of a process that ended, or else
-// the clock of the replica's host was set back between two starts. Then the replica lives and writes again and again
-// what is refused here, so that the row is believed once nothing newer has come for some heartbeats.
+// A row of the same process is always stale. A row of another process is either a late write of an ended process, or
+// the clock of the replica's host was set back between two starts. In the second case the replica is live and keeps
+// writing the row, so the row is accepted once nothing newer has come for some heartbeats.
 func (t *Table) doubt(row, old platform.Replica) {
 	events.ReplicaRowOld.Log(t.opts.Log, "replica", row.ID, "started", row.Started, "sequence", row.Sequence, "known_started", old.Started, "known_sequence", old.Sequence)
 	if row.Started.Equal(old.Started) {
@@ -56,7 +56,7 @@
 	t.opts.Clock.AfterFunc(doubtFor, func() { t.believe(row, old) })
 }
 
-// believe takes over a row that was doubted, unless another one has come since.
+// believe applies a row that was held back, unless another one has come since.
 func (t *Table) believe(row, old platform.Replica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +69,7 @@
 	t.publish()
 }
 
-// put takes over a row, of a known replica or of a new one.
+// put stores a row of a known or a new replica.
 func (t *Table) put(row platform.Replica, now time.Time) {
 	r := t.replicas[row.ID]
 	if r != nil && r.row.SameProcess(row) {
@@ -98,8 +98,8 @@
 	r.noteRow(t.opts.Clock.Now())
 }
 
-// restart drops a process whose replica has started again. What is under way there is lost, and nobody waits for it:
-// where the host of the old process had lost power, its connections would stay silent.
+// restart removes a process whose replica has started again, and fails its requests in flight at once: if the host of
+// the old process lost power, its connections would stay silent until the deadline.
 func (t *Table) restart(r *Replica, row platform.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -13,48 +13,49 @@
 	"guavaspring.org/entry/internal/spend"
 )
 
-// Verdict says how a choice ended.
+// Verdict is the outcome of a choice.
 type Verdict string
 
-// The ways in which a choice ends.
+// The verdicts of a choice.
 const (
 	// Found means that a replica was chosen.
 	Found Verdict = "found"
-	// Busy means that every replica left holds as many connections of this host as it may.
+	// Busy means that every remaining replica is at its limit of requests or connections from this host.
 	Busy Verdict = "busy"
-	// None means that no replica is left that may be used.
+	// None means that no usable replica remains.
 	None Verdict = "none"
 )
 
-// Service is one service's replicas and its budget of extra tries.
+// Service holds one service's replicas and its retry and hedge budget.
 type Service struct {
 	Name   string
 	Budget *spend.Budget
 	queue
 	list atomic.Pointer[[]*Replica]
-	// zones are the availability zones that hold a replica which serves.
+	// zones holds the availability zones and regions with a serving replica.
 	zones atomic.Pointer[zones]
-	// hosts returns the id of this host and the hosts that clients are sent to, or is nil, and chosen are the replicas
-	// that this host keeps to for the newest of both.
+	// hosts returns the id of this host and the serving hosts, or is nil; chosen caches this host's subset of the
+	// replicas.
 	hosts  func() (self string, serving []member.Host)
 	chosen atomic.Pointer[chosen]
-	// cold is what the service's replicas bear while they are cold.
+	// cold holds the limits of the service's replicas while they are cold.
 	cold atomic.Pointer[cold]
-	// conns is the most connections that this host may hold to each replica.
+	// conns is the maximum number of connections from this host to each replica.
 	conns atomic.Int64
-	// part returns which part of all requests this host sends.
+	// part returns this host's part of all requests.
 	part func() float64
 	load load
-	// slots is how many requests all replicas that don't leave run at once.
+	// slots is the total number of slots of the serving replicas.
 	slots atomic.Int64
-	// queued is how long requests queue at the replicas, by all hosts; spare is the least time that a route lets them.
+	// queued is the queueing delay at the replicas, caused by all hosts; spare is the shortest time for which a route
+	// lets attempts wait.
 	queued queueing.Delay
 	spare  spare
 }
 
-// Delay returns how long a try that comes now is expected to wait for room: at this host as long as those that wait
-// already take to be sent, where as many run at once as do now, and at the replica as long as others waited there
-// lately. together is the wait at all services of the query.
+// Delay returns how long an attempt that comes now is expected to wait for room: the time until the attempts waiting at
+// this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. together is the
+// queueing delay over all services of the query.
 func (s *Service) Delay(now time.Time, together time.Duration) time.Duration {
 	here := s.load.wait(s.Waiting())
 	if !s.occupied(now) {
@@ -63,39 +64,38 @@
 	return here + max(time.Duration(togetherPart*float64(together)), s.queued.At(now))
 }
 
-// Begin counts a try of a request that came to this host, whichever host sends it, and End its end and how long it
-// took: how busy the replicas are is worked out from what came here, which is this host's part of all, and not from
-// what it sends for others.
+// Begin counts an attempt for a request that this host received, whichever host sends it. The load of the replicas is
+// estimated from received requests, of which this host has a known share, and not from those that it sends for other
+// hosts.
 func (s *Service) Begin(now time.Time) { s.load.begin(now) }
 
-// End counts the end of a try that Begin counted.
+// End counts the end of an attempt that Begin counted, and how long it took.
 func (s *Service) End(now time.Time, took time.Duration) { s.load.end(now, took) }
 
-// Replied takes over how long a reply took, where unloaded is how long it takes while nothing queues, zero for unknown.
+// Replied records the time of a reply, where unloaded is the time without queueing, zero if unknown.
 func (s *Service) Replied(now time.Time, took, unloaded time.Duration) {
 	s.queued.Observe(now, took, unloaded)
 }
 
-// Newest returns how long the newest reply waited at its replica, and whether that is fresh.
+// Newest returns the queueing delay of the newest reply, and whether it is recent.
 func (s *Service) Newest(now time.Time) (time.Duration, bool) { return s.queued.Newest(now) }
 
-// togetherPart is how much of the wait that the newest replies of all services show counts for each of them. One reply
-// of a service may have met a replica that pauses, and of ten often one or two have, which must not count whole. But it
-// tells of a burst ten times sooner than the replies of one service do.
+// togetherPart is the part of the queueing delay over all services that counts for each of them. Of ten replies, one or
+// two often met a replica that paused, so it must not count whole. But it shows a burst ten times sooner than the
+// replies of one service do.
 const togetherPart = 0.5
 
-// occupiedFrom is how many requests are at the replicas, as a share of those that they run at once, from which on late
-// replies are taken for a sign of queues. A queue that takes as long as the work doubles them, and part of a host's
-// estimate is chance: where each host has nine requests a second, it is a third off as often as not.
+// occupiedFrom is the utilization from which late replies are taken as a sign of queues. A queue that takes as long as
+// the work doubles the requests at the replicas, and a host's estimate is partly random: at nine requests a second per
+// host it is off by a third about half of the time.
 const occupiedFrom = 1.4
 
-// occupied reports whether the replicas may have queues: whether all hosts together have more requests there than they
-// run at once, where this host does its part. Replicas that are slow and have little to do are late, too, and refusing
-// requests would not make them any quicker.
+// occupied reports whether the replicas may have queues: whether all hosts together have more requests there than the
+// slots, estimated from this host's share. Slow replicas with little to do reply late, too, and refusing requests would
+// not make them faster.
 func (s *Service) occupied(now time.Time) bool { return s.use(now) >= occupiedFrom }
 
-// use returns how many requests are at the replicas, as a share of those that they run at once, where this host does
-// its part of all.
+// use returns the utilization of the replicas: requests there per slot, estimated from this host's share.
 func (s *Service) use(now time.Time) float64 {
 	can := float64(s.slots.Load()) * s.part()
 	if can <= 0 {
@@ -104,14 +104,14 @@
 	return s.load.mean(now) / can
 }
 
-// Spare takes over how long a route lets its tries wait for room, and returns the least that any route to the service
-// said lately.
+// Spare records how long a route lets its attempts wait for room, and returns the shortest time that any route to the
+// service recorded recently.
 func (s *Service) Spare(now time.Time, d time.Duration) time.Duration { return s.spare.least(now, d) }
 
-// Connections returns the most connections that this host may hold to each replica.
+// Connections returns the maximum number of connections from this host to each replica.
 func (s *Service) Connections() int { return int(s.conns.Load()) }
 
-// publish takes over the service's replicas, of which serves tells which are there for new requests.
+// publish stores the service's replicas, where serves reports whether one takes new requests.
 func (s *Service) publish(now time.Time, members map[string]*Replica, serves func(*Replica) bool) {
 	list := make([]*Replica, 0, len(members))
 	z, slots := &zones{}, int64(0)
@@ -128,7 +128,7 @@
 	s.Wake(now)
 }
 
-// zones is where a service's serving replicas are; near says that one is in the host's own zone.
+// zones holds the zones and regions of a service's serving replicas; near is whether one is in the host's own zone.
 type zones struct {
 	near           bool
 	names, regions []string
@@ -144,51 +144,52 @@
 	}
 }
 
-// Zones returns the availability zones that hold a replica which neither leaves nor stands in an evacuated zone, and
-// whether the host's own is one of them; the slice must not be changed.
+// Zones returns the availability zones with a replica that is not leaving, without evacuated zones, and whether the
+// host's own is one of them; the slice must not be changed.
 func (s *Service) Zones() (near bool, names []string) {
 	z := s.zones.Load()
 	return z.near, z.names
 }
 
-// Served reports whether a replica serves in one of some regions, or anywhere where there are none: one that is listed,
-// does not leave, and does not stand in an evacuated zone.
+// Served reports whether a replica serves in one of the regions, or in any if none is given: one that is listed, not
+// leaving, and not in an evacuated zone.
 func (s *Service) Served(in []string) bool {
 	return slices.ContainsFunc(s.zones.Load().regions, func(region string) bool { return homes.Allow(in, region) })
 }
 
-// Replicas returns the replicas that are listed; the slice must not be changed.
+// Replicas returns the listed replicas; the slice must not be changed.
 func (s *Service) Replicas() []*Replica { return *s.list.Load() }
 
-// Need is what a request asks of a choice.
+// Need holds the requirements of a request for a choice.
 type Need struct {
 	pick.Need
-	// Homes are the regions in which alone the request may run; none means any.
+	// Homes are the only regions in which the request may run; none means any.
 	Homes []string
-	// Tried holds the replicas that had a try of the request, and Among those of which one is wanted; none means any.
+	// Tried holds the replicas that had an attempt of the request, and Among the only ones to choose from; none means
+	// any.
 	Tried, Among []*Replica
 }
 
-// excludes reports whether a replica is none for the request, whatever its state.
+// excludes reports whether the request rules out a replica, whatever its state.
 func (n *Need) excludes(r *Replica) bool {
 	return slices.Contains(n.Tried, r) || len(n.Among) > 0 && !slices.Contains(n.Among, r) || !homes.Allow(n.Homes, r.region)
 }
 
-// Choice is a replica that was chosen, with what decided it.
+// Choice is the chosen replica with the data behind the choice.
 type Choice struct {
 	Replica *Replica
-	// Estimate is how long a request there is expected to take.
+	// Estimate is the expected time of a request there.
 	Estimate time.Duration
-	// Seen is what was known of the replica.
+	// Seen is the state of the replica at the time of the choice.
 	Seen pick.Replica
 }
 
-// widenFrom is how many times the usual the best of the replicas that a host keeps to is expected to take before the
-// others are looked at.
+// widenFrom is the factor over the usual time from which the estimate of the best replica in the host's subset makes
+// the host look at the others.
 const widenFrom = 2.5
 
-// Pick returns the replica that goes first among those that were not tried: one of those that the host keeps to, or any
-// while these are full, slow or gone.
+// Pick chooses the best replica that the request does not rule out: one of the host's subset, or any while those are
+// full, slow or gone.
 func (s *Service) Pick(now time.Time, need Need, draw func() float64) (Choice, Verdict) {
 	list := s.Replicas()
 	if kept := s.kept(list); len(need.Among) == 0 && len(kept) < len(list) {
@@ -200,10 +201,10 @@
 	return s.pick(now, list, need, draw)
 }
 
-// pick returns the replica of some that goes first.
+// pick chooses the best replica of a list.
 //
-// One that has room but is too slow to be of use is passed over while another is only full: a try there would take one
-// of the few that a request has, where a short wait brings a better one.
+// One that has room but is too slow to be of use is passed over while another is merely full: an attempt there would
+// use up one of the few that a request has, and after a short wait a better replica has room.
 func (s *Service) pick(now time.Time, list []*Replica, need Need, draw func() float64) (Choice, Verdict) {
 	var best, rested Choice
 	busy := time.Duration(-1)
@@ -230,7 +231,7 @@
 		}
 	}
 	if best.Replica == nil {
-		// One that could not be reached a moment ago is better than none.
+		// A replica in backoff is better than none.
 		best = rested
 	}
 	switch {
@@ -242,8 +243,8 @@
 	return best, Found
 }
 
-// admits reports whether a replica takes one more request of this host now: a connection is left, and one that is cold
-// bears it.
+// admits reports whether a replica takes one more request of this host now: a connection is free, and the limit of a
+// cold replica allows it.
 func (s *Service) admits(r *Replica, seen pick.Replica, now time.Time) bool {
 	return r.pool.Free(s.Connections()) && (!seen.Cold || r.bearsCold(now))
 }
@@ -254,5 +255,5 @@
 	}
 }
 
-// Running returns how many requests of this host are under way at the replicas.
+// Running returns the number of this host's requests in flight at the replicas.
 func (s *Service) Running() int { return s.load.count() }
--- a/entry/internal/endpoints/spare.go
+++ b/entry/internal/endpoints/spare.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// spareFor is how long a route counts that sends no request any more.
+// spareFor is how long a route counts after its last request.
 const spareFor = 5 * time.Second
 
-// spare is the least time for which the routes to one service let their tries wait for room.
+// spare is the shortest time for which a route to the service lets its attempts wait for room.
 type spare struct {
 	mu    sync.Mutex
 	value time.Duration
 	noted time.Time
 }
 
-// least takes over the time of one route and returns the least one of the last spareFor.
+// least records the time of one route and returns the shortest of the last spareFor.
 func (s *spare) least(now time.Time, d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/internal/endpoints/table.go
+++ b/entry/internal/endpoints/table.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// lapseFor is how long replicas that vanished from the store while it was away are still used after its return:
-	// those that live are back within about two seconds.
+	// lapseFor is how long replicas that vanished during an outage of the store are used after its return: live ones
+	// are listed again within about two seconds.
 	lapseFor = 2500 * time.Millisecond
-	// connsPart is the part of a replica's connections that the hosts share; the rest is for those that join, and for
+	// connsPart is the part of a replica's connections that the hosts share; the rest is for hosts that join, and for
 	// connections that the replica still counts while they close.
 	connsPart = 0.8
-	// leastConns is what each host may always hold: one for a request and one for a second try.
+	// leastConns is the minimum per host: one connection for a request and one for a second attempt.
 	leastConns = 2
-	// defaultConns stands in for a service whose limit is not configured.
+	// defaultConns is the limit of a service without a configured one.
 	defaultConns = 8
 )
 
@@ -38,25 +38,25 @@
 	Log   logr.Logger
 	// Zone is the host's own availability zone.
 	Zone string
-	// Regions holds the region of each availability zone; a zone that is not in it has none, and is no request's home.
+	// Regions holds the region of each availability zone; a zone without one is no request's home.
 	Regions map[string]string
 	Codec   *opaque.Codec
 	Spend   spend.Options
-	// Share returns the part, 0 to 1, of what all hosts together may do that this host takes.
+	// Share returns this host's part, 0 to 1, of a limit that holds for all hosts together.
 	Share func() float64
-	// Hosts returns the id of this host and the hosts that clients are sent to, among which the replicas are divided; nil
-	// means that this host uses all of them.
+	// Hosts returns the id of this host and the serving hosts, among which the replicas are divided; nil means that
+	// this host uses all of them.
 	Hosts func() (self string, serving []member.Host)
-	// Evacuated reports whether nothing may be sent to the replicas of an availability zone; nil means that no zone is
+	// Evacuated reports whether the replicas of an availability zone may get no requests; nil means that no zone is
 	// evacuated.
 	Evacuated func(zone string) bool
-	// ColdShare returns how many requests this host may send in any second to a cold replica that bears a number of
-	// them; nil means as many as it bears.
+	// ColdShare returns the number of requests that this host may send in any second to a cold replica whose limit is
+	// perSecond for all hosts; nil means the whole limit.
 	ColdShare func(replica string, perSecond float64) int
 	// Dial opens a connection to a replica; nil means TCP.
 	Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	// Opened returns what is used in place of a new connection to a replica in the own zone, or in another; nil means
-	// the connection itself.
+	// Opened wraps a new connection to a replica; near is whether the replica is in the host's own zone. Nil means no
+	// wrapper.
 	Opened func(c net.Conn, near bool) net.Conn
 }
 
@@ -67,17 +67,17 @@
 	mu       sync.Mutex
 	services map[string]*Service
 	replicas map[string]*Replica
-	// members holds the replicas of each service by id, and touched the services whose replicas have changed since they
-	// were published.
+	// members holds the replicas of each service by id, and touched the services whose replicas have changed since the
+	// last publish.
 	members map[string]map[string]*Replica
 	touched map[string]bool
 	limits  map[string]route.Service
 	listed  bool
-	// ended holds the last rows of replicas that are gone.
+	// ended holds the last rows of removed replicas.
 	ended ended
-	// doubted holds rows that are older than the one in use, of a process that may be the newer one nevertheless.
+	// doubted holds rows that are older than the one in use but may be of a newer process.
 	doubted map[string]platform.Replica
-	// dialed counts the connections to replicas that are gone.
+	// dialed is the number of connections opened to removed replicas.
 	dialed uint64
 }
 
@@ -95,7 +95,7 @@
 	return &Table{opts: opts, services: map[string]*Service{}, replicas: map[string]*Replica{}, members: map[string]map[string]*Replica{}, touched: map[string]bool{}, ended: ended{rows: map[string]endedRow{}}, doubted: map[string]platform.Replica{}}
 }
 
-// Service returns a service, which need not have replicas.
+// Service returns the named service, which may have no replicas.
 func (t *Table) Service(name string) *Service {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +123,7 @@
 	return max(leastConns, int(connsPart*float64(limit.MaxConns)*t.opts.Share()))
 }
 
-// SetLimits takes over the configured limits of all services; it is called again when the number of hosts changes.
+// SetLimits applies the configured limits of all services; it is called again when the number of hosts changes.
 func (t *Table) SetLimits(limits map[string]route.Service) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// Replace takes over a list of all replicas; returned says that the store was away before it.
+// Replace applies a list of all replicas; returned is whether it is the first list after an outage of the store.
 func (t *Table) Replace(batch feed.Batch[platform.Replica], returned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,7 +152,7 @@
 	t.publish()
 }
 
-// Change takes over replicas that changed.
+// Change applies changed replicas; returned is as for Replace.
 func (t *Table) Change(batch feed.Batch[platform.Replica], returned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,7 +162,7 @@
 	t.publish()
 }
 
-// Refresh works out anew where requests may go; it is called when the evacuated zones have changed.
+// Refresh recomputes which replicas may be used; it is called when the evacuated zones have changed.
 func (t *Table) Refresh() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,7 +174,7 @@
 	t.publish()
 }
 
-// take takes over one entry. One that can't be read any more names no replica, whether or not the store was away.
+// take applies one entry. An unreadable one removes its replica at once, even after an outage of the store.
 func (t *Table) take(e feed.Entry[platform.Replica], returned bool) {
 	switch {
 	case e.Unreadable:
@@ -186,7 +186,7 @@
 	}
 }
 
-// Dialed returns how many connections were opened to the replicas that are listed.
+// Dialed returns the number of connections opened to replicas, listed and removed.
 func (t *Table) Dialed() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,15 +197,15 @@
 	return n
 }
 
-// Known reports whether a list was ever read.
+// Known reports whether a list of replicas was read.
 func (t *Table) Known() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.listed
 }
 
-// remove takes a replica out. One that vanished while the store was away may live: the store forgets those that could
-// not write to it.
+// remove removes a replica. One that vanished during an outage of the store may be live: the store drops replicas that
+// could not write to it.
 func (t *Table) remove(id string, returned bool) {
 	r := t.replicas[id]
 	if r == nil {
@@ -224,7 +224,7 @@
 	t.forget(r)
 }
 
-// forget drops a replica whose lock is held.
+// forget removes a replica whose lock is held, and keeps its last row.
 func (t *Table) forget(r *Replica) {
 	t.drop(r)
 	t.ended.add(r.row, t.opts.Clock.Now())
@@ -259,8 +259,8 @@
 	}
 }
 
-// publish gives each service whose replicas have changed the list of them. A fleet's replicas change many times a second,
-// and all other services have theirs.
+// publish updates the list of each service whose replicas have changed, and only of those: replicas of a fleet change
+// many times a second.
 func (t *Table) publish() {
 	for name := range t.touched {
 		t.service(name).publish(t.opts.Clock.Now(), t.members[name], t.serves)
@@ -271,7 +271,7 @@
 	clear(t.touched)
 }
 
-// serves reports whether a replica is there for new requests: it does not leave, and its zone is not evacuated.
+// serves reports whether a replica takes new requests: it is not leaving, and its zone is not evacuated.
 func (t *Table) serves(r *Replica) bool {
 	return r.row.State != platform.StateLeaving && !t.opts.Evacuated(r.row.Zone)
 }
--- a/entry/internal/endpoints/table_test.go
+++ b/entry/internal/endpoints/table_test.go
@@ -45,8 +45,7 @@
 	return n
 }
 
-// A replica announces that it leaves, or is taken off the list. From then on nothing is sent to it, as it may end at
-// any moment.
+// Guards against requests to a replica that leaves or was taken off the list: its process may end at any moment.
 func TestLeavingReplicaIsNotUsed(t *testing.T) {
 	for _, deleted := range []bool{false, true} {
 		f := replicatest.New()
@@ -62,7 +61,7 @@
 	}
 }
 
-// A host starts while a replica leaves: the first list that it reads shows it as leaving already.
+// Guards against requests to a replica that is leaving already in the first list that the host reads.
 func TestReplicaThatLeavesAtTheStart(t *testing.T) {
 	f := replicatest.New()
 	r := f.Add("a", 1, replicatest.OK("a-1", 0, "x"))
@@ -72,9 +71,9 @@
 	qt.Assert(t, usable(table.Service("a")), qt.Equals, 0)
 }
 
-// The store is away for some seconds and forgets replicas that could not write to it. They live, and are back in the
-// list within two seconds of its return; taken as gone at once, a whole service would have no replica. One that does
-// not come back is gone.
+// Guards against a service without replicas after an outage of the store, which drops replicas that could not write to
+// it. Live ones are listed again within two seconds of its return and have to stay in use until then; one that is not
+// listed again has to be removed.
 func TestLapsedReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
@@ -92,8 +91,8 @@
 	})
 }
 
-// Two tries wait for a shard that has one replica left. The one without which its page fails goes first, though it came
-// later; one that can't come back in time any more goes last, though it came first.
+// Guards against attempts that wait in the wrong order for the last replica of a shard: the attempt without which a
+// page fails goes first although it came later, and one that can't come back in time goes last although it came first.
 func TestQueueOrder(t *testing.T) {
 	f := replicatest.New()
 	s := newTable(f).Service("a")
@@ -115,8 +114,8 @@
 	qt.Assert(t, order, qt.DeepEquals, []string{"needed", "needed later", "useful", "late"})
 }
 
-// More work comes for a shard than it can do. Served in order of arrival, each try would leave at the last moment and
-// come back late; the newest, which is in time, has to go first.
+// Guards against an overloaded shard whose attempts are all late: in order of arrival each would be sent at the last
+// moment. The newest, which is in time, has to go first.
 func TestQueueOrderUnderOverload(t *testing.T) {
 	f := replicatest.New()
 	s := newTable(f).Service("a")
@@ -131,11 +130,11 @@
 	qt.Assert(t, order, qt.DeepEquals, []string{"newest", "middle", "oldest"})
 }
 
-// usual is how long a healthy replica takes.
+// usual is the time that a healthy replica takes.
 const usual = 30 * time.Millisecond
 
-// nearAndFar is a service with a replica in the host's own zone, whose work takes as long as the test says, and one
-// elsewhere.
+// nearAndFar is a service with one replica in the host's own zone, whose time per request the test sets, and one in
+// another zone.
 type nearAndFar struct {
 	t         *testing.T
 	service   *endpoints.Service
@@ -160,14 +159,14 @@
 
 var need = endpoints.Need{Need: pick.Need{Usual: usual, Within: time.Second}}
 
-// chosen returns the replica that a request would go to now.
+// chosen returns the id of the replica that a request would be sent to now.
 func (b *nearAndFar) chosen() string {
 	c, verdict := b.service.Pick(time.Now(), need, func() float64 { return 0.5 })
 	qt.Assert(b.t, verdict, qt.Equals, endpoints.Found)
 	return c.Replica.ID()
 }
 
-// send sends a request for which the near replica would work for some time.
+// send sends a request that takes the given time at the near replica.
 func (b *nearAndFar) send(took time.Duration) {
 	b.work.Store(int64(took))
 	c, _ := b.service.Pick(time.Now(), need, func() float64 { return 0.5 })
@@ -176,8 +175,8 @@
 	qt.Assert(b.t, res.Kind, qt.Equals, upstream.KindOK)
 }
 
-// One reply in a hundred takes five times as long, as its work is longer. The replica in the own zone must not be left
-// for seconds for it; one that is ten times slower must be, after the second reply at the latest.
+// Guards against avoiding the replica in the own zone for seconds after one long reply: one in a hundred takes five
+// times as long. A replica that is ten times slower has to be avoided after the second reply at the latest.
 func TestLongReplyIsNotASlowReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newNearAndFar(t)
@@ -195,8 +194,8 @@
 	})
 }
 
-// A replica in the own zone has turned ten times slower for seconds. A host that tried it again as soon as it had half
-// forgotten would lose a page in seven to it; one late reply alone must not drive it away.
+// Guards against attempts at a replica that has been ten times slower for seconds: a host that tried it again as soon
+// as its estimate had half decayed would lose one page in seven. A single late reply must not drive the host away.
 func TestReplicaThatIsLateTwiceIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newNearAndFar(t)
@@ -209,7 +208,7 @@
 		qt.Check(t, b.chosen(), qt.Equals, b.near)
 		b.send(10 * usual)
 		qt.Check(t, b.chosen(), qt.Equals, b.far)
-		// It is well again.
+		// The replica has recovered.
 		time.Sleep(5 * time.Second)
 		for range 3 {
 			b.send(usual)
@@ -219,8 +218,8 @@
 	})
 }
 
-// A replica pauses for a quarter of a second while two requests of the host are there, as each replica does every six
-// seconds. Both are late, and nothing is wrong with it.
+// Guards against taking a pause for a slow replica. Each replica pauses for a quarter of a second every six seconds;
+// two requests in flight are both late, although nothing is wrong.
 func TestPauseIsNotASlowReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newNearAndFar(t)
