--- a/entry/internal/memberlog/doc.go
+++ b/entry/internal/memberlog/doc.go
@@ -1,2 +1,2 @@
-// Package memberlog writes what a host comes to believe of other hosts to its log.
+// Package memberlog logs state changes of other hosts in the member list.
 package memberlog
--- a/entry/internal/memberlog/memberlog.go
+++ b/entry/internal/memberlog/memberlog.go
@@ -8,7 +8,7 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// Changed returns a function that writes one line for each change of another host's row.
+// Changed returns a callback that logs each state change of another host.
 func Changed(log logr.Logger) func(old, now member.Host) {
 	return func(old, now member.Host) {
 		ev := map[member.State]event.Event{
