--- a/entry/internal/explain/doc.go
+++ b/entry/internal/explain/doc.go
@@ -1,2 +1,2 @@
-// Package explain keeps the latest decisions of this host, so that an answer can be explained.
+// Package explain keeps the decisions of this host for its latest responses, so that a response can be explained.
 package explain
--- a/entry/internal/explain/explain.go
+++ b/entry/internal/explain/explain.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Decision is one thing that the host decided about a request.
+// Decision is one decision of the host about a request.
 type Decision struct {
-	// AtMS is when, in milliseconds after the request arrived.
+	// AtMS is the time of the decision, in milliseconds after the request arrived.
 	AtMS float64 `json:"at_ms"`
-	// What names the decision, such as "route", "hedge", "retry", "miss" or "refuse".
+	// What is the kind of decision, such as "route", "hedge", "retry", "miss" or "refuse".
 	What string `json:"what"`
-	// Shard is the shard concerned, -1 where it concerns the whole request.
+	// Shard is the shard concerned, -1 if the decision concerns the whole request.
 	Shard int `json:"shard"`
 	// Replica is the replica concerned, if any.
 	Replica string `json:"replica,omitempty"`
-	// Why gives the reason in words.
+	// Why is the reason as text.
 	Why string `json:"why,omitempty"`
 }
 
-// Millis returns d in milliseconds, to the microsecond, as AtMS and TookMS count.
+// Millis returns d in milliseconds, with microsecond precision, the unit of AtMS and TookMS.
 func Millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Record is the explanation of one answer.
+// Record explains one response.
 type Record struct {
 	ID        string     `json:"id"`
 	RequestID string     `json:"request_id"`
@@ -35,7 +35,7 @@
 	Decisions []Decision `json:"decisions"`
 }
 
-// Store keeps the latest records of this host, bounded.
+// Store keeps a bounded number of the latest records of this host.
 type Store struct {
 	mu   sync.Mutex
 	buf  []*Record
@@ -43,7 +43,7 @@
 	byID map[string]*Record
 }
 
-// New returns a store of the latest size records; it panics unless size is positive.
+// New returns a store of the latest size records; it panics if size is not positive.
 func New(size int) *Store {
 	if size <= 0 {
 		panic("explain: size must be positive")
@@ -51,7 +51,7 @@
 	return &Store{buf: make([]*Record, size), byID: make(map[string]*Record, size)}
 }
 
-// Add keeps rec and forgets the oldest record of a full store.
+// Add stores rec, in place of the oldest record if the store is full.
 func (s *Store) Add(rec *Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	s.next = (s.next + 1) % len(s.buf)
 }
 
-// Get returns the record with the id, if it is still kept.
+// Get returns the record with the id, if it is still stored.
 func (s *Store) Get(id string) (*Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
