--- a/entry/internal/status/doc.go
+++ b/entry/internal/status/doc.go
@@ -1,2 +1,2 @@
-// Package status writes what the system reports of each service to the platform.
+// Package status writes the status of each service to the platform.
 package status
--- a/entry/internal/status/writer.go
+++ b/entry/internal/status/writer.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// writeEvery is the least time between two writes of one service's status, so that a replica that comes and goes
-	// costs the platform at most one write each five seconds.
+	// writeEvery is the minimum time between two writes of one service's status, so that a flapping replica costs the
+	// platform at most one write every five seconds.
 	writeEvery  = 5 * time.Second
 	tickEvery   = 500 * time.Millisecond
 	callTimeout = 2 * time.Second
-	// sample is the most hosts asked for their generation; a share of 32 shows within a few per cent who lags.
+	// sample is the maximum number of hosts asked for their generation; a sample of 32 shows the share of lagging hosts
+	// within a few per cent.
 	sample = 32
 )
 
@@ -31,45 +32,44 @@
 type Options struct {
 	Clock clock.Clock
 	Log   logr.Logger
-	// Get and Put are the platform's calls.
+	// Get and Put read and write an object of the platform.
 	Get func(ctx context.Context, kind platform.Kind, name string) (platform.Object, error)
 	Put func(ctx context.Context, kind platform.Kind, name string, version int64, body []byte) (platform.Object, error)
-	// Self and Hosts return this host's row and every host that is not dead.
+	// Self and Hosts return this host's row and all hosts that are not dead.
 	Self  func() member.Host
 	Hosts func() []member.Host
-	// Era returns the era of the platform's objects, which rises when the platform comes back from an older copy of them;
-	// nil means that it never does.
+	// Era returns the restart era of the platform's store, which increases when the store is restored from a backup;
+	// nil means that it never is.
 	Era func() int64
-	// First reports whether this host is the first watcher for a purpose.
+	// First reports whether this host is the first watcher for a purpose, by rendezvous hash.
 	First func(purpose string) bool
-	// Services returns the names of all services that are configured or proposed.
+	// Services returns the names of all services with an accepted or a proposed configuration.
 	Services func() []string
-	// Report returns the part of the status that this host knows by itself.
+	// Report returns the part of the status that this host has locally.
 	Report func(service string) platform.Status
-	// Number asks a host which generation of a service it has in force.
+	// Number asks a host for its generation in force of a service.
 	Number func(ctx context.Context, h member.Host, service string) (int64, error)
 }
 
-// Writer writes the status of each service whose first watcher this host is: a watcher, since others don't see
-// proposals.
+// Writer writes the status of each service for which this host is the first watcher; only watchers receive proposals.
 //
-// Hosts that disagree on who is a member may both be first for a while; the conditional update keeps the object whole,
-// and both write the same but for what only one of them sees.
+// Hosts that disagree on the members may both be first for a while. The conditional update keeps the object consistent,
+// and both write the same status except for what only one of them has seen.
 type Writer struct {
 	opts  Options
 	state map[string]*state
-	// era is the one in which the statuses were written.
+	// era is the restart era in which the statuses were written.
 	era int64
 }
 
 type state struct {
 	last  platform.Status
 	wrote time.Time
-	// failed says that the last write failed, which is logged once.
+	// failed is whether the last write failed; only the first of several failures is logged.
 	failed bool
 }
 
-// New returns a writer that does nothing until Run.
+// New returns a writer that is idle until Run.
 func New(opts Options) *Writer {
 	if opts.Era == nil {
 		opts.Era = func() int64 { return 0 }
@@ -77,7 +77,7 @@
 	return &Writer{opts: opts, state: map[string]*state{}}
 }
 
-// Run writes changed statuses until ctx ends; during an outage of the platform it goes on trying at the same rate.
+// Run writes changed statuses until ctx ends; during an outage of the platform it retries at the same rate.
 func (w *Writer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.tick(ctx)
@@ -88,13 +88,13 @@
 func (w *Writer) tick(ctx context.Context) {
 	hosts := w.opts.Hosts()
 	if era := w.opts.Era(); era != w.era {
-		// What was written may be lost.
+		// The restored backup may lack the written statuses.
 		clear(w.state)
 		w.era = era
 	}
 	for _, name := range w.opts.Services() {
 		if !w.opts.First("status " + name) {
-			// Whoever is first again later must compare with what the others wrote meanwhile.
+			// If this host becomes first again, it has to compare with what others wrote meanwhile.
 			delete(w.state, name)
 			continue
 		}
@@ -132,8 +132,8 @@
 		"refused", report.Refused, "asked", report.Hosts.Asked, "in_force", report.Hosts.InForce)
 }
 
-// unchanged reports whether there is nothing new to write: hosts are only asked again after a change, or until all have
-// it.
+// unchanged reports whether there is nothing new to write. Hosts are asked again only after a change, or while some
+// lack the generation.
 func (w *Writer) unchanged(last, now platform.Status) bool {
 	if last.Hosts.InForce < last.Hosts.Asked {
 		return false
@@ -157,10 +157,11 @@
 	return c
 }
 
-// ask asks a few hosts, or all of a small fleet, which generation they have in force.
+// ask asks a sample of the hosts, or all of a small fleet, for their generation in force, and returns the number of
+// hosts asked and of those that have the generation or a later one.
 func (w *Writer) ask(ctx context.Context, name string, number int64, hosts []member.Host) (asked, inForce int) {
 	now := w.opts.Clock.Now()
-	// Ranking by a purpose that changes draws another sample each time.
+	// The purpose changes each second, so that each ranking draws another sample.
 	list := member.Ranked(hosts, fmt.Sprint("sample ", name, now.Unix()))
 	list = slices.DeleteFunc(list, func(h member.Host) bool { return h.State != member.StateAlive })
 	list = list[:min(sample, len(list))]
@@ -181,7 +182,7 @@
 	return len(list), inForce
 }
 
-// write reads the version first, since another host may have written while it was first.
+// write reads the current version first, since another host may have written the object.
 func (w *Writer) write(ctx context.Context, name string, report platform.Status) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/entry/internal/status/writer_test.go
+++ b/entry/internal/status/writer_test.go
@@ -19,7 +19,7 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// scene is a fleet whose facts a test changes while the writers of all its hosts run.
+// scene is a fleet with a fake platform; a test changes its state while the writers of all hosts run.
 type scene struct {
 	mu      sync.Mutex
 	object  platform.Object
@@ -68,7 +68,7 @@
 	f(s)
 }
 
-// written returns the status on the platform and how often it was written.
+// written returns the status on the platform and the number of writes.
 func (s *scene) written(c *qt.C) (platform.Status, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	playStatusOf(t, nil, f)
 }
 
-// playStatusOf plays a platform that says its era.
+// playStatusOf runs the writers of all hosts with a restart era, and f beside them after ten seconds.
 func playStatusOf(t *testing.T, era func() int64, f func(c *qt.C, s *scene)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scene{lagging: map[string]bool{}, report: platform.Status{Service: "board-feed", Generation: 1, Proposed: 1}}
@@ -111,8 +111,8 @@
 	})
 }
 
-// Story: a replica comes and goes all the time, on a platform that takes a few hundred writes a second for everybody.
-// One host writes, when something changed, and at most once in five seconds.
+// Guards against too many status writes: the platform takes a few hundred writes a second for all its users, and a
+// replica flaps all the time. Only one host may write, only after a change, and at most once every five seconds.
 func TestOneHostWritesChangesAtABoundedRate(t *testing.T) {
 	playStatus(t, func(c *qt.C, s *scene) {
 		_, before := s.written(c)
@@ -129,8 +129,8 @@
 	})
 }
 
-// Story: a team applies a document with an error. The last one stays in force, and unless the status says which
-// proposal was refused and why, the team believes that its change is live.
+// Guards against a refused proposal that looks accepted. A team applies an invalid document and the previous one stays
+// in force; without the refused proposal and the reason in the status, the team assumes that its change is in force.
 func TestStatusSaysWhatWasRefusedAndWhoLags(t *testing.T) {
 	playStatus(t, func(c *qt.C, s *scene) {
 		s.set(func(s *scene) { s.report.Proposed, s.report.Refused = 2, "hedge.budget_percent: -1: out of range" })
@@ -154,7 +154,7 @@
 	})
 }
 
-// Story: the platform is down for an hour while things change. After it the status must be true again by itself.
+// Guards against a status that stays stale after an outage: the platform is down for an hour while the status changes.
 func TestStatusIsTrueAgainAfterAnOutage(t *testing.T) {
 	playStatus(t, func(c *qt.C, s *scene) {
 		s.set(func(s *scene) { s.down, s.report.Replicas.Known = true, 29 })
@@ -166,8 +166,8 @@
 	})
 }
 
-// Guards against a status that the platform has lost, coming back from an older copy, and that is wrong until something
-// changes.
+// Guards against a stale status after the platform's store was restored from a backup: it would stay wrong until the
+// next change.
 func TestLostStatusIsWrittenAgain(t *testing.T) {
 	var era atomic.Int64
 	playStatusOf(t, era.Load, func(c *qt.C, s *scene) {
