--- a/entry/internal/accepted/doc.go
+++ b/entry/internal/accepted/doc.go
@@ -1,2 +1,2 @@
-// Package accepted keeps the accepted configuration generation of every service, which never goes back.
+// Package accepted stores the accepted configuration generation of every service, which never goes back.
 package accepted
--- a/entry/internal/accepted/generation.go
+++ b/entry/internal/accepted/generation.go
@@ -9,20 +9,20 @@
 	"guavaspring.org/core/document"
 )
 
-// Generation is one accepted document; Number is the platform version of the proposal it came from.
+// Generation is one accepted document; Number is the platform version of its proposal.
 type Generation struct {
 	Service  string            `json:"service"`
 	Number   int64             `json:"number"`
 	Document document.Document `json:"document"`
-	// Raw is the accepted object as it was recorded, or nil for a generation made in this process.
+	// Raw is the encoded object as it was stored, nil for a generation created in this process.
 	//
-	// Hosts hand on these bytes and never what they understood of them: a host of an older version doesn't know
-	// every key, and would drop the others for each host that hears from it.
+	// Hosts forward these bytes and never a re-encoded document: a host of an older version ignores keys that it does
+	// not support, and would drop them for each host that receives the generation from it.
 	Raw json.RawMessage `json:"-"`
 }
 
-// Decode reads an accepted object. Keys that it lacks, as one written by an older version does, take their defaults;
-// limits that this version would refuse stay as they were accepted, since an accepted generation never reverts.
+// Decode decodes an accepted object. Missing keys, as in an object written by an older version, get their defaults;
+// limits that this version would reject stay as accepted, since an accepted generation is never reverted.
 func Decode(raw []byte) (Generation, error) {
 	gen := Generation{Document: document.Default()}
 	if err := json.Unmarshal(raw, &gen); err != nil {
@@ -41,7 +41,7 @@
 	return gen, nil
 }
 
-// usable refuses only what the program can't run with: zeros that it divides by or waits for.
+// usable rejects only values with which the program can't run: zeros that it divides by or waits for.
 func usable(doc document.Document) error {
 	for _, f := range []struct {
 		key string
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Encoded returns the bytes to record or hand on.
+// Encoded returns the bytes to store or to send.
 func (g Generation) Encoded() ([]byte, error) {
 	if g.Raw != nil {
 		return g.Raw, nil
@@ -74,21 +74,21 @@
 	return b, nil
 }
 
-// Mark says which generation of a service a host has in force, without the document.
+// Mark is the number of a service's generation in force on a host, without the document.
 type Mark struct {
 	Service string
 	Number  int64
 }
 
-// Key is the hash of the service, which places the mark in digests.
+// Key is the hash of the service name, the mark's key in digests.
 func (m Mark) Key() uint64 {
 	f := fnv.New64a()
-	// Writing to a hash returns no error.
+	// A hash returns no write error.
 	_, _ = f.Write([]byte(m.Service))
 	return f.Sum64() * 0x9e3779b97f4a7c15
 }
 
-// Sum changes with the number.
+// Sum is the mark's checksum in digests; it depends on the number.
 func (m Mark) Sum() uint64 {
 	return (m.Key() ^ uint64(m.Number)*0xc4ceb9fe1a85ec53) * 0xff51afd7ed558ccd
 }
--- a/entry/internal/accepted/store.go
+++ b/entry/internal/accepted/store.go
@@ -8,24 +8,24 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// Store holds the highest generation heard for each service.
+// Store holds the highest known generation of each service.
 type Store struct {
 	mu    sync.RWMutex
 	byKey map[string]Generation
-	// OnChange is called after a higher generation came into force, one call at a time.
+	// onChange is called after a higher generation came into force, one call at a time.
 	onChange func(Generation)
 	change   sync.Mutex
 }
 
-// New returns an empty store that calls onChange, which may be nil, after each change.
+// New returns an empty store that calls onChange, if not nil, after each change.
 func New(onChange func(Generation)) *Store {
 	return &Store{byKey: map[string]Generation{}, onChange: onChange}
 }
 
-// Offer puts gen in force if it is higher than what is known, and reports whether it was.
+// Offer puts gen in force if its number is higher than the known one, and reports whether it did.
 //
-// Every source passes through here: the platform, whose reads may lag, and peers, which may have been
-// paused. Taking only higher numbers is what keeps an accepted generation from being reverted.
+// It handles generations from every source: the platform, whose reads may lag, and peers, which may have been paused.
+// Accepting only higher numbers ensures that an accepted generation is never reverted.
 func (s *Store) Offer(gen Generation) bool {
 	s.change.Lock()
 	defer s.change.Unlock()
@@ -50,7 +50,7 @@
 	return gen, ok
 }
 
-// All returns the generation in force of every service, in no order.
+// All returns the generations in force of all services, in no order.
 func (s *Store) All() []Generation {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -61,7 +61,7 @@
 	return list
 }
 
-// Marks returns the mark of every service below p, ordered by service.
+// Marks returns the marks of all services below p, ordered by service.
 func (s *Store) Marks(p digest.Prefix) []Mark {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -75,7 +75,7 @@
 	return list
 }
 
-// Entries returns the digest entry of every service.
+// Entries returns the digest entries of all services.
 func (s *Store) Entries() []digest.Entry {
 	marks := s.Marks(digest.Prefix{})
 	entries := make([]digest.Entry, len(marks))
@@ -85,7 +85,7 @@
 	return entries
 }
 
-// Lacks reports whether m is higher than what is in force here.
+// Lacks reports whether the number of m is higher than that of the generation in force here.
 func (s *Store) Lacks(m Mark) bool {
 	gen, ok := s.Get(m.Service)
 	return !ok || gen.Number < m.Number
