--- a/entry/internal/endpoints/evacuation_test.go
+++ b/entry/internal/endpoints/evacuation_test.go
@@ -86,10 +86,10 @@
 		qt.Check(t, s.Served(nil), qt.IsTrue, c)
 	}
 
-	alone := newZonedTable(replicatest.New(), f.Dial, "a")
-	alone.evacuate("a")
-	qt.Assert(t, alone.Service("s").Served(nil), qt.IsFalse)
-	_, verdict := alone.Service("s").Pick(time.Now(), need, func() float64 { return 0 })
+	oneZone := newZonedTable(replicatest.New(), f.Dial, "a")
+	oneZone.evacuate("a")
+	qt.Assert(t, oneZone.Service("s").Served(nil), qt.IsFalse)
+	_, verdict := oneZone.Service("s").Pick(time.Now(), need, func() float64 { return 0 })
 	qt.Assert(t, verdict, qt.Equals, endpoints.None)
 }
 
--- a/entry/internal/endpoints/load.go
+++ b/entry/internal/endpoints/load.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// tookWeight is the weight of the newest attempt in the mean time of a service's attempts: one in a hundred takes
-	// five times as long, and must not double the expected wait of all others.
-	tookWeight = 1.0 / 16
-	// meanOver is the time constant of the mean number of attempts in flight: long enough for a host of a large fleet,
-	// which rarely has one in flight, and short compared with the seconds of a burst.
-	meanOver = time.Second
+	// meanTookWeight is the weight of the newest attempt in the mean time of a service's attempts: one in a hundred
+	// takes five times as long, and must not double the expected wait of all others.
+	meanTookWeight = 1.0 / 16
+	// meanTimeConstant is the time constant of the mean number of attempts in flight: long enough for a host of a large
+	// fleet, which rarely has one in flight, and short compared with the seconds of a burst.
+	meanTimeConstant = time.Second
 )
 
 // load is this host's load on the replicas of a service.
 type load struct {
 	mu sync.Mutex
 	// running is the number of attempts in flight, took the mean time of recent ones.
-	running int
-	took    time.Duration
+	running  int
+	meanTook time.Duration
 	// average is the mean of running, as of at.
 	average float64
 	at      time.Time
@@ -38,16 +38,16 @@
 	defer l.mu.Unlock()
 	l.advance(now)
 	l.running--
-	if l.took == 0 {
-		l.took = took
+	if l.meanTook == 0 {
+		l.meanTook = took
 	}
-	l.took += time.Duration(tookWeight * float64(took-l.took))
+	l.meanTook += time.Duration(meanTookWeight * float64(took-l.meanTook))
 }
 
 // advance updates the mean to now.
 func (l *load) advance(now time.Time) {
-	old := math.Exp(-now.Sub(l.at).Seconds() / meanOver.Seconds())
-	l.average = old*l.average + (1-old)*float64(l.running)
+	decay := math.Exp(-now.Sub(l.at).Seconds() / meanTimeConstant.Seconds())
+	l.average = decay*l.average + (1-decay)*float64(l.running)
 	l.at = now
 }
 
@@ -59,11 +59,11 @@
 	return l.average
 }
 
-// wait returns the time until a number of waiting attempts are sent.
-func (l *load) wait(waiting int) time.Duration {
+// expectedWait returns the time until a number of waiting attempts are sent.
+func (l *load) expectedWait(waiting int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(waiting) * l.took / time.Duration(max(1, l.running))
+	return time.Duration(waiting) * l.meanTook / time.Duration(max(1, l.running))
 }
 
 func (l *load) count() int {
--- a/entry/internal/endpoints/reported_test.go
+++ b/entry/internal/endpoints/reported_test.go
@@ -16,11 +16,11 @@
 	"guavaspring.org/platform/platformtest"
 )
 
-// shared returns the handler of a replica whose machine is four times slower for half a second in every five, starting
-// at an offset in milliseconds, and that reports the load header returned by said.
-func shared(name string, from int64, said func(slow bool) string) func(*http.Request, []byte) replicatest.Answer {
+// onSharedMachine returns the handler of a replica whose machine is four times slower for half a second in every five,
+// starting at an offset in milliseconds, and that reports the load header returned by said.
+func onSharedMachine(name string, offset int64, said func(slow bool) string) func(*http.Request, []byte) replicatest.Answer {
 	return func(req *http.Request, body []byte) replicatest.Answer {
-		slow := (time.Now().UnixMilli()+from)%5000 < 500
+		slow := (time.Now().UnixMilli()+offset)%5000 < 500
 		work := 10 * time.Millisecond
 		if slow {
 			work *= 4
@@ -36,8 +36,8 @@
 // one late reply in ten. With accurate reports at most a third of those may be late; with missing or wrong reports no
 // more than without them.
 func TestReplicasWordOfTheirSpeed(t *testing.T) {
-	const asked = 600
-	truth := func(slow bool) string {
+	const requests = 600
+	accurate := func(slow bool) string {
 		if slow {
 			return "1,0,4,400"
 		}
@@ -48,23 +48,23 @@
 		said func(bool) string
 		late int
 	}{
-		{"the truth", truth, asked / 30},
-		{"no pace", func(bool) string { return "1,0,4" }, asked / 10},
-		{"always quick", func(bool) string { return "1,0,4,100" }, asked / 10},
-		{"always slow", func(bool) string { return "1,0,4,400" }, asked / 10},
-		{"nonsense", func(bool) string { return "x,,-1,4" }, asked / 10},
+		{"the truth", accurate, requests / 30},
+		{"no pace", func(bool) string { return "1,0,4" }, requests / 10},
+		{"always quick", func(bool) string { return "1,0,4,100" }, requests / 10},
+		{"always slow", func(bool) string { return "1,0,4,400" }, requests / 10},
+		{"nonsense", func(bool) string { return "x,,-1,4" }, requests / 10},
 	}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			f := replicatest.New()
-			f.Add("s", 1, shared("s-1", 0, test.said)).Row.Zone = "a"
-			f.Add("s", 2, shared("s-2", 2500, test.said)).Row.Zone = "b"
+			f.Add("s", 1, onSharedMachine("s-1", 0, test.said)).Row.Zone = "a"
+			f.Add("s", 2, onSharedMachine("s-2", 2500, test.said)).Row.Zone = "b"
 			table := newTable(f)
 			table.Replace(f.Batch(), false)
 			s := table.Service("s")
 			need := endpoints.Need{Need: pick.Need{Usual: 10 * time.Millisecond, Within: 100 * time.Millisecond}}
 			late := 0
-			for n := range asked {
+			for n := range requests {
 				c, verdict := s.Pick(time.Now(), need, func() float64 { return 0.5 })
 				qt.Assert(t, verdict, qt.Equals, endpoints.Found)
 				req := &opaque.Request{ID: fmt.Sprintf("q%d", n), Method: "GET", Target: "/", Path: "/", Host: "h"}
@@ -74,7 +74,7 @@
 				}
 				time.Sleep(110 * time.Millisecond)
 			}
-			qt.Check(t, late <= test.late, qt.IsTrue, qt.Commentf("%s: %d of %d late", test.name, late, asked))
+			qt.Check(t, late <= test.late, qt.IsTrue, qt.Commentf("%s: %d of %d late", test.name, late, requests))
 			f.Close()
 		})
 	}
--- a/entry/internal/endpoints/restart_test.go
+++ b/entry/internal/endpoints/restart_test.go
@@ -25,7 +25,7 @@
 	return row
 }
 
-func started(r *replicatest.Replica) platform.Replica {
+func withStart(r *replicatest.Replica) platform.Replica {
 	r.Row.Started, r.Row.Sequence = time.Now().Add(-time.Hour).UTC().Truncate(time.Millisecond), 40
 	return r.Row
 }
@@ -34,7 +34,7 @@
 func oneReplica(t *testing.T) (*endpoints.Table, platform.Replica) {
 	f := replicatest.New()
 	t.Cleanup(f.Close)
-	row := started(f.Add("a", 1, replicatest.OK("a-1", 0, "x")))
+	row := withStart(f.Add("a", 1, replicatest.OK("a-1", 0, "x")))
 	table := newTable(f)
 	table.Replace(f.Batch(), false)
 	return table, row
@@ -53,7 +53,7 @@
 		t.Cleanup(f.Close)
 		handle := replicatest.Broken(time.Millisecond)
 		r := f.Add("a", 1, func(req *http.Request, b []byte) replicatest.Answer { return handle(req, b) })
-		started(r)
+		withStart(r)
 		other := f.Add("a", 2, replicatest.OK("a-2", 30*time.Millisecond, "x"))
 		other.Row.Zone = "b"
 		table := newTable(f)
@@ -67,12 +67,12 @@
 		for range 4 {
 			send(t, old, false)
 		}
-		beside := pick().Replica
-		qt.Assert(t, beside.ID(), qt.Equals, "a-2")
+		second := pick().Replica
+		qt.Assert(t, second.ID(), qt.Equals, "a-2")
 		handle = replicatest.OK("a-1", 30*time.Millisecond, "x")
 		table.Change(changed(restarted(r.Row, time.Hour, 1), false), false)
 		qt.Assert(t, old.Usable(), qt.IsFalse)
-		c := pick(beside)
+		c := pick(second)
 		qt.Assert(t, c.Replica.ID(), qt.Equals, "a-1")
 		qt.Assert(t, c.Seen.Cold, qt.IsTrue)
 		qt.Assert(t, c.Seen.Failures, qt.Equals, 0.0)
@@ -90,7 +90,7 @@
 		t.Cleanup(f.Close)
 		handle := replicatest.Misdirected()
 		r := f.Add("a", 1, func(req *http.Request, b []byte) replicatest.Answer { return handle(req, b) })
-		started(r)
+		withStart(r)
 		table := newTable(f)
 		table.Replace(f.Batch(), false)
 		qt.Assert(t, send(t, table.Service("a").Replicas()[0], false).Kind, qt.Equals, upstream.KindRefused)
@@ -111,7 +111,7 @@
 		f := replicatest.New()
 		t.Cleanup(f.Close)
 		r := f.Add("a", 1, func(*http.Request, []byte) replicatest.Answer { return replicatest.Answer{Silent: true} })
-		started(r)
+		withStart(r)
 		table := newTable(f)
 		table.Replace(f.Batch(), false)
 		done := make(chan exchange.Result, 1)
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -33,35 +33,35 @@
 	queue
 	list atomic.Pointer[[]*Replica]
 	// zones holds the availability zones and regions with a serving replica.
-	zones atomic.Pointer[zones]
-	// hosts returns the id of this host and the serving hosts, or is nil; chosen caches this host's subset of the
+	zones atomic.Pointer[servingZones]
+	// hosts returns the id of this host and the serving hosts, or is nil; subsetCache caches this host's subset of the
 	// replicas.
-	hosts  func() (self string, serving []member.Host)
-	chosen atomic.Pointer[chosen]
+	hosts       func() (self string, serving []member.Host)
+	subsetCache atomic.Pointer[cachedSubset]
 	// cold holds the limits of the service's replicas while they are cold.
-	cold atomic.Pointer[cold]
+	cold atomic.Pointer[coldLimits]
 	// conns is the maximum number of connections from this host to each replica.
 	conns atomic.Int64
-	// part returns this host's part of all requests.
-	part func() float64
-	load load
+	// share returns this host's share of all requests.
+	share func() float64
+	load  load
 	// slots is the total number of slots of the serving replicas.
 	slots atomic.Int64
-	// queued is the queueing delay at the replicas, caused by all hosts; spare is the shortest time for which a route
-	// lets attempts wait.
-	queued queueing.Delay
-	spare  spare
+	// queueDelay is the queueing delay at the replicas, caused by all hosts; shortestWait is the shortest time for
+	// which a route lets attempts wait.
+	queueDelay   queueing.Delay
+	shortestWait shortestWait
 }
 
 // Delay returns how long an attempt that comes now is expected to wait for room: the time until the attempts waiting at
-// this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. together is the
+// this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. combined is the
 // queueing delay over all services of the query.
-func (s *Service) Delay(now time.Time, together time.Duration) time.Duration {
-	here := s.load.wait(s.Waiting())
-	if !s.occupied(now) {
+func (s *Service) Delay(now time.Time, combined time.Duration) time.Duration {
+	here := s.load.expectedWait(s.Waiting())
+	if !s.mayQueue(now) {
 		return here
 	}
-	return here + max(time.Duration(togetherPart*float64(together)), s.queued.At(now))
+	return here + max(time.Duration(combinedDelayRatio*float64(combined)), s.queueDelay.At(now))
 }
 
 // Begin counts an attempt for a request that this host received, whichever host sends it. The load of the replicas is
@@ -74,39 +74,41 @@
 
 // Replied records the time of a reply, where unloaded is the time without queueing, zero if unknown.
 func (s *Service) Replied(now time.Time, took, unloaded time.Duration) {
-	s.queued.Observe(now, took, unloaded)
+	s.queueDelay.Observe(now, took, unloaded)
 }
 
 // Newest returns the queueing delay of the newest reply, and whether it is recent.
-func (s *Service) Newest(now time.Time) (time.Duration, bool) { return s.queued.Newest(now) }
+func (s *Service) Newest(now time.Time) (time.Duration, bool) { return s.queueDelay.Newest(now) }
 
-// togetherPart is the part of the queueing delay over all services that counts for each of them. Of ten replies, one or
-// two often met a replica that paused, so it must not count whole. But it shows a burst ten times sooner than the
-// replies of one service do.
-const togetherPart = 0.5
+// combinedDelayRatio is the part of the queueing delay over all services that counts for each of them. Of ten replies,
+// one or two often met a replica that paused, so it must not count whole. But it shows a burst ten times sooner than
+// the replies of one service do.
+const combinedDelayRatio = 0.5
 
-// occupiedFrom is the utilization from which late replies are taken as a sign of queues. A queue that takes as long as
-// the work doubles the requests at the replicas, and a host's estimate is partly random: at nine requests a second per
-// host it is off by a third about half of the time.
-const occupiedFrom = 1.4
+// queueUtilization is the utilization from which late replies are taken as a sign of queues. A queue that takes as long
+// as the work doubles the requests at the replicas, and a host's estimate is partly random: at nine requests a second
+// per host it is off by a third about half of the time.
+const queueUtilization = 1.4
 
-// occupied reports whether the replicas may have queues: whether all hosts together have more requests there than the
+// mayQueue reports whether the replicas may have queues: whether all hosts together have more requests there than the
 // slots, estimated from this host's share. Slow replicas with little to do reply late, too, and refusing requests would
 // not make them faster.
-func (s *Service) occupied(now time.Time) bool { return s.use(now) >= occupiedFrom }
+func (s *Service) mayQueue(now time.Time) bool { return s.utilization(now) >= queueUtilization }
 
-// use returns the utilization of the replicas: requests there per slot, estimated from this host's share.
-func (s *Service) use(now time.Time) float64 {
-	can := float64(s.slots.Load()) * s.part()
-	if can <= 0 {
+// utilization returns the utilization of the replicas: requests there per slot, estimated from this host's share.
+func (s *Service) utilization(now time.Time) float64 {
+	capacity := float64(s.slots.Load()) * s.share()
+	if capacity <= 0 {
 		return 0
 	}
-	return s.load.mean(now) / can
+	return s.load.mean(now) / capacity
 }
 
 // Spare records how long a route lets its attempts wait for room, and returns the shortest time that any route to the
 // service recorded recently.
-func (s *Service) Spare(now time.Time, d time.Duration) time.Duration { return s.spare.least(now, d) }
+func (s *Service) Spare(now time.Time, d time.Duration) time.Duration {
+	return s.shortestWait.record(now, d)
+}
 
 // Connections returns the maximum number of connections from this host to each replica.
 func (s *Service) Connections() int { return int(s.conns.Load()) }
@@ -114,7 +116,7 @@
 // publish stores the service's replicas, where serves reports whether one takes new requests.
 func (s *Service) publish(now time.Time, members map[string]*Replica, serves func(*Replica) bool) {
 	list := make([]*Replica, 0, len(members))
-	z, slots := &zones{}, int64(0)
+	z, slots := &servingZones{}, int64(0)
 	for _, r := range members {
 		list = append(list, r)
 		if serves(r) {
@@ -128,13 +130,14 @@
 	s.Wake(now)
 }
 
-// zones holds the zones and regions of a service's serving replicas; near is whether one is in the host's own zone.
-type zones struct {
+// servingZones holds the zones and regions of a service's serving replicas; near is whether one is in the host's
+// own zone.
+type servingZones struct {
 	near           bool
 	names, regions []string
 }
 
-func (z *zones) add(r *Replica) {
+func (z *servingZones) add(r *Replica) {
 	z.near = z.near || r.near
 	if !slices.Contains(z.regions, r.region) {
 		z.regions = append(z.regions, r.region)
@@ -184,17 +187,17 @@
 	Seen pick.Replica
 }
 
-// widenFrom is the factor over the usual time from which the estimate of the best replica in the host's subset makes
+// widenRatio is the factor over the usual time from which the estimate of the best replica in the host's subset makes
 // the host look at the others.
-const widenFrom = 2.5
+const widenRatio = 2.5
 
 // Pick chooses the best replica that the request does not rule out: one of the host's subset, or any while those are
 // full, slow or gone.
 func (s *Service) Pick(now time.Time, need Need, draw func() float64) (Choice, Verdict) {
 	list := s.Replicas()
-	if kept := s.kept(list); len(need.Among) == 0 && len(kept) < len(list) {
-		c, verdict := s.pick(now, kept, need, draw)
-		if verdict == Found && float64(c.Estimate) <= widenFrom*float64(need.Usual) {
+	if own := s.hostSubset(list); len(need.Among) == 0 && len(own) < len(list) {
+		c, verdict := s.pick(now, own, need, draw)
+		if verdict == Found && float64(c.Estimate) <= widenRatio*float64(need.Usual) {
 			return c, verdict
 		}
 	}
@@ -206,52 +209,52 @@
 // One that has room but is too slow to be of use is passed over while another is merely full: an attempt there would
 // use up one of the few that a request has, and after a short wait a better replica has room.
 func (s *Service) pick(now time.Time, list []*Replica, need Need, draw func() float64) (Choice, Verdict) {
-	var best, rested Choice
-	busy := time.Duration(-1)
-	use, part := s.use(now), s.part()
-	need.Queues = use >= occupiedFrom
+	var best, fallback Choice
+	busyEstimate := time.Duration(-1)
+	utilization, share := s.utilization(now), s.share()
+	need.Queues = utilization >= queueUtilization
 	for _, r := range list {
 		if need.excludes(r) {
 			continue
 		}
-		v, resting, usable := r.view(now)
+		v, backingOff, usable := r.view(now)
 		if !usable {
 			continue
 		}
-		t := pick.Estimate(v, need.Usual, draw())
+		estimate := pick.Estimate(v, need.Usual, draw())
 		switch {
-		case v.Running >= room.Most(v.Slots, part, use) || !s.admits(r, v, now):
-			if busy < 0 || t < busy {
-				busy = t
+		case v.Running >= room.Most(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
+			if busyEstimate < 0 || estimate < busyEstimate {
+				busyEstimate = estimate
 			}
-		case resting:
-			rested.offer(r, t, v, need)
+		case backingOff:
+			fallback.consider(r, estimate, v, need)
 		default:
-			best.offer(r, t, v, need)
+			best.consider(r, estimate, v, need)
 		}
 	}
 	if best.Replica == nil {
 		// A replica in backoff is better than none.
-		best = rested
+		best = fallback
 	}
 	switch {
-	case best.Replica == nil && busy < 0:
+	case best.Replica == nil && busyEstimate < 0:
 		return Choice{}, None
-	case best.Replica == nil, best.Estimate > need.Within && busy >= 0 && busy <= need.Within:
+	case best.Replica == nil, best.Estimate > need.Within && busyEstimate >= 0 && busyEstimate <= need.Within:
 		return Choice{}, Busy
 	}
 	return best, Found
 }
 
-// admits reports whether a replica takes one more request of this host now: a connection is free, and the limit of a
+// hasRoom reports whether a replica takes one more request of this host now: a connection is free, and the limit of a
 // cold replica allows it.
-func (s *Service) admits(r *Replica, seen pick.Replica, now time.Time) bool {
-	return r.pool.Free(s.Connections()) && (!seen.Cold || r.bearsCold(now))
+func (s *Service) hasRoom(r *Replica, seen pick.Replica, now time.Time) bool {
+	return r.pool.Free(s.Connections()) && (!seen.Cold || r.coldHasRoom(now))
 }
 
-func (c *Choice) offer(r *Replica, t time.Duration, seen pick.Replica, need Need) {
-	if c.Replica == nil || need.Before(seen, t, c.Seen, c.Estimate) {
-		c.Replica, c.Estimate, c.Seen = r, t, seen
+func (c *Choice) consider(r *Replica, estimate time.Duration, seen pick.Replica, need Need) {
+	if c.Replica == nil || need.Before(seen, estimate, c.Seen, c.Estimate) {
+		c.Replica, c.Estimate, c.Seen = r, estimate, seen
 	}
 }
 
--- a/entry/internal/endpoints/kept.go
+++ b/entry/internal/endpoints/subset.go
@@ -6,25 +6,25 @@
 	"guavaspring.org/entry/internal/subset"
 )
 
-// chosen caches this host's subset of the replicas, with the replicas and hosts from which it was computed.
-type chosen struct {
+// cachedSubset caches this host's subset of the replicas, with the replicas and hosts from which it was computed.
+type cachedSubset struct {
 	replicas []*Replica
 	hosts    []member.Host
-	kept     []*Replica
+	subset   []*Replica
 }
 
-// kept returns this host's subset of a list of replicas; the slice must not be changed.
-func (s *Service) kept(list []*Replica) []*Replica {
+// hostSubset returns this host's subset of a list of replicas; the slice must not be changed.
+func (s *Service) hostSubset(list []*Replica) []*Replica {
 	if s.hosts == nil {
 		return list
 	}
 	self, hosts := s.hosts()
-	c := s.chosen.Load()
+	c := s.subsetCache.Load()
 	if c == nil || !sameSlice(c.replicas, list) || !sameSlice(c.hosts, hosts) {
-		c = &chosen{replicas: list, hosts: hosts, kept: keepTo(self, hosts, list)}
-		s.chosen.Store(c)
+		c = &cachedSubset{replicas: list, hosts: hosts, subset: chooseSubset(self, hosts, list)}
+		s.subsetCache.Store(c)
 	}
-	return c.kept
+	return c.subset
 }
 
 // sameSlice reports whether two slices share their elements.
@@ -32,8 +32,8 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// keepTo chooses the host's subset among the replicas that are not leaving and whose zones are not evacuated.
-func keepTo(self string, hosts []member.Host, list []*Replica) []*Replica {
+// chooseSubset chooses the host's subset among the replicas that are not leaving and whose zones are not evacuated.
+func chooseSubset(self string, hosts []member.Host, list []*Replica) []*Replica {
 	rows := make([]subset.Replica, 0, len(list))
 	serving := make([]*Replica, 0, len(list))
 	for _, r := range list {
@@ -42,12 +42,12 @@
 			serving = append(serving, r)
 		}
 	}
-	places := subset.Choose(self, hosts, rows)
-	kept := make([]*Replica, len(places))
-	for i, n := range places {
-		kept[i] = serving[n]
+	indexes := subset.Choose(self, hosts, rows)
+	chosen := make([]*Replica, len(indexes))
+	for i, n := range indexes {
+		chosen[i] = serving[n]
 	}
-	return kept
+	return chosen
 }
 
 // servingRow returns the replica's row, and whether the replica takes new requests.
--- a/entry/internal/endpoints/table.go
+++ b/entry/internal/endpoints/table.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// lapseFor is how long replicas that vanished during an outage of the store are used after its return: live ones
-	// are listed again within about two seconds.
-	lapseFor = 2500 * time.Millisecond
-	// connsPart is the part of a replica's connections that the hosts share; the rest is for hosts that join, and for
-	// connections that the replica still counts while they close.
-	connsPart = 0.8
-	// leastConns is the minimum per host: one connection for a request and one for a second attempt.
-	leastConns = 2
+	// removalGrace is how long replicas that vanished during an outage of the store are used after its return: live
+	// ones are listed again within about two seconds.
+	removalGrace = 2500 * time.Millisecond
+	// sharedConnsRatio is the part of a replica's connections that the hosts share; the rest is for hosts that join,
+	// and for connections that the replica still counts while they close.
+	sharedConnsRatio = 0.8
+	// minConns is the minimum per host: one connection for a request and one for a second attempt.
+	minConns = 2
 	// defaultConns is the limit of a service without a configured one.
 	defaultConns = 8
 )
@@ -67,16 +67,16 @@
 	mu       sync.Mutex
 	services map[string]*Service
 	replicas map[string]*Replica
-	// members holds the replicas of each service by id, and touched the services whose replicas have changed since the
-	// last publish.
-	members map[string]map[string]*Replica
-	touched map[string]bool
-	limits  map[string]route.Service
-	listed  bool
-	// ended holds the last rows of removed replicas.
-	ended ended
-	// doubted holds rows that are older than the one in use but may be of a newer process.
-	doubted map[string]platform.Replica
+	// members holds the replicas of each service by id, and changedServices the services whose replicas have changed
+	// since the last publish.
+	members         map[string]map[string]*Replica
+	changedServices map[string]bool
+	limits          map[string]route.Service
+	listed          bool
+	// removed holds the last rows of removed replicas.
+	removed removedRows
+	// heldRows holds rows that are older than the one in use but may be of a newer process.
+	heldRows map[string]platform.Replica
 	// dialed is the number of connections opened to removed replicas.
 	dialed uint64
 }
@@ -92,7 +92,7 @@
 	if opts.Evacuated == nil {
 		opts.Evacuated = func(string) bool { return false }
 	}
-	return &Table{opts: opts, services: map[string]*Service{}, replicas: map[string]*Replica{}, members: map[string]map[string]*Replica{}, touched: map[string]bool{}, ended: ended{rows: map[string]endedRow{}}, doubted: map[string]platform.Replica{}}
+	return &Table{opts: opts, services: map[string]*Service{}, replicas: map[string]*Replica{}, members: map[string]map[string]*Replica{}, changedServices: map[string]bool{}, removed: removedRows{rows: map[string]removedRow{}}, heldRows: map[string]platform.Replica{}}
 }
 
 // Service returns the named service, which may have no replicas.
@@ -105,22 +105,22 @@
 func (t *Table) service(name string) *Service {
 	s := t.services[name]
 	if s == nil {
-		s = &Service{Name: name, Budget: spend.New(t.opts.Spend), part: t.opts.Share, hosts: t.opts.Hosts}
+		s = &Service{Name: name, Budget: spend.New(t.opts.Spend), share: t.opts.Share, hosts: t.opts.Hosts}
 		s.list.Store(&[]*Replica{})
-		s.zones.Store(&zones{})
-		s.conns.Store(int64(t.connections(name)))
-		s.cold.Store(coldOf(t.limits[name]))
+		s.zones.Store(&servingZones{})
+		s.conns.Store(int64(t.maxConnections(name)))
+		s.cold.Store(newColdLimits(t.limits[name]))
 		t.services[name] = s
 	}
 	return s
 }
 
-func (t *Table) connections(name string) int {
+func (t *Table) maxConnections(name string) int {
 	limit, ok := t.limits[name]
 	if !ok || limit.MaxConns <= 0 {
 		return defaultConns
 	}
-	return max(leastConns, int(connsPart*float64(limit.MaxConns)*t.opts.Share()))
+	return max(minConns, int(sharedConnsRatio*float64(limit.MaxConns)*t.opts.Share()))
 }
 
 // SetLimits applies the configured limits of all services; it is called again when the number of hosts changes.
@@ -129,35 +129,35 @@
 	defer t.mu.Unlock()
 	t.limits = limits
 	for name, s := range t.services {
-		s.conns.Store(int64(t.connections(name)))
-		s.cold.Store(coldOf(limits[name]))
+		s.conns.Store(int64(t.maxConnections(name)))
+		s.cold.Store(newColdLimits(limits[name]))
 	}
 }
 
-// Replace applies a list of all replicas; returned is whether it is the first list after an outage of the store.
-func (t *Table) Replace(batch feed.Batch[platform.Replica], returned bool) {
+// Replace applies a list of all replicas; afterOutage is whether it is the first list after an outage of the store.
+func (t *Table) Replace(batch feed.Batch[platform.Replica], afterOutage bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	present := make(map[string]bool, len(batch.Entries))
 	for _, e := range batch.Entries {
 		present[e.Name] = true
-		t.take(e, returned)
+		t.applyEntry(e, afterOutage)
 	}
 	for id := range t.replicas {
 		if !present[id] {
-			t.remove(id, returned)
+			t.remove(id, afterOutage)
 		}
 	}
 	t.listed = true
 	t.publish()
 }
 
-// Change applies changed replicas; returned is as for Replace.
-func (t *Table) Change(batch feed.Batch[platform.Replica], returned bool) {
+// Change applies changed replicas; afterOutage is as for Replace.
+func (t *Table) Change(batch feed.Batch[platform.Replica], afterOutage bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range batch.Entries {
-		t.take(e, returned)
+		t.applyEntry(e, afterOutage)
 	}
 	t.publish()
 }
@@ -168,21 +168,21 @@
 	defer t.mu.Unlock()
 	now := t.opts.Clock.Now()
 	for _, r := range t.replicas {
-		r.noteEvacuation(now)
-		t.touched[r.row.Service] = true
+		r.updateEvacuated(now)
+		t.changedServices[r.row.Service] = true
 	}
 	t.publish()
 }
 
-// take applies one entry. An unreadable one removes its replica at once, even after an outage of the store.
-func (t *Table) take(e feed.Entry[platform.Replica], returned bool) {
+// applyEntry applies one entry. An unreadable one removes its replica at once, even after an outage of the store.
+func (t *Table) applyEntry(e feed.Entry[platform.Replica], afterOutage bool) {
 	switch {
 	case e.Unreadable:
 		t.remove(e.Name, false)
 	case e.Deleted:
-		t.remove(e.Name, returned)
+		t.remove(e.Name, afterOutage)
 	default:
-		t.set(e.Value)
+		t.applyRow(e.Value)
 	}
 }
 
@@ -206,7 +206,7 @@
 
 // remove removes a replica. One that vanished during an outage of the store may be live: the store drops replicas that
 // could not write to it.
-func (t *Table) remove(id string, returned bool) {
+func (t *Table) remove(id string, afterOutage bool) {
 	r := t.replicas[id]
 	if r == nil {
 		return
@@ -214,34 +214,34 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := t.opts.Clock.Now()
-	if returned && r.usable {
-		if r.lapsed.IsZero() {
-			r.lapsed = now.Add(lapseFor)
-			t.opts.Clock.AfterFunc(lapseFor, func() { t.expire(id) })
+	if afterOutage && r.usable {
+		if r.removeAt.IsZero() {
+			r.removeAt = now.Add(removalGrace)
+			t.opts.Clock.AfterFunc(removalGrace, func() { t.removeExpired(id) })
 		}
 		return
 	}
-	t.forget(r)
+	t.deleteReplica(r)
 }
 
-// forget removes a replica whose lock is held, and keeps its last row.
-func (t *Table) forget(r *Replica) {
-	t.drop(r)
-	t.ended.add(r.row, t.opts.Clock.Now())
+// deleteReplica removes a replica whose lock is held, and keeps its last row.
+func (t *Table) deleteReplica(r *Replica) {
+	t.detach(r)
+	t.removed.add(r.row, t.opts.Clock.Now())
 	events.ReplicaGone.Log(t.opts.Log, "replica", r.row.ID, "service", r.row.Service)
 	r.pool.Close()
 }
 
-// drop takes a replica whose lock is held out of use.
-func (t *Table) drop(r *Replica) {
+// detach takes a replica whose lock is held out of use.
+func (t *Table) detach(r *Replica) {
 	r.usable = false
 	delete(t.replicas, r.row.ID)
 	delete(t.members[r.row.Service], r.row.ID)
-	t.touched[r.row.Service] = true
+	t.changedServices[r.row.Service] = true
 	t.dialed += r.pool.Dialed()
 }
 
-func (t *Table) expire(id string) {
+func (t *Table) removeExpired(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.replicas[id]
@@ -249,9 +249,9 @@
 		return
 	}
 	r.mu.Lock()
-	gone := !r.lapsed.IsZero() && !t.opts.Clock.Now().Before(r.lapsed)
+	gone := !r.removeAt.IsZero() && !t.opts.Clock.Now().Before(r.removeAt)
 	if gone {
-		t.forget(r)
+		t.deleteReplica(r)
 	}
 	r.mu.Unlock()
 	if gone {
@@ -262,13 +262,13 @@
 // publish updates the list of each service whose replicas have changed, and only of those: replicas of a fleet change
 // many times a second.
 func (t *Table) publish() {
-	for name := range t.touched {
+	for name := range t.changedServices {
 		t.service(name).publish(t.opts.Clock.Now(), t.members[name], t.serves)
 		if len(t.members[name]) == 0 {
 			delete(t.members, name)
 		}
 	}
-	clear(t.touched)
+	clear(t.changedServices)
 }
 
 // serves reports whether a replica takes new requests: it is not leaving, and its zone is not evacuated.
--- a/entry/internal/endpoints/table_test.go
+++ b/entry/internal/endpoints/table_test.go
@@ -196,7 +196,7 @@
 
 // Guards against attempts at a replica that has been ten times slower for seconds: a host that tried it again as soon
 // as its estimate had half decayed would lose one page in seven. A single late reply must not drive the host away.
-func TestReplicaThatIsLateTwiceIsLeftAlone(t *testing.T) {
+func TestRepeatedlyLateReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newNearAndFar(t)
 		b.send(10 * usual)
