--- a/entry/internal/status/writer.go
+++ b/entry/internal/status/writer.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// writeEvery is the minimum time between two writes of one service's status, so that a flapping replica costs the
-	// platform at most one write every five seconds.
-	writeEvery  = 5 * time.Second
-	tickEvery   = 500 * time.Millisecond
-	callTimeout = 2 * time.Second
-	// sample is the maximum number of hosts asked for their generation; a sample of 32 shows the share of lagging hosts
-	// within a few per cent.
-	sample = 32
+	// minWriteInterval is the minimum time between two writes of one service's status, so that a flapping replica costs
+	// the platform at most one write every five seconds.
+	minWriteInterval = 5 * time.Second
+	tickInterval     = 500 * time.Millisecond
+	callTimeout      = 2 * time.Second
+	// maxAskedHosts is the maximum number of hosts asked for their generation; a sample of 32 shows the share of
+	// lagging hosts within a few per cent.
+	maxAskedHosts = 32
 )
 
 // Options configures a Writer.
@@ -56,15 +56,15 @@
 // Hosts that disagree on the members may both be first for a while. The conditional update keeps the object consistent,
 // and both write the same status except for what only one of them has seen.
 type Writer struct {
-	opts  Options
-	state map[string]*state
+	opts   Options
+	states map[string]*serviceState
 	// era is the restart era in which the statuses were written.
 	era int64
 }
 
-type state struct {
-	last  platform.Status
-	wrote time.Time
+type serviceState struct {
+	last      platform.Status
+	lastWrite time.Time
 	// failed is whether the last write failed; only the first of several failures is logged.
 	failed bool
 }
@@ -74,14 +74,14 @@
 	if opts.Era == nil {
 		opts.Era = func() int64 { return 0 }
 	}
-	return &Writer{opts: opts, state: map[string]*state{}}
+	return &Writer{opts: opts, states: map[string]*serviceState{}}
 }
 
 // Run writes changed statuses until ctx ends; during an outage of the platform it retries at the same rate.
 func (w *Writer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.tick(ctx)
-		clock.Sleep(ctx, w.opts.Clock, tickEvery)
+		clock.Sleep(ctx, w.opts.Clock, tickInterval)
 	}
 }
 
@@ -89,37 +89,37 @@
 	hosts := w.opts.Hosts()
 	if era := w.opts.Era(); era != w.era {
 		// The restored backup may lack the written statuses.
-		clear(w.state)
+		clear(w.states)
 		w.era = era
 	}
 	for _, name := range w.opts.Services() {
 		if !w.opts.First("status " + name) {
 			// If this host becomes first again, it has to compare with what others wrote meanwhile.
-			delete(w.state, name)
+			delete(w.states, name)
 			continue
 		}
-		w.service(ctx, name, hosts)
+		w.updateService(ctx, name, hosts)
 	}
 }
 
-func (w *Writer) service(ctx context.Context, name string, hosts []member.Host) {
-	st := w.state[name]
+func (w *Writer) updateService(ctx context.Context, name string, hosts []member.Host) {
+	st := w.states[name]
 	if st == nil {
-		st = &state{}
-		w.state[name] = st
+		st = &serviceState{}
+		w.states[name] = st
 	}
 	now := w.opts.Clock.Now()
-	if !st.wrote.IsZero() && now.Sub(st.wrote) < writeEvery {
+	if !st.lastWrite.IsZero() && now.Sub(st.lastWrite) < minWriteInterval {
 		return
 	}
 	report := w.opts.Report(name)
 	report.WrittenBy = w.opts.Self().Caller.String()
-	report.Hosts = count(hosts)
+	report.Hosts = countStates(hosts)
 	if w.unchanged(st.last, report) {
 		return
 	}
-	report.Hosts.Asked, report.Hosts.InForce = w.ask(ctx, name, report.Generation, hosts)
-	st.wrote = now
+	report.Hosts.Asked, report.Hosts.InForce = w.askHosts(ctx, name, report.Generation, hosts)
+	st.lastWrite = now
 	if err := w.write(ctx, name, report); err != nil {
 		if !st.failed && ctx.Err() == nil {
 			events.StatusFailed.Log(w.opts.Log, "service", name, "error", err.Error())
@@ -142,7 +142,7 @@
 	return reflect.DeepEqual(last, now)
 }
 
-func count(hosts []member.Host) platform.StatusHosts {
+func countStates(hosts []member.Host) platform.StatusHosts {
 	var c platform.StatusHosts
 	for _, h := range hosts {
 		switch h.State {
@@ -157,14 +157,14 @@
 	return c
 }
 
-// ask asks a sample of the hosts, or all of a small fleet, for their generation in force, and returns the number of
-// hosts asked and of those that have the generation or a later one.
-func (w *Writer) ask(ctx context.Context, name string, number int64, hosts []member.Host) (asked, inForce int) {
+// askHosts asks a sample of the hosts, or all of a small fleet, for their generation in force, and returns the number
+// of hosts asked and of those that have the generation or a later one.
+func (w *Writer) askHosts(ctx context.Context, name string, number int64, hosts []member.Host) (asked, inForce int) {
 	now := w.opts.Clock.Now()
 	// The purpose changes each second, so that each ranking draws another sample.
 	list := member.Ranked(hosts, fmt.Sprint("sample ", name, now.Unix()))
 	list = slices.DeleteFunc(list, func(h member.Host) bool { return h.State != member.StateAlive })
-	list = list[:min(sample, len(list))]
+	list = list[:min(maxAskedHosts, len(list))]
 	found := make(chan bool, len(list))
 	for _, h := range list {
 		go func() {
--- a/entry/internal/status/writer_test.go
+++ b/entry/internal/status/writer_test.go
@@ -19,8 +19,8 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// scene is a fleet with a fake platform; a test changes its state while the writers of all hosts run.
-type scene struct {
+// fakeFleet is a fleet with a fake platform; a test changes its state while the writers of all hosts run.
+type fakeFleet struct {
 	mu      sync.Mutex
 	object  platform.Object
 	puts    int
@@ -30,7 +30,7 @@
 	hosts   []member.Host
 }
 
-func (s *scene) get(context.Context, platform.Kind, string) (platform.Object, error) {
+func (s *fakeFleet) get(context.Context, platform.Kind, string) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -39,7 +39,7 @@
 	return s.object, nil
 }
 
-func (s *scene) put(_ context.Context, _ platform.Kind, _ string, version int64, b []byte) (platform.Object, error) {
+func (s *fakeFleet) put(_ context.Context, _ platform.Kind, _ string, version int64, b []byte) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -53,7 +53,7 @@
 	return s.object, nil
 }
 
-func (s *scene) number(_ context.Context, h member.Host, _ string) (int64, error) {
+func (s *fakeFleet) number(_ context.Context, h member.Host, _ string) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lagging[h.ID] {
@@ -62,14 +62,14 @@
 	return s.report.Generation, nil
 }
 
-func (s *scene) set(f func(s *scene)) {
+func (s *fakeFleet) set(f func(s *fakeFleet)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
 }
 
 // written returns the status on the platform and the number of writes.
-func (s *scene) written(c *qt.C) (platform.Status, int) {
+func (s *fakeFleet) written(c *qt.C) (platform.Status, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var st platform.Status
@@ -77,14 +77,14 @@
 	return st, s.puts
 }
 
-func playStatus(t *testing.T, f func(c *qt.C, s *scene)) {
-	playStatusOf(t, nil, f)
+func runWriters(t *testing.T, f func(c *qt.C, s *fakeFleet)) {
+	runWritersInEra(t, nil, f)
 }
 
-// playStatusOf runs the writers of all hosts with a restart era, and f beside them after ten seconds.
-func playStatusOf(t *testing.T, era func() int64, f func(c *qt.C, s *scene)) {
+// runWritersInEra runs the writers of all hosts with a restart era, and f beside them after ten seconds.
+func runWritersInEra(t *testing.T, era func() int64, f func(c *qt.C, s *fakeFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{lagging: map[string]bool{}, report: platform.Status{Service: "board-feed", Generation: 1, Proposed: 1}}
+		s := &fakeFleet{lagging: map[string]bool{}, report: platform.Status{Service: "board-feed", Generation: 1, Proposed: 1}}
 		for i := range 7 {
 			addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
 			s.hosts = append(s.hosts, member.Host{ID: fmt.Sprint("host-", i), Caller: addr, Peer: addr, Zone: fmt.Sprint(i % 3), State: member.StateAlive})
@@ -114,11 +114,11 @@
 // Guards against too many status writes: the platform takes a few hundred writes a second for all its users, and a
 // replica flaps all the time. Only one host may write, only after a change, and at most once every five seconds.
 func TestOneHostWritesChangesAtABoundedRate(t *testing.T) {
-	playStatus(t, func(c *qt.C, s *scene) {
+	runWriters(t, func(c *qt.C, s *fakeFleet) {
 		_, before := s.written(c)
 		c.Assert(before, qt.Equals, 1)
 		for i := range 120 {
-			s.set(func(s *scene) { s.report.Replicas.Known = 30 + i%2 })
+			s.set(func(s *fakeFleet) { s.report.Replicas.Known = 30 + i%2 })
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, after := s.written(c)
@@ -132,22 +132,22 @@
 // Guards against a refused proposal that looks accepted. A team applies an invalid document and the previous one stays
 // in force; without the refused proposal and the reason in the status, the team assumes that its change is in force.
 func TestStatusSaysWhatWasRefusedAndWhoLags(t *testing.T) {
-	playStatus(t, func(c *qt.C, s *scene) {
-		s.set(func(s *scene) { s.report.Proposed, s.report.Refused = 2, "hedge.budget_percent: -1: out of range" })
+	runWriters(t, func(c *qt.C, s *fakeFleet) {
+		s.set(func(s *fakeFleet) { s.report.Proposed, s.report.Refused = 2, "hedge.budget_percent: -1: out of range" })
 		time.Sleep(10 * time.Second)
 		st, _ := s.written(c)
 		c.Assert(st.Generation, qt.Equals, int64(1))
 		c.Assert(st.Proposed, qt.Equals, int64(2))
 		c.Assert(st.Refused, qt.Contains, "hedge.budget_percent")
 
-		s.set(func(s *scene) {
+		s.set(func(s *fakeFleet) {
 			s.report.Proposed, s.report.Refused, s.report.Generation = 3, "", 3
 			s.lagging["host-4"] = true
 		})
 		time.Sleep(10 * time.Second)
 		st, _ = s.written(c)
 		c.Assert(st.Hosts, qt.Equals, platform.StatusHosts{Alive: 7, Asked: 7, InForce: 6})
-		s.set(func(s *scene) { s.lagging = nil })
+		s.set(func(s *fakeFleet) { s.lagging = nil })
 		time.Sleep(10 * time.Second)
 		st, _ = s.written(c)
 		c.Assert(st.Hosts.InForce, qt.Equals, 7)
@@ -156,10 +156,10 @@
 
 // Guards against a status that stays stale after an outage: the platform is down for an hour while the status changes.
 func TestStatusIsTrueAgainAfterAnOutage(t *testing.T) {
-	playStatus(t, func(c *qt.C, s *scene) {
-		s.set(func(s *scene) { s.down, s.report.Replicas.Known = true, 29 })
+	runWriters(t, func(c *qt.C, s *fakeFleet) {
+		s.set(func(s *fakeFleet) { s.down, s.report.Replicas.Known = true, 29 })
 		time.Sleep(time.Hour)
-		s.set(func(s *scene) { s.down = false })
+		s.set(func(s *fakeFleet) { s.down = false })
 		time.Sleep(10 * time.Second)
 		st, _ := s.written(c)
 		c.Assert(st.Replicas.Known, qt.Equals, 29)
@@ -170,11 +170,11 @@
 // next change.
 func TestLostStatusIsWrittenAgain(t *testing.T) {
 	var era atomic.Int64
-	playStatusOf(t, era.Load, func(c *qt.C, s *scene) {
+	runWritersInEra(t, era.Load, func(c *qt.C, s *fakeFleet) {
 		var old platform.Object
-		s.set(func(s *scene) { old, s.report.Generation = s.object, 2 })
+		s.set(func(s *fakeFleet) { old, s.report.Generation = s.object, 2 })
 		time.Sleep(10 * time.Second)
-		s.set(func(s *scene) { s.object = old })
+		s.set(func(s *fakeFleet) { s.object = old })
 		era.Add(1)
 		time.Sleep(10 * time.Second)
 		st, _ := s.written(c)
