--- a/entry/internal/accepted/generation.go
+++ b/entry/internal/accepted/generation.go
@@ -34,18 +34,18 @@
 	if gen.Number <= 0 {
 		return Generation{}, fmt.Errorf("accepted object of %s: number %d is not above 0", gen.Service, gen.Number)
 	}
-	if err := usable(gen.Document); err != nil {
+	if err := checkRunnable(gen.Document); err != nil {
 		return Generation{}, fmt.Errorf("accepted object of %s: %w", gen.Service, err)
 	}
 	gen.Raw = append(json.RawMessage(nil), raw...)
 	return gen, nil
 }
 
-// usable rejects only values with which the program can't run: zeros that it divides by or waits for.
-func usable(doc document.Document) error {
+// checkRunnable rejects only values with which the program can't run: zeros that it divides by or waits for.
+func checkRunnable(doc document.Document) error {
 	for _, f := range []struct {
-		key string
-		n   int64
+		key   string
+		value int64
 	}{
 		{"upstream.slots", int64(doc.Upstream.Slots)},
 		{"upstream.connections", int64(doc.Upstream.Connections)},
@@ -55,8 +55,8 @@
 		{"admission.concurrency", int64(doc.Admission.Concurrency)},
 		{"addresses.count", int64(doc.Addresses.Count)},
 	} {
-		if f.n <= 0 {
-			return &document.FieldError{Key: f.key, Value: strconv.FormatInt(f.n, 10), Reason: "nothing can run with it", Want: "above 0"}
+		if f.value <= 0 {
+			return &document.FieldError{Key: f.key, Value: strconv.FormatInt(f.value, 10), Reason: "nothing can run with it", Want: "above 0"}
 		}
 	}
 	return nil
--- a/entry/internal/accepted/store.go
+++ b/entry/internal/accepted/store.go
@@ -10,16 +10,16 @@
 
 // Store holds the highest known generation of each service.
 type Store struct {
-	mu    sync.RWMutex
-	byKey map[string]Generation
+	mu        sync.RWMutex
+	byService map[string]Generation
 	// onChange is called after a higher generation came into force, one call at a time.
 	onChange func(Generation)
-	change   sync.Mutex
+	offerMu  sync.Mutex
 }
 
 // New returns an empty store that calls onChange, if not nil, after each change.
 func New(onChange func(Generation)) *Store {
-	return &Store{byKey: map[string]Generation{}, onChange: onChange}
+	return &Store{byService: map[string]Generation{}, onChange: onChange}
 }
 
 // Offer puts gen in force if its number is higher than the known one, and reports whether it did.
@@ -27,14 +27,14 @@
 // It handles generations from every source: the platform, whose reads may lag, and peers, which may have been paused.
 // Accepting only higher numbers ensures that an accepted generation is never reverted.
 func (s *Store) Offer(gen Generation) bool {
-	s.change.Lock()
-	defer s.change.Unlock()
+	s.offerMu.Lock()
+	defer s.offerMu.Unlock()
 	s.mu.Lock()
-	if old, ok := s.byKey[gen.Service]; ok && old.Number >= gen.Number {
+	if old, ok := s.byService[gen.Service]; ok && old.Number >= gen.Number {
 		s.mu.Unlock()
 		return false
 	}
-	s.byKey[gen.Service] = gen
+	s.byService[gen.Service] = gen
 	s.mu.Unlock()
 	if s.onChange != nil {
 		s.onChange(gen)
@@ -46,7 +46,7 @@
 func (s *Store) Get(service string) (Generation, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	gen, ok := s.byKey[service]
+	gen, ok := s.byService[service]
 	return gen, ok
 }
 
@@ -54,8 +54,8 @@
 func (s *Store) All() []Generation {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	list := make([]Generation, 0, len(s.byKey))
-	for _, gen := range s.byKey {
+	list := make([]Generation, 0, len(s.byService))
+	for _, gen := range s.byService {
 		list = append(list, gen)
 	}
 	return list
@@ -65,8 +65,8 @@
 func (s *Store) Marks(p digest.Prefix) []Mark {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	list := make([]Mark, 0, len(s.byKey))
-	for name, gen := range s.byKey {
+	list := make([]Mark, 0, len(s.byService))
+	for name, gen := range s.byService {
 		if m := (Mark{Service: name, Number: gen.Number}); p.Holds(m.Key()) {
 			list = append(list, m)
 		}
