--- a/entry/internal/member/bench_test.go
+++ b/entry/internal/member/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// large returns a list of the letter's size.
+// large returns a list of 5,600 hosts and its rows.
 func large() (*List, []Host) {
 	rows := make([]Host, 5600)
 	for i := range rows {
@@ -24,7 +24,7 @@
 	return l, rows
 }
 
-// BenchmarkChange is the cost of one changed row at 5,600 hosts; the fleet has 0.22 changes a second, each told a few
+// BenchmarkChange measures one changed row at 5,600 hosts; the fleet has 0.22 changes a second, each received a few
 // times.
 func BenchmarkChange(b *testing.B) {
 	l, rows := large()
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkTick is the cost of letting time pass at 5,600 hosts, five times a second.
+// BenchmarkTick measures one tick at 5,600 hosts; a host has five a second.
 func BenchmarkTick(b *testing.B) {
 	l, _ := large()
 	b.ReportAllocs()
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkMessage is the cost of filling one message while there is much to tell.
+// BenchmarkMessage measures one message while many rows are queued.
 func BenchmarkMessage(b *testing.B) {
 	l, rows := large()
 	b.ReportAllocs()
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a list of 5,600 hosts keeps.
+// BenchmarkMemory reports the heap that a list of 5,600 hosts uses.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
--- a/entry/internal/member/doc.go
+++ b/entry/internal/member/doc.go
@@ -1,2 +1,2 @@
-// Package member decides which hosts are alive, from probes and from what other hosts say.
+// Package member tracks which hosts are alive, from this host's probes and from gossip.
 package member
--- a/entry/internal/member/list.go
+++ b/entry/internal/member/list.go
@@ -15,37 +15,37 @@
 type Options struct {
 	// Self is this host's own row; its Epoch and State are set by New.
 	Self Host
-	// Rand draws probe orders and the hosts of indirect probes; a seeded one makes a test repeatable.
+	// Rand selects the hosts for indirect probes and the lost host to contact; a seeded one makes a test repeatable.
 	Rand *rand.Rand
 	// Changed is called, without locks held, after each change of a host's state; it may be nil.
 	Changed func(old, now Host)
 }
 
-// Timings and bounds of membership. docs/design/membership.md says which measurement each came from.
+// Timings and bounds of membership; docs/design/membership.md has the measurements behind them.
 const (
-	// ProbeEvery is the fixed time between two probes of one host, whatever the fleet's size.
+	// ProbeEvery is the fixed interval between two probes that a host sends, whatever the size of the fleet.
 	ProbeEvery = time.Second
-	// SuspectFor is how long a suspect has to refute; three probe times cover a pause of the collector and one lost
-	// message.
+	// SuspectFor is how long a suspect has to refute; three probe intervals cover a pause by the garbage collector and
+	// one lost message.
 	SuspectFor = 4 * time.Second
-	// KeepDead is how long a dead row is kept, so that a region cut off for an hour is sought again after it.
+	// KeepDead is how long a dead row is kept, so that a region cut off for an hour is contacted again after it.
 	KeepDead = 2 * time.Hour
-	// maxRows is the most changed rows in one message, about 600 bytes.
+	// maxRows is the maximum number of changed rows in one message, about 600 bytes.
 	maxRows = 6
-	// maxLoads is the most load marks in one message, about 100 bytes.
+	// maxLoads is the maximum number of load reports in one message, about 100 bytes.
 	maxLoads = 6
-	// publishLoads is how often the snapshot takes over loads: at 5,600 hosts each takes a millisecond or two.
+	// publishLoads is the interval between snapshots for changed loads: each takes 1 to 2 ms at 5,600 hosts.
 	publishLoads = time.Second
-	// pauseAfter is the gap between two ticks that counts as a pause of this process.
+	// pauseAfter is the gap between two ticks above which this process counts as paused.
 	pauseAfter = 2 * time.Second
 )
 
-// List is one host's picture of all hosts, with the decisions of a SWIM failure detector and no network.
+// List is one host's member list: the state of a SWIM failure detector, without the network.
 //
-// It answers the load of failures and restarts in a fleet of any size: each host probes one neighbour a second,
-// asks others to probe when that fails, suspects before it declares dead, and lets the accused refute by a higher
-// Epoch. Without the suspicion a host that pauses for a second would be dropped by all; without the fixed probe rate
-// the traffic of a host would grow with the fleet. Each message carries a bounded number of changed rows.
+// Its cost per host doesn't depend on the size of the fleet: each host probes one neighbour a second, asks other hosts
+// to probe it if that fails, suspects it before it declares it dead, and lets the suspect refute by a higher Epoch.
+// Without the suspicion a host that pauses for a second would be dropped by all; without the fixed probe rate the
+// traffic of a host would grow with the fleet. Each message carries a bounded number of changed rows.
 type List struct {
 	opts Options
 
@@ -53,47 +53,54 @@
 	self  Host
 	rows  map[string]*row
 	byKey map[uint64]*row
-	// order holds the rows ordered by ID, so that a snapshot of thousands needs no sorting.
+	// order holds the rows sorted by ID, so that a snapshot of thousands of hosts needs no sorting.
 	order []*row
-	// waiting holds the rows that time changes: suspects and the dead.
-	waiting  map[string]*row
+	// waiting holds the rows with a deadline: suspects and dead hosts.
+	waiting map[string]*row
+	// queue and loads hold how often each queued row or load report was sent, by host ID and key.
 	queue    map[string]int
 	loads    map[uint64]int
 	lastTick time.Time
-	// published is when the snapshot last took over changed loads.
+	// published is when changed loads last entered the snapshot.
 	published time.Time
-	resumed   time.Time
-	toldLoad  float64
-	toldAt    time.Time
-	load      float64
-	turn      int
-	around    []string
-	entries   []digest.Entry
-	total     uint64
-	stale     bool
-	// staleLoad says that only loads changed, which needs a new snapshot but no new neighbours.
+	// resumed is when this process continued after its last pause.
+	resumed time.Time
+	// toldLoad is the load last queued for the other hosts, at toldAt; load is the current one.
+	toldLoad float64
+	toldAt   time.Time
+	load     float64
+	// around holds the IDs of the neighbours, turn the index of the one probed last.
+	turn   int
+	around []string
+	// entries are the digest entries of the rows that are not dead, total their digest.
+	entries []digest.Entry
+	total   uint64
+	// stale is set when the snapshot, the digest and the neighbours have to be rebuilt.
+	stale bool
+	// staleLoad is set when a load changed, which needs a new snapshot but no new neighbours.
 	staleLoad bool
 	pending   []change
 	snapshot  atomic.Pointer[[]Host]
-	own       atomic.Pointer[Host]
+	// own is this host's row as of the snapshot.
+	own atomic.Pointer[Host]
 }
 
 type row struct {
 	Host
-	// key is Host.Key, kept since hashing thousands of IDs at each change takes a millisecond.
+	// key caches Host.Key: hashing thousands of IDs at each change takes a millisecond.
 	key uint64
-	// until is when a suspect becomes dead, or a dead row is dropped.
+	// until is when a suspect becomes dead, or a dead row is removed.
 	until time.Time
-	// left says that the host had announced its stop, so that it isn't sought again.
+	// left is set if the host announced its stop or was replaced, so that it isn't contacted again.
 	left bool
 }
 
 type change struct{ old, now Host }
 
-// NewRand returns a generator for Options.Rand. It needs no secrecy: it only spreads probes and repairs.
+// NewRand returns a generator for Options.Rand. It need not be unpredictable: it only spreads probes and repairs.
 func NewRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// New returns a list that knows only this host.
+// New returns a list that contains only this host.
 func New(opts Options) *List {
 	opts.Self.Epoch, opts.Self.State = 1, StateAlive
 	l := &List{opts: opts, self: opts.Self, rows: map[string]*row{}, byKey: map[uint64]*row{}, waiting: map[string]*row{}, queue: map[string]int{}, loads: map[uint64]int{}}
@@ -105,18 +112,18 @@
 // Self returns this host's own row.
 func (l *List) Self() Host { return *l.own.Load() }
 
-// Hosts returns every host that is not dead, this one included, ordered by ID; the slice is shared and must not be
-// changed.
+// Hosts returns every host that is not dead, this one included, sorted by ID; the slice is shared and must not be
+// modified.
 func (l *List) Hosts() []Host { return *l.snapshot.Load() }
 
-// SetLoad sets the share of this host's capacity in use, 0 to 1; the others hear of it at a bounded rate.
+// SetLoad sets the share of this host's capacity in use, 0 to 1; it is sent to the other hosts at a bounded rate.
 func (l *List) SetLoad(load float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load = min(1, max(0, load))
 }
 
-// Leave announces that this host is stopping; the announcement can't be taken back.
+// Leave announces that this host is stopping; the announcement can't be revoked.
 func (l *List) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +136,8 @@
 	l.rebuild()
 }
 
-// Tick lets time pass: suspects die, old rows go and a changed load is told. Call it every few hundred milliseconds.
+// Tick applies deadlines: suspects become dead, old rows are removed, and a changed load is queued for sending. Call it
+// every few hundred milliseconds.
 func (l *List) Tick(now time.Time) {
 	l.mu.Lock()
 	l.notePause(now)
@@ -149,8 +157,8 @@
 	l.announce(changes)
 }
 
-// notePause guards against the failure in which a host that was stopped for a while wakes up, finds every suspicion and
-// every probe of its own overdue, and declares healthy hosts dead: what waited during the pause waits that much longer.
+// notePause extends all deadlines by the length of a pause of this process. Otherwise a host that was stopped for a
+// while would find every suspicion and every probe of its own overdue, and declare healthy hosts dead.
 func (l *List) notePause(now time.Time) {
 	gap := now.Sub(l.lastTick)
 	if !l.lastTick.IsZero() && gap > pauseAfter {
@@ -162,6 +170,7 @@
 	l.lastTick = now
 }
 
+// expire declares r dead or removes it if its deadline has passed.
 func (l *List) expire(r *row, now time.Time) {
 	if now.Before(r.until) {
 		return
@@ -183,13 +192,13 @@
 
 func compareID(r *row, id string) int { return strings.Compare(r.ID, id) }
 
-// Merge takes over rows that another host sent as news, passes them on, and returns those that were news here. Where a
-// row accuses this host, that is the row by which it refutes.
+// Merge applies rows that another host sent as changes, queues those that changed this list for sending, and returns
+// them. If a row contradicts this host's own state, the result has the row that refutes it.
 func (l *List) Merge(now time.Time, rows []Host) []Host { return l.merge(now, rows, true) }
 
-// Learn takes over rows that were found by comparing tables, and doesn't pass them on: others have had them for long,
-// and a host that joins a large fleet would have nothing but old rows to tell for hours, with real news among them.
-// Where a row accuses this host, it returns the row by which it refutes, which is news to all.
+// Learn applies rows that were found by anti-entropy, and doesn't queue them: the other hosts have had them for long,
+// and a host that joins a large fleet would send old rows for hours, with recent changes queued among them. If a row
+// contradicts this host's own state, it returns the row that refutes it, which has to reach all hosts.
 func (l *List) Learn(now time.Time, rows []Host) (refutation Host, refuted bool) {
 	self := l.Self().ID
 	for _, h := range l.merge(now, rows, false) {
@@ -200,6 +209,7 @@
 	return Host{}, false
 }
 
+// merge applies rows and returns those that changed the list; with news unset it doesn't queue them for sending.
 func (l *List) merge(now time.Time, rows []Host, news bool) (fresh []Host) {
 	l.mu.Lock()
 	for _, h := range rows {
@@ -231,7 +241,7 @@
 	}
 	old, known := l.rows[h.ID]
 	if !known && h.State == StateDead {
-		// A tombstone of a host never known here would only travel on and never expire.
+		// The tombstone of a host that was never in this list would only be passed on and never expire.
 		return false
 	}
 	if known && !h.newer(old.Host) {
@@ -241,8 +251,8 @@
 	return true
 }
 
-// refute answers a suspicion against this host by a higher Epoch, which overrides the accusation wherever it went, and
-// reports whether there was one.
+// refute raises this host's Epoch if h contradicts its state, and reports whether it did. The higher Epoch overrides h
+// on every host that received it.
 func (l *List) refute(h Host) bool {
 	if !h.valid() || h.Epoch < l.self.Epoch || h.Epoch == l.self.Epoch && h.State == l.self.State {
 		return false
@@ -253,7 +263,7 @@
 	return true
 }
 
-// put stores h, which the caller found to be newer, and queues it for the others.
+// put stores h, which must be newer than the stored row, and queues it for sending.
 func (l *List) put(h Host, now time.Time) {
 	r := l.rows[h.ID]
 	if r == nil {
@@ -290,6 +300,7 @@
 	return list
 }
 
+// announce calls Options.Changed for each change; it must be called without l.mu held.
 func (l *List) announce(changes []change) {
 	if l.opts.Changed == nil {
 		return
--- a/entry/internal/member/list_test.go
+++ b/entry/internal/member/list_test.go
@@ -28,9 +28,8 @@
 	return StateDead
 }
 
-// Story: a host's process is stopped while it waits for indirect probes, and while it suspects another host. It wakes
-// up with every deadline overdue; the answers that would clear the others lie unread in its sockets. If it acted on
-// the deadlines it would tell everybody that healthy hosts are gone.
+// Guards against healthy hosts being declared dead by a process that was paused while it waited for indirect probes or
+// suspected a host: it resumes with every deadline overdue, and the replies still unread in its sockets.
 func TestNothingIsDecidedOnDeadlinesThatRanOutDuringAPause(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -60,8 +59,8 @@
 	}
 }
 
-// Story: rows come from other processes, which may be of another version or broken. A row that makes no sense must
-// neither end the host nor be passed on.
+// Guards against an invalid row, from a process that is broken or runs another version, that crashes the host or is
+// passed on.
 func TestRowsThatMakeNoSenseAreIgnored(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -83,8 +82,8 @@
 	}
 }
 
-// Story: a host joins a large fleet and takes over its whole list. If it passed every row on as news, a death that it
-// hears of next would wait behind thousands of old rows, and all its probes would be as large as they can be.
+// Guards against a host that joins a large fleet and passes on every row of the list: the next death would be queued
+// behind thousands of old rows, and all its probes would have the maximum size.
 func TestRowsLearnedByJoiningAreNotNews(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -102,8 +101,8 @@
 	c.Assert(told, qt.HasLen, 2, qt.Commentf("its own row and the death"))
 }
 
-// Story: the load of hosts changes all the time. If it were told with the state, each change would travel as far as
-// a death does; it must reach the others, and must not make their tables differ.
+// Guards against changes of load that spread as far as a death does: the load must reach the other hosts without
+// making the digests of their lists differ.
 func TestLoadIsToldWithoutChangingTheDigest(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_700_000_000, 0)
--- a/entry/internal/member/load.go
+++ b/entry/internal/member/load.go
@@ -7,19 +7,22 @@
 	"time"
 )
 
-// Load marks change all the time, so they have their own bounds: each is sent a few times only, and the more hosts
-// share them, the rarer each host speaks. Without that, loads told each second in a fleet of 5,600 would take
-// 90 KB/s of every host. Above wholeFleet hosts a mark stays inside the zone, whose hosts callers are steered to first.
+// Loads change all the time, so load reports have bounds of their own: each is sent a few times only, and the more
+// hosts exchange them, the less often each host sends its own. Without these bounds, loads sent each second in a fleet
+// of 5,600 hosts would take 90 KB/s of every host. With wholeFleet hosts or more, a report stays inside the zone, whose
+// hosts clients are directed to first.
 const (
+	// loadSends is the number of times that a host sends one load report.
 	loadSends = 4
-	// marksPerSecond is how many new marks a host hears a second from all others together.
+	// marksPerSecond is the number of new load reports that a host receives a second from all others together.
 	marksPerSecond = 5
 	wholeFleet     = 64
-	// loadStep is the least change of load that is worth telling.
+	// loadStep is the smallest change of load that is sent.
 	loadStep = 0.02
 )
 
-// tellLoad must be called with l.mu held.
+// tellLoad queues this host's load for sending if it changed and loadEvery has passed since the last time; it must be
+// called with l.mu held.
 func (l *List) tellLoad(now time.Time) {
 	if math.Abs(l.load-l.toldLoad) < loadStep || now.Sub(l.toldAt) < l.loadEvery() {
 		return
@@ -31,6 +34,7 @@
 	l.staleLoad = true
 }
 
+// loadEvery returns the minimum interval between two load reports of this host.
 func (l *List) loadEvery() time.Duration {
 	n := 0
 	for _, r := range l.rows {
@@ -41,6 +45,7 @@
 	return max(time.Second, time.Duration(n)*time.Second/marksPerSecond)
 }
 
+// sharesLoad reports whether load reports of h are passed on.
 func (l *List) sharesLoad(h Host) bool {
 	return len(l.rows) < wholeFleet || h.Zone == l.self.Zone && h.Region == l.self.Region
 }
@@ -57,6 +62,7 @@
 	}
 }
 
+// takeLoads returns the queued load reports that were sent least often.
 func (l *List) takeLoads() []Load {
 	if len(l.loads) == 0 {
 		return nil
--- a/entry/internal/member/model_test.go
+++ b/entry/internal/member/model_test.go
@@ -13,14 +13,14 @@
 	modelSeeds = 1000
 	modelHosts = 6
 	faultTime  = 40 * time.Second
-	// healTime covers the death of the last suspects and the search for hosts that were cut off.
+	// healTime covers the death of the last suspects and the contact with hosts that were cut off.
 	healTime = 60 * time.Second
 )
 
-// Story: hosts are paused, cut off by zone, killed and restarted while messages are lost, doubled and reordered.
-// A list that lets an old word override a newer one brings back hosts that ended or drops hosts that live; callers
-// are then sent to an address where nobody answers. Once the faults end, every host must list exactly the running
-// incarnations as alive, and on the way no list may go back to an older epoch of any host.
+// Guards against an old row that overrides a newer one, which restores hosts that ended or drops running ones, so that
+// clients are directed to a dead address. Hosts are paused, cut off by zone, killed and restarted while messages are
+// lost, duplicated and reordered. After the faults every host must list exactly the running incarnations, and no list
+// may ever go back to an older epoch of a host.
 func TestModelConvergesAfterFaults(t *testing.T) {
 	var workers sync.WaitGroup
 	seeds := make(chan uint64)
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Story: an operator replaces every host, one after another, by a new one at another address. In the end no old host
-// is left, yet each new one must know all the others, though no address of the first ones answers any more.
+// Guards against new hosts that lose each other when an operator replaces every host, one after another, by one at
+// another address: in the end none of the first addresses answers, and each host must still list all the others.
 func TestAllHostsReplacedOneAfterAnother(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(7, 7)
@@ -128,8 +128,8 @@
 	c.Assert(converged(n), qt.IsNil)
 }
 
-// Story: a host's process is stopped for half a minute and goes on. Everybody took it for dead, and it finds every
-// probe of its own overdue. It must neither stay dead for the others nor accuse a healthy one.
+// Guards against a host that stays dead for the others, or suspects healthy hosts, after its process was stopped for
+// half a minute: the others have declared it dead, and all its own probes are overdue.
 func TestPausedHostComesBackAndAccusesNobody(t *testing.T) {
 	for seed := range uint64(50) {
 		c := qt.New(t)
@@ -150,9 +150,9 @@
 	}
 }
 
-// Story: a link between the zones is down for twenty minutes, and so is the platform with its directory. Each zone
-// takes the others for dead and forgets to talk to them. When the link is back, nobody is left to introduce them;
-// each must still list all the others within a minute.
+// Guards against zones that stay apart after a partition: the link between them and the platform's directory are down
+// for twenty minutes, so each zone declares the others dead. When the link is back, each host must list all the others
+// within a minute without the directory.
 func TestZonesCutApartJoinAgainWithoutDirectory(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(11, 9)
--- a/entry/internal/member/neighbours.go
+++ b/entry/internal/member/neighbours.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Neighbours of one host. A fixed, small set keeps connections open, so that a probe costs neither a handshake nor
-// the type descriptions of a new gob stream. Two ring successors make sure that every host is probed by somebody:
-// with random choices alone about two hosts of 5,600 would have no prober. The random ones in the whole fleet carry
-// news everywhere within few hops, and those in the zone carry load marks, which stay inside it.
+// Numbers of neighbours, the hosts that one host probes. A fixed, small set keeps connections open, so that a probe
+// costs neither a handshake nor the type descriptions of a new gob stream. Two ring successors ensure that every host
+// is probed: with random neighbours alone about two hosts of 5,600 would have no prober. The random neighbours in the
+// whole fleet spread changes to all hosts within few hops, and those in the zone spread load reports, which stay
+// inside it.
 const (
 	ringNeighbours   = 2
 	zoneNeighbours   = 3
@@ -16,7 +17,7 @@
 	allNeighbours    = ringNeighbours + zoneNeighbours + randomNeighbours
 )
 
-// neighbours returns the IDs that self probes, in a fixed order; keys holds the key of each host of list.
+// neighbours returns the IDs of the hosts that self probes, in a fixed order; keys holds the key of each host in list.
 func neighbours(self Host, list []Host, keys []uint64) []string {
 	own := self.Key()
 	var ring, zone, anywhere nearest
@@ -27,9 +28,9 @@
 		}
 		key := keys[i]
 		pair := mix(own ^ mix(key))
-		// The distance wraps around, which makes the keys a ring.
+		// The difference wraps around, which makes the keys a ring.
 		ring.offer(ranked{host: h, rank: key - own}, ringNeighbours)
-		// More are kept than are taken, since those before may have taken some of them.
+		// More candidates are kept than are needed, since the earlier groups may already contain some of them.
 		if h.Zone == self.Zone && h.Region == self.Region {
 			zone.offer(ranked{host: h, rank: pair}, zoneNeighbours+ringNeighbours)
 		}
@@ -37,7 +38,7 @@
 	}
 	ids := take(nil, ring, ringNeighbours)
 	ids = take(ids, zone, zoneNeighbours)
-	// What the zone has too few for is taken from anywhere, so that a small fleet is told of a stop as a whole.
+	// A small zone is topped up from the whole fleet, so that in a small fleet a stop is announced to every host.
 	return take(ids, anywhere, allNeighbours-len(ids))
 }
 
@@ -46,9 +47,10 @@
 	rank uint64
 }
 
-// nearest keeps the few hosts of lowest rank, in order.
+// nearest holds the hosts of lowest rank, in ascending order.
 type nearest []ranked
 
+// offer inserts r if it is among the hosts of lowest rank, of which most are kept.
 func (n *nearest) offer(r ranked, most int) {
 	list := *n
 	if len(list) == most && r.rank >= list[most-1].rank {
@@ -70,8 +72,8 @@
 	return ids
 }
 
-// Ranked orders the hosts that may take up work by rendezvous hash for a purpose; every host that sees the same members
-// gets the same order, and a change of one member moves only its own place.
+// Ranked returns the alive and suspect hosts, which may be given work, ordered by rendezvous hash for a purpose. Hosts
+// with the same member list get the same order, and a change of one member moves only that member.
 func Ranked(hosts []Host, purpose string) []Host {
 	seed := hashOf(purpose)
 	list := make([]ranked, 0, len(hosts))
--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// network carries messages between lists in virtual time, losing, doubling, delaying and cutting them off as told.
+// network carries messages between lists in virtual time, with configurable loss, duplication, delay and partitions.
 type network struct {
 	rnd    *rand.Rand
 	now    time.Time
@@ -20,7 +20,7 @@
 	loss   float64
 	double float64
 	cut    bool
-	// noDirectory leaves joined hosts nobody to ask but those they know.
+	// noDirectory makes the directory unavailable, so that hosts contact only those in their lists.
 	noDirectory bool
 	starts      int
 	moves       int
@@ -36,7 +36,7 @@
 	side   int
 	up     bool
 	paused time.Time
-	// repaired is when the node compared tables last, which is bounded as over the network.
+	// repaired is when the node last compared tables; the rate is bounded as in the real network.
 	repaired time.Time
 	epochs   map[string]uint64
 }
@@ -80,7 +80,7 @@
 	return n
 }
 
-// move gives the node an address that was never used.
+// move gives the node a new, unused address.
 func (n *network) move(nd *node) {
 	n.moves++
 	nd.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n.moves >> 8), byte(n.moves)}), 1)
@@ -102,7 +102,7 @@
 	n.repeat(nd, mine, 5*time.Second, func() { n.seek(nd) })
 }
 
-// seek greets those of the first two nodes, which stand for the platform's directory, that aren't known, and one lost
+// seek contacts those of the first two nodes that aren't listed, which stand for the platform's directory, and one lost
 // host.
 func (n *network) seek(nd *node) {
 	known := map[netip.AddrPort]bool{}
@@ -124,7 +124,7 @@
 	heap.Push(&n.events, event{at: n.now.Add(d), seq: n.seq, run: f})
 }
 
-// later runs f once d has passed, or at the end of the pause that it falls into, unless the incarnation has ended.
+// later runs f after d, or after the pause that this falls into, unless the incarnation has ended.
 func (n *network) later(nd *node, d time.Duration, f func()) {
 	l := nd.list
 	var due func()
@@ -140,7 +140,7 @@
 	n.at(d, due)
 }
 
-// repeat runs f each d as long as this incarnation runs.
+// repeat runs f every d while this incarnation runs.
 func (n *network) repeat(nd *node, l *List, d time.Duration, f func()) {
 	var again func()
 	again = func() {
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// deliver runs f at the receiver after a random delay, perhaps twice, unless it is lost; a paused receiver runs it at
-// its end.
+// deliver runs f at the receiver after a random delay, perhaps twice, unless it is lost; a paused receiver runs it when
+// it resumes.
 func (n *network) deliver(from, to *node, f func()) {
 	if to == nil || n.rnd.Float64() < n.loss || n.cut && from.side != to.side {
 		return
@@ -248,7 +248,7 @@
 	})
 }
 
-// repair exchanges the rows below the first prefixes that differ, as the walk over the network does in more steps.
+// repair exchanges the rows below the top-level prefixes that differ, which the real network does in more steps.
 func (n *network) repair(a, b *node) {
 	every := 2*time.Second + time.Duration(len(a.list.Hosts()))*2*time.Millisecond
 	if a.list.Digest() == b.list.Digest() || n.now.Sub(a.repaired) < every || n.rnd.Float64() < n.loss {
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -9,7 +9,7 @@
 
 // Message is the membership part of every message between hosts.
 type Message struct {
-	// From and Epoch name the sender, To the incarnation that it means to reach; To is empty towards a seed.
+	// From and Epoch identify the sender, To the intended receiver's incarnation; To is empty towards a seed.
 	From  string
 	Epoch uint64
 	To    string
@@ -17,14 +17,14 @@
 	Loads []Load
 }
 
-// Load is a host's load in as few bytes as possible; Key is Host.Key and Percent is 0 to 100.
+// Load is a load report in as few bytes as possible; Key is Host.Key and Percent is 0 to 100.
 type Load struct {
 	Key     uint64
 	Seq     uint64
 	Percent uint8
 }
 
-// Next returns the neighbour to probe now; each gets its turn.
+// Next returns the neighbour to probe now, in round-robin order.
 func (l *List) Next() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,13 +50,13 @@
 	return list
 }
 
-// IndirectProbers returns up to n random hosts that are alive and not target, to probe it from elsewhere.
+// IndirectProbers returns up to n random alive hosts other than target, to probe it indirectly.
 func (l *List) IndirectProbers(target Host, n int) []Host {
 	hosts := l.Hosts()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Host
-	// A bounded number of draws is enough: one less only makes the check less sure.
+	// A bounded number of draws is enough: one prober less only makes the check less reliable.
 	for range 4 * n {
 		h := hosts[l.opts.Rand.IntN(len(hosts))]
 		if len(list) == n {
@@ -70,7 +70,7 @@
 	return list
 }
 
-// Lost returns a random host that died without having announced a stop, to be sought again: it may have been cut off.
+// Lost returns a random host that died without announcing its stop, to be contacted again: it may have been cut off.
 func (l *List) Lost() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,24 +87,24 @@
 	return list[l.opts.Rand.IntN(len(list))], true
 }
 
-// Message returns a message for the host with ID to, filled with the changed rows that were sent least often.
+// Message returns a message to the host with ID to, with the queued rows that were sent least often.
 func (l *List) Message(to string) Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	msg := Message{From: l.self.ID, Epoch: l.self.Epoch, To: to}
 	msg.Rows = l.takeRows(to)
 	if r := l.rows[to]; r != nil && (r.State == StateSuspect || r.State == StateDead) {
-		// The accused hears of it in the very probe that reaches it, and refutes in the reply.
+		// The receiver gets its own row in the probe that reaches it, and refutes it in the reply.
 		msg.Rows = append(msg.Rows, r.Host)
 	}
 	msg.Loads = l.takeLoads()
 	return msg
 }
 
-// Accuse returns the row of msg's sender if this host holds it for suspect or dead, so that the sender can refute.
+// Accuse returns the row of msg's sender if it is suspect or dead in this list, so that the sender can refute it.
 //
-// A host that was paused until after its death was told around would never hear of it otherwise: nobody probes the
-// dead.
+// A host that was paused until its death had spread through the fleet would otherwise never receive that row, since
+// dead hosts aren't probed.
 func (l *List) Accuse(msg Message) []Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +115,7 @@
 	return []Host{r.Host}
 }
 
-// Receive takes over a message, whether a request or a reply, and returns the rows that were news here.
+// Receive applies a message, whether a request or a reply, and returns the rows that changed the list.
 func (l *List) Receive(now time.Time, msg Message) []Host {
 	fresh := l.Merge(now, msg.Rows)
 	l.mu.Lock()
@@ -126,8 +126,8 @@
 	return fresh
 }
 
-// Unreachable says that neither a direct nor an indirect probe reached target with a probe sent at sent. It returns the
-// row of a host that became suspect or dead by that.
+// Unreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns the
+// row and true if target became suspect or dead by that.
 func (l *List) Unreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
 	l.mu.Lock()
 	r := l.rows[target.ID]
@@ -142,7 +142,7 @@
 		h.State = StateSuspect
 		l.put(h, now)
 	case StateLeaving:
-		// It said that it would go, so there is nothing to wait for.
+		// The host announced its stop, so there is no refutation to wait for.
 		h.State = StateDead
 		l.put(h, now)
 	}
@@ -155,7 +155,7 @@
 	return h, h.State != was
 }
 
-// Replaced says that another incarnation answered at target's address, which proves that target has ended.
+// Replaced records that another incarnation answered at target's address, which proves that target has ended.
 func (l *List) Replaced(now time.Time, target Host) {
 	l.mu.Lock()
 	if r := l.rows[target.ID]; r != nil {
@@ -174,11 +174,11 @@
 	l.announce(changes)
 }
 
-// sends is how often a change is passed on: two messages a second carry it everywhere before that
-// (docs/design/membership.md), and digests reach whoever missed it.
+// sends returns the number of times that a changed row is sent: at two messages a second it reaches all hosts before
+// that (docs/design/membership.md), and anti-entropy delivers it to hosts that missed it.
 func (l *List) sends() int { return bits.Len(uint(len(l.rows)+1)) + 2 }
 
-// takeRows picks the rows sent least often; ties are broken by ID so that a seeded run repeats.
+// takeRows returns the queued rows that were sent least often; ties are broken by ID so that a seeded run repeats.
 func (l *List) takeRows(to string) []Host {
 	ids := make([]string, 0, len(l.queue))
 	for id := range l.queue {
--- a/entry/internal/member/snapshot.go
+++ b/entry/internal/member/snapshot.go
@@ -2,7 +2,7 @@
 
 import "guavaspring.org/entry/internal/digest"
 
-// rebuild must be called with l.mu held; it publishes the snapshot and chooses the neighbours anew.
+// rebuild publishes the snapshot, computes the digest and selects the neighbours; it must be called with l.mu held.
 func (l *List) rebuild() {
 	l.stale = false
 	list, keys := l.publish()
@@ -10,7 +10,7 @@
 	l.around = neighbours(l.self, list, keys)
 }
 
-// publish must be called with l.mu held; it returns the snapshot and the key of each host.
+// publish replaces the snapshot and returns it with the key of each host; it must be called with l.mu held.
 func (l *List) publish() ([]Host, []uint64) {
 	l.staleLoad = false
 	list := make([]Host, 0, len(l.order)+1)
@@ -33,7 +33,8 @@
 	return list, keys
 }
 
-// entriesOf leaves out load, which changes all the time, and dead rows, which each host drops at its own time.
+// entriesOf returns the digest entries of list and their digest. They leave out the load, which changes all the time;
+// list has no dead rows, which each host removes at its own time.
 func entriesOf(list []Host, keys []uint64) ([]digest.Entry, uint64) {
 	entries := make([]digest.Entry, len(list))
 	for i, h := range list {
@@ -42,7 +43,7 @@
 	return entries, digest.Total(entries)
 }
 
-// Digest returns the sum over all rows that are not dead.
+// Digest returns the digest of all rows that are not dead.
 func (l *List) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +57,7 @@
 	return digest.Sums(l.entries, p)
 }
 
-// Rows returns up to most rows below p, dead ones included, so that the other side learns of a death it missed.
+// Rows returns up to most rows below p, dead ones included, so that the other host receives a death that it missed.
 func (l *List) Rows(p digest.Prefix, most int) []Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/internal/member/spread_test.go
+++ b/entry/internal/member/spread_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Story: the fleet grows from 32 to 256 hosts. A failure detector whose traffic grows with the fleet would fill the
-// links of small hosts; one whose news stops half way would leave callers on an address that is gone. One host is
-// killed in each fleet: every other must know within a bounded time, at the same number of messages a host and second.
+// Guards against gossip whose traffic per host grows with the fleet, which fills the links of small hosts, and against
+// a death that doesn't reach all hosts, which leaves clients at a dead address. One host is killed in fleets of 32 to
+// 256 hosts: every other must drop it within a bounded time, at the same number of messages per host and second.
 func TestADeathSpreadsAtConstantMessagesAHost(t *testing.T) {
 	for _, hosts := range []int{32, 128, 256} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -27,15 +27,15 @@
 				known += time.Second
 			}
 			sent, rows := float64(n.sent)/float64(hosts)/known.Seconds(), float64(n.rows)/float64(hosts)/known.Seconds()
-			t.Logf("%d hosts: known everywhere after %s; %.2f probes and %.2f rows a host and second", hosts, known, sent, rows)
-			c.Assert(known <= 25*time.Second, qt.IsTrue, qt.Commentf("not known everywhere after %s", known))
-			c.Assert(sent < 1.2, qt.IsTrue, qt.Commentf("%.2f probes a host and second", sent))
-			c.Assert(rows < 4, qt.IsTrue, qt.Commentf("%.2f rows a host and second", rows))
+			t.Logf("%d hosts: death known to all after %s; %.2f probes and %.2f rows per host and second", hosts, known, sent, rows)
+			c.Assert(known <= 25*time.Second, qt.IsTrue, qt.Commentf("death not known to all hosts after %s", known))
+			c.Assert(sent < 1.2, qt.IsTrue, qt.Commentf("%.2f probes per host and second", sent))
+			c.Assert(rows < 4, qt.IsTrue, qt.Commentf("%.2f rows per host and second", rows))
 		})
 	}
 }
 
-// full returns a network whose hosts all know each other and have nothing left to tell.
+// full returns a network whose hosts all list each other and have no rows queued.
 func full(hosts int) *network {
 	n := newNetwork(5, hosts)
 	n.noDirectory = true
