--- a/entry/internal/rumor/doc.go
+++ b/entry/internal/rumor/doc.go
@@ -1,2 +1,2 @@
-// Package rumor holds the small facts that one host tells all others, such as a replica that is leaving.
+// Package rumor stores the small facts that hosts spread by gossip, such as a replica that is draining.
 package rumor
--- a/entry/internal/rumor/rumor.go
+++ b/entry/internal/rumor/rumor.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Kind says what a rumor is about.
+// Kind is the kind of fact that a rumor states.
 type Kind string
 
 // The kinds of rumors.
 const (
 	// KindQuarantine marks a request fingerprint that crashes upstreams; Key is the fingerprint.
 	KindQuarantine Kind = "quarantine"
-	// KindDraining marks a replica that is leaving; Key is the replica's ID.
+	// KindDraining marks a replica that is draining; Key is the replica's ID.
 	KindDraining Kind = "draining"
 )
 
-// MaxBody is the most bytes that Body may hold: rumors travel inside probes.
+// MaxBody is the maximum size of Body in bytes: rumors are sent inside probes.
 const MaxBody = 512
 
-// Rumor is one fact; among rumors of the same Kind and Key the highest Number wins.
+// Rumor is one fact; among rumors of the same Kind, Service and Key the one with the highest Number wins.
 type Rumor struct {
 	Kind    Kind      `json:"kind"`
 	Service string    `json:"service"`
--- a/entry/internal/rumor/store.go
+++ b/entry/internal/rumor/store.go
@@ -15,25 +15,26 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// Bounds of the store; docs/design/membership.md says what they cost.
+// Bounds of the store; docs/design/membership.md has their costs.
 const (
-	// MaxRumors bounds the rumors held at once, about 1 MB.
+	// MaxRumors is the maximum number of rumors held at once, about 1 MB.
 	MaxRumors = 4096
-	// MaxLife is the longest that a rumor lives, so that a host whose clock is wrong can't make one last.
+	// MaxLife is the maximum lifetime of a rumor, so that a host whose clock is wrong can't make one permanent.
 	MaxLife = time.Hour
+	// maxName is the maximum length of a kind, a service or a key in bytes.
 	maxName = 128
-	// perMessage is the most rumors that ride on one probe.
+	// perMessage is the maximum number of rumors in one probe.
 	perMessage = 3
 )
 
-// ErrInvalid is returned for a rumor that can't be published.
+// ErrInvalid is returned for a rumor whose kind, service, key or body has an invalid size.
 var ErrInvalid = errors.New("rumor: invalid")
 
-// Store holds the rumors that are alive. It answers the load of facts that every host needs within seconds and that
-// nobody must keep for good: without the bound, or the expiry, a burst of them would fill the memory of all hosts.
+// Store holds facts that every host needs within seconds and none needs for long. Without the bound on their number and
+// the expiry, a burst of them would fill the memory of all hosts.
 type Store struct {
 	clock clock.Clock
-	// Hosts returns the number of hosts, which decides how often a rumor is passed on.
+	// hosts returns the number of hosts, which determines how often a rumor is sent.
 	hosts func() int
 
 	mu      sync.Mutex
@@ -60,7 +61,7 @@
 	return &Store{clock: c, hosts: hosts, all: map[id]*entry{}, byKind: map[Kind][]func(Rumor){}}
 }
 
-// Subscribe calls f, on the goroutine that brings the news, for each rumor of kind that is alive now or comes later.
+// Subscribe calls f for each rumor of kind that is alive now or merged later, then on the goroutine that merges it.
 func (s *Store) Subscribe(kind Kind, f func(Rumor)) {
 	s.mu.Lock()
 	s.byKind[kind] = append(s.byKind[kind], f)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Publish takes over a rumor of this host's own and reports whether it was news.
+// Publish adds a rumor of this host and reports whether it changed the store.
 func (s *Store) Publish(r Rumor) (bool, error) {
 	if err := s.check(r); err != nil {
 		return false, err
@@ -81,7 +82,7 @@
 func (s *Store) check(r Rumor) error {
 	switch {
 	case r.Kind == "" || len(r.Kind) > maxName:
-		return fmt.Errorf("%w: kind %.20q", ErrInvalid, r.Kind)
+		return fmt.Errorf("%w: kind %.20q is empty or too long", ErrInvalid, r.Kind)
 	case r.Key == "" || len(r.Key) > maxName || len(r.Service) > maxName:
 		return fmt.Errorf("%w: key of %d and service of %d bytes; want 1 to %d and at most %d", ErrInvalid, len(r.Key), len(r.Service), maxName, maxName)
 	case len(r.Body) > MaxBody:
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// Merge takes over the rumors that are news and returns them.
+// Merge stores the rumors that are valid, alive and newer than the stored ones, and returns them.
 func (s *Store) Merge(list []Rumor) []Rumor {
 	var fresh []Rumor
 	var calls []func()
@@ -103,7 +104,7 @@
 		if latest := now.Add(MaxLife); r.Expires.After(latest) {
 			r.Expires = latest
 		}
-		// The monotonic reading means nothing to other hosts, and would make equal rumors differ.
+		// Other hosts can't use the monotonic reading, and it would make equal rumors differ.
 		r.Expires = r.Expires.Round(0).UTC()
 		if !s.put(r) {
 			continue
@@ -120,6 +121,7 @@
 	return fresh
 }
 
+// put stores r if it is newer than the stored rumor of its key and there is room, and reports whether it did.
 func (s *Store) put(r Rumor) bool {
 	at := id{r.Kind, r.Service, r.Key}
 	old := s.all[at]
@@ -134,13 +136,13 @@
 	return true
 }
 
-// compare orders rumors of one key; beyond Number it only has to be the same order on all hosts.
+// compare orders rumors of one key by Number; ties only need the same order on all hosts.
 func compare(a, b Rumor) int {
 	return cmp.Or(cmp.Compare(a.Number, b.Number), a.Expires.Compare(b.Expires), bytes.Compare(a.Body, b.Body))
 }
 
-// makeRoom drops what is expired, or else the rumor that expires first if r outlives it: all hosts then keep the same
-// ones.
+// makeRoom removes the expired rumors, or else the one that expires first if r expires later, and reports whether there
+// is room for r. All hosts thus keep the same rumors.
 func (s *Store) makeRoom(r Rumor) bool {
 	now := s.clock.Now()
 	var first id
@@ -175,7 +177,7 @@
 	return e.Rumor, true
 }
 
-// List returns the rumors of a kind that are alive, in no order.
+// List returns the rumors of a kind that are alive, in no particular order.
 func (s *Store) List(kind Kind) []Rumor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +192,7 @@
 
 func (s *Store) alive(r Rumor) bool { return r.Expires.After(s.clock.Now()) }
 
-// Len returns how many rumors are alive.
+// Len returns the number of rumors that are alive.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +205,7 @@
 	return n
 }
 
-// Take returns the rumors that ride on the next message: those passed on least often.
+// Take returns the rumors for the next message: those sent least often.
 func (s *Store) Take() []Rumor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,13 +260,14 @@
 	return list
 }
 
-// Dropped returns how many rumors were dropped because the store was full.
+// Dropped returns the number of rumors that were rejected because the store was full.
 func (s *Store) Dropped() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
+// place returns the digest entry of r.
 func place(r Rumor) digest.Entry {
 	key := sum(string(r.Kind), r.Service, r.Key)
 	return digest.Entry{Key: key, Sum: sum(string(r.Kind), r.Service, r.Key, fmt.Sprint(r.Number, r.Expires.UnixNano()), string(r.Body))}
--- a/entry/internal/rumor/store_test.go
+++ b/entry/internal/rumor/store_test.go
@@ -19,8 +19,8 @@
 	return Rumor{Kind: KindQuarantine, Service: "ticket-desk", Key: key, Number: number, Expires: time.Now().Add(life)}
 }
 
-// Story: a quarantine is lifted and another host still tells the old one. The higher number must win on every host,
-// whatever the order in which the two arrive, and both must end by themselves.
+// Guards against a quarantine that is lifted on some hosts only, since another host still sends the old rumor: the
+// higher number must win on every host in whatever order the two arrive, and both must expire.
 func TestHighestNumberWinsInEveryOrder(t *testing.T) {
 	for seed := range uint64(1000) {
 		synctest.Test(t, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Story: a broken host floods the others with rumors. Memory must stay bounded, all hosts must keep the same ones, and
-// what is too large or lives too long must not travel at all.
+// Guards against a broken host that floods the others with rumors: memory must stay bounded, all hosts must keep the
+// same rumors, a body that is too large must be rejected, and a lifetime that is too long must be cut.
 func TestFloodStaysBoundedAndAlikeOnAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
