--- a/entry/internal/digest/doc.go
+++ b/entry/internal/digest/doc.go
@@ -1,2 +1,2 @@
-// Package digest compares two tables over the wire by sums of hashed prefixes, so that equal tables cost a few bytes.
+// Package digest compares tables of two hosts by checksums over key prefixes, so that equal tables cost a few bytes.
 package digest
--- a/entry/internal/digest/tree.go
+++ b/entry/internal/digest/tree.go
@@ -1,26 +1,27 @@
 package digest
 
-// Fan is the number of children of each prefix: four bits of the key a level.
+// Fan is the number of children of each prefix: each level has four bits of the key.
 const Fan = 16
 
+// bits is the number of key bits of one level.
 const bits = 4
 
-// MaxDepth is the deepest prefix; sixteen levels of four bits are the whole key.
+// MaxDepth is the depth of the longest prefix; sixteen levels of four bits are the whole key.
 const MaxDepth = 16
 
-// Entry is one row of a table: Key places it and Sum changes with its content.
+// Entry stands for one row of a table: Key is the hash that determines its prefixes, Sum the hash of its content.
 type Entry struct {
 	Key uint64
 	Sum uint64
 }
 
-// Sum is the sum over the rows below a prefix.
+// Sum is the digest of the rows below a prefix: their number and the XOR of their sums.
 type Sum struct {
 	Rows int
 	XOR  uint64
 }
 
-// Prefix names the rows whose key begins with the top Depth*4 bits of Bits.
+// Prefix selects the rows whose key begins with the top Depth*4 bits of Bits.
 type Prefix struct {
 	Bits  uint64
 	Depth int
@@ -32,7 +33,7 @@
 	return Prefix{Bits: p.Bits | uint64(i)<<shift, Depth: p.Depth + 1}
 }
 
-// Holds reports whether key lies below p.
+// Holds reports whether key begins with p.
 func (p Prefix) Holds(key uint64) bool {
 	if p.Depth <= 0 {
 		return true
@@ -41,10 +42,10 @@
 	return key>>shift == p.Bits>>shift
 }
 
-// Valid reports whether p can be divided further; prefixes come from other processes.
+// Valid reports whether p has children; prefixes come from other processes and may be out of range.
 func (p Prefix) Valid() bool { return p.Depth >= 0 && p.Depth < MaxDepth }
 
-// Total returns the sum over all entries, which is equal for equal tables.
+// Total returns the digest of all entries, which is equal for equal tables.
 func Total(entries []Entry) uint64 {
 	var x uint64
 	for _, e := range entries {
@@ -53,7 +54,7 @@
 	return x
 }
 
-// Sums returns the sum of each child of p; p must be Valid.
+// Sums returns the digest of each child of p; p must be Valid.
 func Sums(entries []Entry, p Prefix) []Sum {
 	sums := make([]Sum, Fan)
 	shift := 64 - bits*(p.Depth+1)
@@ -68,7 +69,7 @@
 	return sums
 }
 
-// Differing returns the children whose sums differ; both lists must have Fan sums.
+// Differing returns the indexes of the children whose sums differ; both lists must have Fan sums.
 func Differing(a, b []Sum) []int {
 	var list []int
 	for i := range Fan {
