--- a/entry/internal/member/bench_test.go
+++ b/entry/internal/member/bench_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// large returns a list of 5,600 hosts and its rows.
-func large() (*List, []Host) {
+// largeList returns a list of 5,600 hosts and its rows.
+func largeList() (*List, []Host) {
 	rows := make([]Host, 5600)
 	for i := range rows {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7000)
@@ -27,7 +27,7 @@
 // BenchmarkChange measures one changed row at 5,600 hosts; the fleet has 0.22 changes a second, each received a few
 // times.
 func BenchmarkChange(b *testing.B) {
-	l, rows := large()
+	l, rows := largeList()
 	b.ReportAllocs()
 	for i := range b.N {
 		h := rows[1+i%5000]
@@ -38,7 +38,7 @@
 
 // BenchmarkTick measures one tick at 5,600 hosts; a host has five a second.
 func BenchmarkTick(b *testing.B) {
-	l, _ := large()
+	l, _ := largeList()
 	b.ReportAllocs()
 	now := time.Unix(1, 0)
 	for range b.N {
@@ -49,10 +49,10 @@
 
 // BenchmarkMessage measures one message while many rows are queued.
 func BenchmarkMessage(b *testing.B) {
-	l, rows := large()
+	l, rows := largeList()
 	b.ReportAllocs()
 	for i := range b.N {
-		if len(l.queue) < 100 {
+		if len(l.queuedRows) < 100 {
 			b.StopTimer()
 			next := rows[1 : 1+200]
 			for j := range next {
@@ -71,9 +71,9 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		l, _ := large()
+		l, _ := largeList()
 		l.mu.Lock()
-		clear(l.queue)
+		clear(l.queuedRows)
 		l.mu.Unlock()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/entry/internal/member/host.go
+++ b/entry/internal/member/host.go
@@ -55,11 +55,11 @@
 // corrupted memory.
 func (h Host) valid() bool {
 	_, known := stateRank[h.State]
-	return known && h.ID != "" && len(h.ID) <= maxID && h.Peer.IsValid() && len(h.Zone) <= maxID && len(h.Region) <= maxID
+	return known && h.ID != "" && len(h.ID) <= maxNameBytes && h.Peer.IsValid() && len(h.Zone) <= maxNameBytes && len(h.Region) <= maxNameBytes
 }
 
-// maxID is the maximum length of an ID, a zone or a region in bytes.
-const maxID = 64
+// maxNameBytes is the maximum length of an ID, a zone or a region in bytes.
+const maxNameBytes = 64
 
 // Key returns the 64-bit hash that replaces the host's ID in digests and load reports.
 func (h Host) Key() uint64 { return hashOf(h.ID) }
--- a/entry/internal/member/list.go
+++ b/entry/internal/member/list.go
@@ -30,14 +30,14 @@
 	SuspectFor = 4 * time.Second
 	// KeepDead is how long a dead row is kept, so that a region cut off for an hour is contacted again after it.
 	KeepDead = 2 * time.Hour
-	// maxRows is the maximum number of changed rows in one message, about 600 bytes.
-	maxRows = 6
-	// maxLoads is the maximum number of load reports in one message, about 100 bytes.
-	maxLoads = 6
-	// publishLoads is the interval between snapshots for changed loads: each takes 1 to 2 ms at 5,600 hosts.
-	publishLoads = time.Second
-	// pauseAfter is the gap between two ticks above which this process counts as paused.
-	pauseAfter = 2 * time.Second
+	// maxRowsPerMessage is the maximum number of changed rows in one message, about 600 bytes.
+	maxRowsPerMessage = 6
+	// maxLoadsPerMessage is the maximum number of load reports in one message, about 100 bytes.
+	maxLoadsPerMessage = 6
+	// publishLoadsEvery is the interval between snapshots for changed loads: each takes 1 to 2 ms at 5,600 hosts.
+	publishLoadsEvery = time.Second
+	// pauseThreshold is the gap between two ticks above which this process counts as paused.
+	pauseThreshold = 2 * time.Second
 )
 
 // List is one host's member list: the state of a SWIM failure detector, without the network.
@@ -53,44 +53,44 @@
 	self  Host
 	rows  map[string]*row
 	byKey map[uint64]*row
-	// order holds the rows sorted by ID, so that a snapshot of thousands of hosts needs no sorting.
-	order []*row
-	// waiting holds the rows with a deadline: suspects and dead hosts.
-	waiting map[string]*row
-	// queue and loads hold how often each queued row or load report was sent, by host ID and key.
-	queue    map[string]int
-	loads    map[uint64]int
-	lastTick time.Time
-	// published is when changed loads last entered the snapshot.
-	published time.Time
+	// sortedRows holds the rows sorted by ID, so that a snapshot of thousands of hosts needs no sorting.
+	sortedRows []*row
+	// expiring holds the rows with a deadline: suspects and dead hosts.
+	expiring map[string]*row
+	// queuedRows and queuedLoads hold the number of times that each queued row or load report was sent, by ID and key.
+	queuedRows  map[string]int
+	queuedLoads map[uint64]int
+	lastTick    time.Time
+	// loadsPublished is when changed loads last entered the snapshot.
+	loadsPublished time.Time
 	// resumed is when this process continued after its last pause.
 	resumed time.Time
-	// toldLoad is the load last queued for the other hosts, at toldAt; load is the current one.
-	toldLoad float64
-	toldAt   time.Time
-	load     float64
-	// around holds the IDs of the neighbours, turn the index of the one probed last.
-	turn   int
-	around []string
-	// entries are the digest entries of the rows that are not dead, total their digest.
-	entries []digest.Entry
-	total   uint64
+	// sentLoad is the load last queued for the other hosts, at loadSentAt; load is the current one.
+	sentLoad   float64
+	loadSentAt time.Time
+	load       float64
+	// neighbourIDs holds the IDs of the neighbours, lastProbed the index of the one probed last.
+	lastProbed   int
+	neighbourIDs []string
+	// entries are the digest entries of the rows that are not dead, digestTotal their digest.
+	entries     []digest.Entry
+	digestTotal uint64
 	// stale is set when the snapshot, the digest and the neighbours have to be rebuilt.
 	stale bool
-	// staleLoad is set when a load changed, which needs a new snapshot but no new neighbours.
-	staleLoad bool
-	pending   []change
-	snapshot  atomic.Pointer[[]Host]
-	// own is this host's row as of the snapshot.
-	own atomic.Pointer[Host]
+	// loadsStale is set when a load changed, which needs a new snapshot but no new neighbours.
+	loadsStale     bool
+	pendingChanges []change
+	snapshot       atomic.Pointer[[]Host]
+	// publishedSelf is this host's row as of the snapshot.
+	publishedSelf atomic.Pointer[Host]
 }
 
 type row struct {
 	Host
 	// key caches Host.Key: hashing thousands of IDs at each change takes a millisecond.
 	key uint64
-	// until is when a suspect becomes dead, or a dead row is removed.
-	until time.Time
+	// deadline is when a suspect becomes dead, or a dead row is removed.
+	deadline time.Time
 	// left is set if the host announced its stop or was replaced, so that it isn't contacted again.
 	left bool
 }
@@ -103,14 +103,14 @@
 // New returns a list that contains only this host.
 func New(opts Options) *List {
 	opts.Self.Epoch, opts.Self.State = 1, StateAlive
-	l := &List{opts: opts, self: opts.Self, rows: map[string]*row{}, byKey: map[uint64]*row{}, waiting: map[string]*row{}, queue: map[string]int{}, loads: map[uint64]int{}}
-	l.queue[l.self.ID] = 0
+	l := &List{opts: opts, self: opts.Self, rows: map[string]*row{}, byKey: map[uint64]*row{}, expiring: map[string]*row{}, queuedRows: map[string]int{}, queuedLoads: map[uint64]int{}}
+	l.queuedRows[l.self.ID] = 0
 	l.rebuild()
 	return l
 }
 
 // Self returns this host's own row.
-func (l *List) Self() Host { return *l.own.Load() }
+func (l *List) Self() Host { return *l.publishedSelf.Load() }
 
 // Hosts returns every host that is not dead, this one included, sorted by ID; the slice is shared and must not be
 // modified.
@@ -132,7 +132,7 @@
 	}
 	l.self.Epoch++
 	l.self.State = StateLeaving
-	l.queue[l.self.ID] = 0
+	l.queuedRows[l.self.ID] = 0
 	l.rebuild()
 }
 
@@ -140,31 +140,31 @@
 // every few hundred milliseconds.
 func (l *List) Tick(now time.Time) {
 	l.mu.Lock()
-	l.notePause(now)
-	for _, r := range l.waiting {
+	l.extendDeadlines(now)
+	for _, r := range l.expiring {
 		l.expire(r, now)
 	}
-	l.tellLoad(now)
+	l.queueLoad(now)
 	switch {
 	case l.stale:
 		l.rebuild()
-	case l.staleLoad && now.Sub(l.published) >= publishLoads:
-		l.published = now
+	case l.loadsStale && now.Sub(l.loadsPublished) >= publishLoadsEvery:
+		l.loadsPublished = now
 		l.publish()
 	}
 	changes := l.takeChanges()
 	l.mu.Unlock()
-	l.announce(changes)
+	l.notifyChanged(changes)
 }
 
-// notePause extends all deadlines by the length of a pause of this process. Otherwise a host that was stopped for a
-// while would find every suspicion and every probe of its own overdue, and declare healthy hosts dead.
-func (l *List) notePause(now time.Time) {
+// extendDeadlines extends all deadlines by the length of a pause of this process. Otherwise a host that was stopped for
+// a while would find every suspicion and every probe of its own overdue, and declare healthy hosts dead.
+func (l *List) extendDeadlines(now time.Time) {
 	gap := now.Sub(l.lastTick)
-	if !l.lastTick.IsZero() && gap > pauseAfter {
+	if !l.lastTick.IsZero() && gap > pauseThreshold {
 		l.resumed = now
-		for _, r := range l.waiting {
-			r.until = r.until.Add(gap)
+		for _, r := range l.expiring {
+			r.deadline = r.deadline.Add(gap)
 		}
 	}
 	l.lastTick = now
@@ -172,7 +172,7 @@
 
 // expire declares r dead or removes it if its deadline has passed.
 func (l *List) expire(r *row, now time.Time) {
-	if now.Before(r.until) {
+	if now.Before(r.deadline) {
 		return
 	}
 	switch r.State {
@@ -182,11 +182,11 @@
 		l.put(h, now)
 	case StateDead:
 		delete(l.rows, r.ID)
-		delete(l.waiting, r.ID)
+		delete(l.expiring, r.ID)
 		delete(l.byKey, r.key)
-		delete(l.queue, r.ID)
-		at, _ := slices.BinarySearchFunc(l.order, r.ID, compareID)
-		l.order = slices.Delete(l.order, at, at+1)
+		delete(l.queuedRows, r.ID)
+		at, _ := slices.BinarySearchFunc(l.sortedRows, r.ID, compareID)
+		l.sortedRows = slices.Delete(l.sortedRows, at, at+1)
 	}
 }
 
@@ -209,21 +209,21 @@
 	return Host{}, false
 }
 
-// merge applies rows and returns those that changed the list; with news unset it doesn't queue them for sending.
-func (l *List) merge(now time.Time, rows []Host, news bool) (fresh []Host) {
+// merge applies rows and returns those that changed the list; with enqueue unset it doesn't queue them for sending.
+func (l *List) merge(now time.Time, rows []Host, enqueue bool) (fresh []Host) {
 	l.mu.Lock()
 	for _, h := range rows {
-		_, queued := l.queue[h.ID]
+		_, queued := l.queuedRows[h.ID]
 		switch {
 		case h.ID == l.self.ID:
 			if l.refute(h) {
 				fresh = append(fresh, l.self)
 			}
-		case l.mergeOne(now, h):
+		case l.mergeRow(now, h):
 			fresh = append(fresh, h)
 		}
-		if !news && !queued && h.ID != l.self.ID {
-			delete(l.queue, h.ID)
+		if !enqueue && !queued && h.ID != l.self.ID {
+			delete(l.queuedRows, h.ID)
 		}
 	}
 	if l.stale {
@@ -231,11 +231,11 @@
 	}
 	changes := l.takeChanges()
 	l.mu.Unlock()
-	l.announce(changes)
+	l.notifyChanged(changes)
 	return fresh
 }
 
-func (l *List) mergeOne(now time.Time, h Host) bool {
+func (l *List) mergeRow(now time.Time, h Host) bool {
 	if !h.valid() {
 		return false
 	}
@@ -258,7 +258,7 @@
 		return false
 	}
 	l.self.Epoch = h.Epoch + 1
-	l.queue[l.self.ID] = 0
+	l.queuedRows[l.self.ID] = 0
 	l.stale = true
 	return true
 }
@@ -270,38 +270,38 @@
 		r = &row{key: h.Key()}
 		l.rows[h.ID] = r
 		l.byKey[r.key] = r
-		at, _ := slices.BinarySearchFunc(l.order, h.ID, compareID)
-		l.order = slices.Insert(l.order, at, r)
+		at, _ := slices.BinarySearchFunc(l.sortedRows, h.ID, compareID)
+		l.sortedRows = slices.Insert(l.sortedRows, at, r)
 	} else if h.LoadSeq < r.LoadSeq {
 		h.Load, h.LoadSeq = r.Load, r.LoadSeq
 	}
 	old := r.Host
 	r.left = h.State == StateLeaving || h.State == StateDead && old.State == StateLeaving
 	r.Host = h
-	delete(l.waiting, h.ID)
+	delete(l.expiring, h.ID)
 	switch h.State {
 	case StateSuspect:
-		r.until = now.Add(SuspectFor)
-		l.waiting[h.ID] = r
+		r.deadline = now.Add(SuspectFor)
+		l.expiring[h.ID] = r
 	case StateDead:
-		r.until = now.Add(KeepDead)
-		l.waiting[h.ID] = r
+		r.deadline = now.Add(KeepDead)
+		l.expiring[h.ID] = r
 	}
-	l.queue[h.ID] = 0
+	l.queuedRows[h.ID] = 0
 	l.stale = true
 	if old.State != h.State {
-		l.pending = append(l.pending, change{old, h})
+		l.pendingChanges = append(l.pendingChanges, change{old, h})
 	}
 }
 
 func (l *List) takeChanges() []change {
-	list := l.pending
-	l.pending = nil
+	list := l.pendingChanges
+	l.pendingChanges = nil
 	return list
 }
 
-// announce calls Options.Changed for each change; it must be called without l.mu held.
-func (l *List) announce(changes []change) {
+// notifyChanged calls Options.Changed for each change; it must be called without l.mu held.
+func (l *List) notifyChanged(changes []change) {
 	if l.opts.Changed == nil {
 		return
 	}
--- a/entry/internal/member/list_test.go
+++ b/entry/internal/member/list_test.go
@@ -97,13 +97,13 @@
 	dead := rows[77]
 	dead.State = StateDead
 	l.Merge(now, []Host{dead})
-	told := l.Message("h-1").Rows
-	c.Assert(told, qt.HasLen, 2, qt.Commentf("its own row and the death"))
+	sent := l.Message("h-1").Rows
+	c.Assert(sent, qt.HasLen, 2, qt.Commentf("its own row and the death"))
 }
 
 // Guards against changes of load that spread as far as a death does: the load must reach the other hosts without
 // making the digests of their lists differ.
-func TestLoadIsToldWithoutChangingTheDigest(t *testing.T) {
+func TestLoadIsSentWithoutChangingTheDigest(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	a, b := newList("a"), newList("b")
--- a/entry/internal/member/model_test.go
+++ b/entry/internal/member/model_test.go
@@ -27,7 +27,7 @@
 	for range 4 {
 		workers.Go(func() {
 			for seed := range seeds {
-				if err := playFaults(seed); err != nil {
+				if err := runFaults(seed); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
 			}
@@ -40,9 +40,9 @@
 	workers.Wait()
 }
 
-func playFaults(seed uint64) (err error) {
+func runFaults(seed uint64) (err error) {
 	n := newNetwork(seed, modelHosts)
-	n.loss, n.double = 0.3*n.rnd.Float64(), 0.3*n.rnd.Float64()
+	n.loss, n.duplication = 0.3*n.rnd.Float64(), 0.3*n.rnd.Float64()
 	n.check = func(nd *node) {
 		for _, h := range nd.list.Hosts() {
 			if h.Epoch < nd.epochs[h.ID] && err == nil {
@@ -52,7 +52,7 @@
 		}
 	}
 	for end := n.now.Add(faultTime); n.now.Before(end); {
-		fault(n)
+		injectFault(n)
 		n.run(time.Duration(n.rnd.IntN(4000)) * time.Millisecond)
 	}
 	heal(n)
@@ -60,10 +60,10 @@
 	if err != nil {
 		return err
 	}
-	return converged(n)
+	return checkConverged(n)
 }
 
-func fault(n *network) {
+func injectFault(n *network) {
 	nd := n.nodes[n.rnd.IntN(len(n.nodes))]
 	switch n.rnd.IntN(6) {
 	case 0:
@@ -74,7 +74,7 @@
 	case 2:
 		nd.paused = n.now.Add(time.Duration(n.rnd.IntN(20)) * time.Second)
 	case 3:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 4:
 		nd.list.Leave()
 	case 5:
@@ -83,7 +83,7 @@
 }
 
 func heal(n *network) {
-	n.loss, n.double, n.cut = 0, 0, false
+	n.loss, n.duplication, n.partitioned = 0, 0, false
 	for _, nd := range n.nodes {
 		if n.now.Before(nd.paused) {
 			nd.paused = n.now
@@ -94,7 +94,7 @@
 	}
 }
 
-func converged(n *network) error {
+func checkConverged(n *network) error {
 	for _, nd := range n.nodes {
 		hosts := nd.list.Hosts()
 		if len(hosts) != len(n.nodes) {
@@ -125,7 +125,7 @@
 		n.run(10 * time.Second)
 	}
 	n.run(20 * time.Second)
-	c.Assert(converged(n), qt.IsNil)
+	c.Assert(checkConverged(n), qt.IsNil)
 }
 
 // Guards against a host that stays dead for the others, or suspects healthy hosts, after its process was stopped for
@@ -141,7 +141,7 @@
 		n.run(29 * time.Second)
 		c.Assert(n.nodes[0].list.Hosts(), qt.HasLen, 6, seedIs)
 		n.run(15 * time.Second)
-		c.Assert(converged(n), qt.IsNil, seedIs)
+		c.Assert(checkConverged(n), qt.IsNil, seedIs)
 		for _, nd := range n.nodes {
 			if nd != paused {
 				c.Assert(nd.list.Self().Epoch, qt.Equals, uint64(1), seedIs)
@@ -157,10 +157,10 @@
 	c := qt.New(t)
 	n := newNetwork(11, 9)
 	n.run(20 * time.Second)
-	n.cut, n.noDirectory = true, true
+	n.partitioned, n.noDirectory = true, true
 	n.run(20 * time.Minute)
 	c.Assert(n.nodes[0].list.Hosts(), qt.HasLen, 3)
-	n.cut = false
+	n.partitioned = false
 	n.run(time.Minute)
-	c.Assert(converged(n), qt.IsNil)
+	c.Assert(checkConverged(n), qt.IsNil)
 }
--- a/entry/internal/member/neighbours.go
+++ b/entry/internal/member/neighbours.go
@@ -19,27 +19,27 @@
 
 // neighbours returns the IDs of the hosts that self probes, in a fixed order; keys holds the key of each host in list.
 func neighbours(self Host, list []Host, keys []uint64) []string {
-	own := self.Key()
-	var ring, zone, anywhere nearest
+	selfKey := self.Key()
+	var ring, zone, fleet nearest
 	for i := range list {
 		h := &list[i]
 		if h.ID == self.ID {
 			continue
 		}
 		key := keys[i]
-		pair := mix(own ^ mix(key))
+		pair := mix(selfKey ^ mix(key))
 		// The difference wraps around, which makes the keys a ring.
-		ring.offer(ranked{host: h, rank: key - own}, ringNeighbours)
+		ring.offer(ranked{host: h, rank: key - selfKey}, ringNeighbours)
 		// More candidates are kept than are needed, since the earlier groups may already contain some of them.
 		if h.Zone == self.Zone && h.Region == self.Region {
 			zone.offer(ranked{host: h, rank: pair}, zoneNeighbours+ringNeighbours)
 		}
-		anywhere.offer(ranked{host: h, rank: pair}, 2*allNeighbours)
+		fleet.offer(ranked{host: h, rank: pair}, 2*allNeighbours)
 	}
 	ids := take(nil, ring, ringNeighbours)
 	ids = take(ids, zone, zoneNeighbours)
 	// A small zone is topped up from the whole fleet, so that in a small fleet a stop is announced to every host.
-	return take(ids, anywhere, allNeighbours-len(ids))
+	return take(ids, fleet, allNeighbours-len(ids))
 }
 
 type ranked struct {
@@ -50,15 +50,15 @@
 // nearest holds the hosts of lowest rank, in ascending order.
 type nearest []ranked
 
-// offer inserts r if it is among the hosts of lowest rank, of which most are kept.
-func (n *nearest) offer(r ranked, most int) {
+// offer inserts r if it is among the hosts of lowest rank, of which limit are kept.
+func (n *nearest) offer(r ranked, limit int) {
 	list := *n
-	if len(list) == most && r.rank >= list[most-1].rank {
+	if len(list) == limit && r.rank >= list[limit-1].rank {
 		return
 	}
 	at, _ := slices.BinarySearchFunc(list, r, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 	list = slices.Insert(list, at, r)
-	*n = list[:min(most, len(list))]
+	*n = list[:min(limit, len(list))]
 }
 
 // take appends the first n hosts of from that aren't in ids yet.
--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -12,14 +12,14 @@
 
 // network carries messages between lists in virtual time, with configurable loss, duplication, delay and partitions.
 type network struct {
-	rnd    *rand.Rand
-	now    time.Time
-	events eventHeap
-	seq    int
-	nodes  []*node
-	loss   float64
-	double float64
-	cut    bool
+	rnd         *rand.Rand
+	now         time.Time
+	events      eventHeap
+	seq         int
+	nodes       []*node
+	loss        float64
+	duplication float64
+	partitioned bool
 	// noDirectory makes the directory unavailable, so that hosts contact only those in their lists.
 	noDirectory bool
 	starts      int
@@ -33,7 +33,7 @@
 type node struct {
 	list   *List
 	addr   netip.AddrPort
-	side   int
+	zone   int
 	up     bool
 	paused time.Time
 	// repaired is when the node last compared tables; the rate is bounded as in the real network.
@@ -72,7 +72,7 @@
 func newNetwork(seed uint64, hosts int) *network {
 	n := &network{rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0)}
 	for i := range hosts {
-		n.nodes = append(n.nodes, &node{addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1), side: i % 3})
+		n.nodes = append(n.nodes, &node{addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1), zone: i % 3})
 	}
 	for _, nd := range n.nodes {
 		n.start(nd)
@@ -89,7 +89,7 @@
 // start runs a new incarnation on the node, which joins through the directory.
 func (n *network) start(nd *node) {
 	n.starts++
-	self := Host{ID: fmt.Sprintf("host-%d", n.starts), Peer: nd.addr, Caller: nd.addr, Zone: fmt.Sprint("zone-", nd.side), Region: "r"}
+	self := Host{ID: fmt.Sprintf("host-%d", n.starts), Peer: nd.addr, Caller: nd.addr, Zone: fmt.Sprint("zone-", nd.zone), Region: "r"}
 	nd.list = New(Options{Self: self, Rand: rand.New(rand.NewPCG(n.rnd.Uint64(), 2))})
 	nd.up, nd.paused, nd.epochs = true, time.Time{}, map[string]uint64{}
 	mine := nd.list
@@ -99,12 +99,12 @@
 			n.probe(nd, target)
 		}
 	})
-	n.repeat(nd, mine, 5*time.Second, func() { n.seek(nd) })
+	n.repeat(nd, mine, 5*time.Second, func() { n.contact(nd) })
 }
 
-// seek contacts those of the first two nodes that aren't listed, which stand for the platform's directory, and one lost
+// contact calls those of the first two nodes that aren't listed, which stand for the platform's directory, and one lost
 // host.
-func (n *network) seek(nd *node) {
+func (n *network) contact(nd *node) {
 	known := map[netip.AddrPort]bool{}
 	for _, h := range nd.list.Hosts() {
 		known[h.Peer] = true
@@ -174,11 +174,11 @@
 // deliver runs f at the receiver after a random delay, perhaps twice, unless it is lost; a paused receiver runs it when
 // it resumes.
 func (n *network) deliver(from, to *node, f func()) {
-	if to == nil || n.rnd.Float64() < n.loss || n.cut && from.side != to.side {
+	if to == nil || n.rnd.Float64() < n.loss || n.partitioned && from.zone != to.zone {
 		return
 	}
 	n.later(to, time.Duration(n.rnd.IntN(80))*time.Millisecond, f)
-	if n.rnd.Float64() < n.double {
+	if n.rnd.Float64() < n.duplication {
 		n.later(to, time.Duration(n.rnd.IntN(2000))*time.Millisecond, f)
 	}
 }
@@ -197,12 +197,12 @@
 		reply := to.list.Message(msg.From)
 		reply.Rows = append(reply.Rows, to.list.Accuse(msg)...)
 		n.rows += len(reply.Rows)
-		n.checked(to)
+		n.runCheck(to)
 		n.deliver(to, from, func() {
 			answered = true
 			from.list.Receive(n.now, reply)
 			n.repair(from, to)
-			n.checked(from)
+			n.runCheck(from)
 			ok(reply)
 		})
 	})
@@ -213,7 +213,7 @@
 	})
 }
 
-func (n *network) checked(nd *node) {
+func (n *network) runCheck(nd *node) {
 	if n.check != nil {
 		n.check(nd)
 	}
@@ -226,10 +226,10 @@
 			from.list.Replaced(n.now, target)
 		}
 	}
-	n.call(from, target.Peer, target.ID, ok, func() { n.ask(from, target, sent) })
+	n.call(from, target.Peer, target.ID, ok, func() { n.probeIndirectly(from, target, sent) })
 }
 
-func (n *network) ask(from *node, target Host, sent time.Time) {
+func (n *network) probeIndirectly(from *node, target Host, sent time.Time) {
 	reached := false
 	for _, h := range from.list.IndirectProbers(target, 3) {
 		prober := n.find(h.Peer)
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -28,9 +28,9 @@
 func (l *List) Next() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for range l.around {
-		l.turn = (l.turn + 1) % len(l.around)
-		if r := l.rows[l.around[l.turn]]; r != nil && r.State != StateDead {
+	for range l.neighbourIDs {
+		l.lastProbed = (l.lastProbed + 1) % len(l.neighbourIDs)
+		if r := l.rows[l.neighbourIDs[l.lastProbed]]; r != nil && r.State != StateDead {
 			return r.Host, true
 		}
 	}
@@ -42,7 +42,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Host
-	for _, id := range l.around {
+	for _, id := range l.neighbourIDs {
 		if r := l.rows[id]; r != nil && r.State != StateDead {
 			list = append(list, r.Host)
 		}
@@ -131,7 +131,7 @@
 func (l *List) Unreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
 	l.mu.Lock()
 	r := l.rows[target.ID]
-	if r == nil || r.Epoch != target.Epoch || sent.Before(l.resumed) || now.Sub(l.lastTick) > pauseAfter {
+	if r == nil || r.Epoch != target.Epoch || sent.Before(l.resumed) || now.Sub(l.lastTick) > pauseThreshold {
 		l.mu.Unlock()
 		return Host{}, false
 	}
@@ -151,7 +151,7 @@
 		l.rebuild()
 	}
 	l.mu.Unlock()
-	l.announce(changes)
+	l.notifyChanged(changes)
 	return h, h.State != was
 }
 
@@ -171,30 +171,30 @@
 		l.rebuild()
 	}
 	l.mu.Unlock()
-	l.announce(changes)
+	l.notifyChanged(changes)
 }
 
-// sends returns the number of times that a changed row is sent: at two messages a second it reaches all hosts before
-// that (docs/design/membership.md), and anti-entropy delivers it to hosts that missed it.
-func (l *List) sends() int { return bits.Len(uint(len(l.rows)+1)) + 2 }
+// maxRowSends returns the number of times that a changed row is sent: at two messages a second it reaches all hosts
+// before that (docs/design/membership.md), and anti-entropy delivers it to hosts that missed it.
+func (l *List) maxRowSends() int { return bits.Len(uint(len(l.rows)+1)) + 2 }
 
 // takeRows returns the queued rows that were sent least often; ties are broken by ID so that a seeded run repeats.
 func (l *List) takeRows(to string) []Host {
-	ids := make([]string, 0, len(l.queue))
-	for id := range l.queue {
+	ids := make([]string, 0, len(l.queuedRows))
+	for id := range l.queuedRows {
 		if id != to || id == l.self.ID {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(l.queue[a], l.queue[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(l.queuedRows[a], l.queuedRows[b]), cmp.Compare(a, b))
 	})
 	var rows []Host
-	for _, id := range ids[:min(maxRows, len(ids))] {
+	for _, id := range ids[:min(maxRowsPerMessage, len(ids))] {
 		rows = append(rows, l.rowOf(id))
-		l.queue[id]++
-		if l.queue[id] >= l.sends() {
-			delete(l.queue, id)
+		l.queuedRows[id]++
+		if l.queuedRows[id] >= l.maxRowSends() {
+			delete(l.queuedRows, id)
 		}
 	}
 	return rows
--- a/entry/internal/member/snapshot.go
+++ b/entry/internal/member/snapshot.go
@@ -6,36 +6,36 @@
 func (l *List) rebuild() {
 	l.stale = false
 	list, keys := l.publish()
-	l.entries, l.total = entriesOf(list, keys)
-	l.around = neighbours(l.self, list, keys)
+	l.entries, l.digestTotal = digestEntries(list, keys)
+	l.neighbourIDs = neighbours(l.self, list, keys)
 }
 
 // publish replaces the snapshot and returns it with the key of each host; it must be called with l.mu held.
 func (l *List) publish() ([]Host, []uint64) {
-	l.staleLoad = false
-	list := make([]Host, 0, len(l.order)+1)
-	keys := make([]uint64, 0, len(l.order)+1)
+	l.loadsStale = false
+	list := make([]Host, 0, len(l.sortedRows)+1)
+	keys := make([]uint64, 0, len(l.sortedRows)+1)
 	self := l.self
-	told := false
-	for _, r := range l.order {
-		if !told && self.ID < r.ID {
-			list, keys, told = append(list, self), append(keys, self.Key()), true
+	added := false
+	for _, r := range l.sortedRows {
+		if !added && self.ID < r.ID {
+			list, keys, added = append(list, self), append(keys, self.Key()), true
 		}
 		if r.State != StateDead {
 			list, keys = append(list, r.Host), append(keys, r.key)
 		}
 	}
-	if !told {
+	if !added {
 		list, keys = append(list, self), append(keys, self.Key())
 	}
-	l.own.Store(&self)
+	l.publishedSelf.Store(&self)
 	l.snapshot.Store(&list)
 	return list, keys
 }
 
-// entriesOf returns the digest entries of list and their digest. They leave out the load, which changes all the time;
-// list has no dead rows, which each host removes at its own time.
-func entriesOf(list []Host, keys []uint64) ([]digest.Entry, uint64) {
+// digestEntries returns the digest entries of list and their digest. They leave out the load, which changes all the
+// time; list has no dead rows, which each host removes at its own time.
+func digestEntries(list []Host, keys []uint64) ([]digest.Entry, uint64) {
 	entries := make([]digest.Entry, len(list))
 	for i, h := range list {
 		entries[i] = digest.Entry{Key: keys[i], Sum: mix(keys[i] ^ mix(h.Epoch*8+uint64(stateRank[h.State])))}
@@ -47,7 +47,7 @@
 func (l *List) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.total
+	return l.digestTotal
 }
 
 // Sums returns the digest of each child of p.
@@ -57,8 +57,8 @@
 	return digest.Sums(l.entries, p)
 }
 
-// Rows returns up to most rows below p, dead ones included, so that the other host receives a death that it missed.
-func (l *List) Rows(p digest.Prefix, most int) []Host {
+// Rows returns up to limit rows below p, dead ones included, so that the other host receives a death that it missed.
+func (l *List) Rows(p digest.Prefix, limit int) []Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Host
@@ -66,7 +66,7 @@
 		list = append(list, l.self)
 	}
 	for key, r := range l.byKey {
-		if len(list) >= most {
+		if len(list) >= limit {
 			break
 		}
 		if p.Holds(key) {
--- a/entry/internal/member/spread_test.go
+++ b/entry/internal/member/spread_test.go
@@ -15,14 +15,14 @@
 	for _, hosts := range []int{32, 128, 256} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			c := qt.New(t)
-			n := full(hosts)
+			n := settledNetwork(hosts)
 			n.run(30 * time.Second)
 			victim := n.nodes[hosts/2]
 			victim.up = false
 			n.sent, n.rows = 0, 0
 			const window = 40 * time.Second
 			known := time.Duration(0)
-			for known < window && !forgotten(n, victim) {
+			for known < window && !droppedByAll(n, victim) {
 				n.run(time.Second)
 				known += time.Second
 			}
@@ -35,8 +35,8 @@
 	}
 }
 
-// full returns a network whose hosts all list each other and have no rows queued.
-func full(hosts int) *network {
+// settledNetwork returns a network whose hosts all list each other and have no rows queued.
+func settledNetwork(hosts int) *network {
 	n := newNetwork(5, hosts)
 	n.noDirectory = true
 	rows := make([]Host, hosts)
@@ -45,12 +45,12 @@
 	}
 	for _, nd := range n.nodes {
 		nd.list.Learn(n.now, rows)
-		clear(nd.list.queue)
+		clear(nd.list.queuedRows)
 	}
 	return n
 }
 
-func forgotten(n *network, victim *node) bool {
+func droppedByAll(n *network, victim *node) bool {
 	id := victim.list.Self().ID
 	for _, nd := range n.nodes {
 		if nd != victim && stateOf(nd.list, id) != StateDead {
