--- a/entry/internal/follow/doc.go
+++ b/entry/internal/follow/doc.go
@@ -1,2 +1,2 @@
-// Package follow keeps this host in step with the platform: documents, acceptances and the replica list.
+// Package follow keeps this host up to date with the platform: documents, accepted generations and the replica list.
 package follow
--- a/entry/internal/follow/era_test.go
+++ b/entry/internal/follow/era_test.go
@@ -13,11 +13,11 @@
 	"guavaspring.org/entry/internal/accepted"
 )
 
-// laterEra is what the versions of the first era after the platform came back begin with.
+// laterEra is the base of the versions in the first era after a restore of the platform's store.
 const laterEra = 1 << 40
 
-// Guards against an acceptance that the platform has lost with its newest writes: a host that starts would go by an older
-// one.
+// Guards against an accepted generation that is lost with the platform's newest writes: a starting host would use an
+// older one.
 func TestLostAcceptanceIsRecordedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, store := newFake(1), accepted.New(nil)
@@ -53,8 +53,8 @@
 	})
 }
 
-// Guards against a document that is never accepted, since its version was given out before for one that was lost, and
-// against an older document that the platform's copy brings back.
+// Guards against a document that is never accepted, since its version had been assigned to one that was lost, and
+// against an older document that the restored store returns.
 func TestVersionOfALaterEraIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, store := newFake(1), accepted.New(nil)
--- a/entry/internal/follow/follow.go
+++ b/entry/internal/follow/follow.go
@@ -23,59 +23,60 @@
 	Clock    clock.Clock
 	Log      logr.Logger
 	Platform *platform.Client
-	// Get and Put read and conditionally write one object; New takes those of Platform where they are nil.
+	// Get and Put read and conditionally write one object; they default to those of Platform.
 	Get   func(ctx context.Context, kind platform.Kind, name string) (platform.Object, error)
 	Put   func(ctx context.Context, kind platform.Kind, name string, version int64, body []byte) (platform.Object, error)
 	Store *accepted.Store
-	// Watch waits for changed objects; New takes that of Platform where it is nil.
+	// Watch waits for changed objects; it defaults to that of Platform.
 	Watch func(ctx context.Context, kind platform.Kind, after int64, wait time.Duration) ([]platform.Object, int64, error)
-	// ReadReplicas reads the platform's replica list; New takes that of Platform where it is nil.
+	// ReadReplicas reads the platform's replica list; it defaults to that of Platform.
 	ReadReplicas func(ctx context.Context) ([]platform.Replica, error)
-	// Listing holds the replica list as the hosts share it; New makes one where it is nil.
+	// Listing holds the replica list that the hosts share; it defaults to an empty one.
 	Listing *listing.Table
-	// ReplicasRead receives the rows that a reading of this host changed, for the other hosts; it may be nil.
+	// ReplicasRead receives the rows that a read by this host changed, to send them to the other hosts; it may be nil.
 	ReplicasRead func(rows []listing.Row)
-	// Replicas receives the replica list when it changed, and again now and then.
+	// Replicas receives the replica list when it changed, and periodically without a change.
 	Replicas func(ctx context.Context, list []platform.Replica)
-	// Era returns the era of the platform's objects, which rises when the platform comes back from an older copy of them;
-	// New takes that of Platform where it is nil, if there is one.
+	// Era returns the restart era of the platform, which rises when its store is restored from a backup. It defaults to
+	// that of Platform, or to zero without one.
 	Era func() int64
 	// Self and Hosts return this host's row and every host that is not dead.
 	Self  func() member.Host
 	Hosts func() []member.Host
-	// AskReplicas returns the replica list that another host read last, for a host that starts during an outage.
+	// AskReplicas returns the latest replica list of another host, for a host that starts during an outage.
 	AskReplicas func(ctx context.Context) ([]platform.Replica, error)
 }
 
-// Follower watches the platform for documents, acceptances and replicas.
+// Follower watches the platform for documents, accepted generations and replicas.
 type Follower struct {
 	opts Options
 
 	mu        sync.Mutex
 	down      bool
 	proposals map[string]*proposal
-	// lost are the generations in force whose acceptance the platform has lost, and era the one of the last watch.
+	// lost holds the generations in force that a restore of the platform's store removed, era is that of the last watch.
 	lost     map[string]*proposal
 	era      int64
 	refusals map[string]Refusal
-	// asked is a list taken over from another host, in use until the table has rows.
+	// asked is a replica list of another host, in use until the table has rows.
 	asked []platform.Replica
 
-	// ranked holds the watchers of the member list that begins at rankedFor.
+	// ranked caches the watchers for the member list whose first element is at rankedFor; ranking guards both.
 	ranking   sync.Mutex
 	ranked    []member.Host
 	rankedFor *member.Host
 }
 
-// proposal is the highest version of a document that was seen, until it is judged.
+// proposal is the highest version of a document that this host received.
 type proposal struct {
-	obj     platform.Object
-	seen    time.Time
-	retry   time.Time
+	obj   platform.Object
+	seen  time.Time
+	retry time.Time
+	// settled is set when the proposal was accepted or rejected, so that it needs no further attempt.
 	settled bool
 }
 
-// New returns a follower that does nothing until its duties are run.
+// New returns a follower that does nothing until Judge and the Read, Watch and Poll methods are run.
 func New(opts Options) *Follower {
 	if opts.Get == nil {
 		opts.Get = opts.Platform.Get
@@ -109,15 +110,15 @@
 	callTimeout  = 2 * time.Second
 	watchTimeout = watchWait + 5*time.Second
 	retryAfter   = 500 * time.Millisecond
-	// meetFor is how long a host that starts meets the others before it watches.
+	// meetFor is the time for a starting host to receive the member list before it watches.
 	meetFor = 500 * time.Millisecond
-	// watchRetry keeps the calls of all watchers during an outage to two a second for each.
+	// watchRetry limits each watcher to two calls a second during an outage.
 	watchRetry = time.Second
 	judgeEvery = 100 * time.Millisecond
 	readEvery  = 5 * time.Second
 )
 
-// ReadAccepted reads every acceptance once, so that a host that starts doesn't depend on one peer that lags.
+// ReadAccepted reads every accepted generation once, so that a starting host doesn't depend on one peer, which may lag.
 func (f *Follower) ReadAccepted(ctx context.Context) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -132,24 +133,24 @@
 	}
 }
 
-// WatchAccepted puts in force what any host accepted, while this host is one of its zone's watchers.
+// WatchAccepted puts the accepted generations in force, while this host is one of its zone's watchers.
 func (f *Follower) WatchAccepted(ctx context.Context) {
 	f.watch(ctx, platform.KindAccepted, f.takeAccepted)
 }
 
-// WatchDocuments takes up proposals, while this host is one of its zone's watchers.
+// WatchDocuments collects proposals, while this host is one of its zone's watchers.
 func (f *Follower) WatchDocuments(ctx context.Context) {
 	f.watch(ctx, platform.KindDocument, f.propose)
 }
 
 func (f *Follower) watch(ctx context.Context, kind platform.Kind, take func([]platform.Object)) {
 	after := int64(0)
-	// Before it has met the others each host takes itself for the first of its zone, and a fleet that starts at once
-	// would watch as a whole.
+	// Until a host has received the member list, it ranks itself as a watcher of its zone, and every host of a fleet
+	// that starts at once would watch.
 	clock.Sleep(ctx, f.opts.Clock, meetFor)
 	for ctx.Err() == nil {
 		if !f.Watches() {
-			// Whoever watches again later must not miss what changed meanwhile.
+			// A later watch must also return the changes of the meantime.
 			after = 0
 			clock.Sleep(ctx, f.opts.Clock, retryAfter)
 			continue
@@ -168,7 +169,8 @@
 	}
 }
 
-// watchOnce waits for one change, or until this host is no watcher any more: a waiting watch counts as a call.
+// watchOnce waits for one change, or until this host is no longer a watcher, since the platform counts a waiting watch
+// as a call.
 func (f *Follower) watchOnce(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -185,8 +187,9 @@
 	return objs, rev, err
 }
 
-// takeAccepted takes over what a watch of the acceptances brought. The first of a new era brings all there are: what is
-// in force and not among them was lost with the platform's older copy, and is recorded again.
+// takeAccepted applies the result of a watch of the accepted generations. The first result of a new era has all of
+// them: a generation in force that isn't among them was lost when the platform's store was restored, and is recorded
+// again.
 func (f *Follower) takeAccepted(objs []platform.Object) {
 	f.offer(objs)
 	f.mu.Lock()
@@ -197,7 +200,8 @@
 	}
 }
 
-// noteLost notes the generations in force that are higher than what the platform holds; f.mu must be held.
+// noteLost queues the generations in force that are higher than those in the platform, to record them again; f.mu must
+// be held.
 func (f *Follower) noteLost(objs []platform.Object) {
 	held := map[string]int64{}
 	for _, obj := range objs {
@@ -212,7 +216,7 @@
 	}
 }
 
-// recordLost records again what the platform has lost.
+// recordLost records the generations again that a restore of the platform's store removed.
 func (f *Follower) recordLost(ctx context.Context) {
 	for _, p := range f.due(f.lost) {
 		gen, ok := f.opts.Store.Get(p.obj.Name)
@@ -227,6 +231,7 @@
 	}
 }
 
+// offer puts the accepted generations of objs in force, except those that are older than the ones in force.
 func (f *Follower) offer(objs []platform.Object) {
 	for _, obj := range objs {
 		gen, err := accepted.Decode(obj.Body)
@@ -238,7 +243,7 @@
 	}
 }
 
-// propose keeps the highest version of each document; a lagging read may bring an older one.
+// propose stores the highest version of each document; a lagging read may return an older one.
 func (f *Follower) propose(objs []platform.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,8 +254,8 @@
 	}
 }
 
-// Judge judges proposals until ctx ends. One that could not be recorded stays and is judged again: the watch that
-// brought it has moved on and won't bring it a second time.
+// Judge validates proposals and records the valid ones until ctx ends. It retries one that could not be recorded, since
+// the watch that returned it doesn't return it a second time.
 func (f *Follower) Judge(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, p := range f.due(f.proposals) {
@@ -265,14 +270,14 @@
 	}
 }
 
-// settle notes how a proposal was judged; one that met an error is judged again.
+// settle stores the result of an attempt; one that failed is retried after retryAfter.
 func (f *Follower) settle(p *proposal, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p.settled, p.retry = err == nil, f.opts.Clock.Now().Add(retryAfter)
 }
 
-// due returns those of some proposals whose time has come.
+// due returns the proposals that this host has to judge or record now.
 func (f *Follower) due(proposals map[string]*proposal) []*proposal {
 	now := f.opts.Clock.Now()
 	f.mu.Lock()
@@ -286,7 +291,8 @@
 	return list
 }
 
-// Proposed returns the highest version of the service's document that this host saw, and why it was refused, if it was.
+// Proposed returns the highest version of the service's document that this host received, and its refusal if it was
+// refused.
 func (f *Follower) Proposed(service string) (number int64, refused Refusal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -299,19 +305,20 @@
 	return number, refused
 }
 
-// Services returns the name of every service that was proposed here.
+// Services returns the name of every service with a proposal on this host.
 func (f *Follower) Services() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.proposals))
 }
 
+// note updates down from the result of a call, and logs a change.
 func (f *Follower) note(ctx context.Context, err error) {
 	if ctx.Err() != nil {
-		// The host is stopping, and so its calls end.
+		// The host is stopping, which cancels its calls.
 		return
 	}
-	// A conflict or a missing object is an answer; only a platform that gives none is down.
+	// A platform that replies with a conflict or a missing object is up.
 	down := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrRateLimited)
 	f.mu.Lock()
 	was := f.down
--- a/entry/internal/follow/judge.go
+++ b/entry/internal/follow/judge.go
@@ -11,16 +11,16 @@
 	"guavaspring.org/entry/internal/events"
 )
 
-// Refusal says why a proposal is not in force.
+// Refusal is the reason why a proposal is not in force.
 type Refusal struct {
 	Number int64  `json:"number"`
 	Reason string `json:"reason"`
 }
 
-// maxTries bounds the conflicts taken in one attempt; each one means that another host recorded something meanwhile.
+// maxTries is the number of writes in one attempt to record; a conflict means that another host wrote meanwhile.
 const maxTries = 4
 
-// judge validates a proposal and records its acceptance; a non-nil error means that the proposal must be judged again.
+// judge validates a proposal and records it as accepted; after a non-nil error the proposal must be judged again.
 func (f *Follower) judge(ctx context.Context, obj platform.Object) error {
 	if gen, ok := f.opts.Store.Get(obj.Name); ok && gen.Number >= obj.Version {
 		f.stale(obj, gen.Number)
@@ -37,12 +37,12 @@
 	return f.record(ctx, obj, accepted.Generation{Service: obj.Name, Number: obj.Version, Document: doc})
 }
 
-// record stores the acceptance in the platform before the generation is used anywhere: a generation that is in force
-// somewhere can then always be found again.
+// record stores the accepted generation in the platform before any host uses it, so that a generation in force can
+// always be read from the platform.
 //
-// What comes into force is what the platform holds, never what this host wanted to store: another host may have
-// accepted a higher proposal, or the same one under other defaults of another version. A write whose reply is lost
-// leaves it open whether it took effect, so the next attempt reads first, and a lagging read only leads to a conflict.
+// The generation that the platform stores comes into force, never one that this host failed to store: another host may
+// have accepted a higher proposal, or the same one with the defaults of another version. After a lost reply it is
+// unknown whether the write took effect, so each attempt reads first; a lagging read only leads to a conflict.
 func (f *Follower) record(ctx context.Context, obj platform.Object, gen accepted.Generation) error {
 	for range maxTries {
 		err := f.recordOnce(ctx, obj, gen)
@@ -63,7 +63,7 @@
 	if err == nil {
 		have, err := accepted.Decode(old.Body)
 		if err != nil {
-			// Its number can't be read, so that writing over it could revert a higher one.
+			// Its number is unreadable, so overwriting it could revert a higher one.
 			f.refuse(obj, err)
 			return nil
 		}
@@ -86,13 +86,14 @@
 	return nil
 }
 
-// stale notes a proposal that is not higher than what is in force; only a lower one is worth a line.
+// stale logs a proposal that is lower than the generation in force; an equal one is the normal case.
 func (f *Follower) stale(obj platform.Object, inForce int64) {
 	if obj.Version < inForce {
 		events.ConfigStale.Log(f.opts.Log, "service", obj.Name, "number", obj.Version, "in_force", inForce)
 	}
 }
 
+// refuse stores and logs why a proposal was refused.
 func (f *Follower) refuse(obj platform.Object, err error) {
 	f.mu.Lock()
 	f.refusals[obj.Name] = Refusal{Number: obj.Version, Reason: err.Error()}
--- a/entry/internal/follow/judge_test.go
+++ b/entry/internal/follow/judge_test.go
@@ -34,14 +34,13 @@
 	return fmt.Sprintf(`{"service":%q,"upstream":{"slots":%d}}`, desk, slots)
 }
 
-// acceptedBody has a key that this version doesn't know, and slots that no proposal here has.
+// acceptedBody has a key that is unknown to this version, and a number of slots that no proposal in the tests has.
 func acceptedBody(number int64) string {
 	return fmt.Sprintf(`{"service":%q,"number":%d,"document":{"service":%q,"upstream":{"slots":3,"connections":40,"entry_hosts":8},"later_key":1}}`, desk, number, desk)
 }
 
-// Story: a team edits its document while hosts start, pause, and read copies that lag behind. A queue board's limits
-// were raised hours ago, yet a host goes back to the old ones, since it took what it had read for what is accepted.
-// Whatever a host reads, what comes into force is the highest generation that the platform holds as accepted.
+// Guards against a host that goes back to old limits, since it takes a lagging read of a document for the accepted one.
+// Whatever a host reads, the highest generation that the platform stores as accepted comes into force.
 func TestJudgePutsInForceWhatIsAccepted(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -81,9 +80,8 @@
 	}
 }
 
-// Story: an operator applies a document while the platform is down for a while, slow, or loses its replies. The watch
-// that brought the document has moved on, so a host that gives up after one try never puts it in force: the
-// operator waits for hours and nothing says why.
+// Guards against a document that never comes into force, without any message, when the platform is down, lags or loses
+// replies while it is applied: the watch returns the document only once, so a single failed attempt would be final.
 func TestProposalIsJudgedAgainUntilItIsRecorded(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -119,8 +117,8 @@
 	}
 }
 
-// Story: hosts of two versions run during an upgrade. The older one doesn't know a key of the accepted document; if it
-// handed on what it understood, each host that hears from it would run without that key under the same number.
+// Guards against a host that drops keys of a newer version during an upgrade: if it passed on only the keys that it
+// can parse, the hosts that receive the document from it would run without the others under the same number.
 func TestOlderHostHandsOnKeysThatItDoesNotKnow(t *testing.T) {
 	c := qt.New(t)
 	gen, err := accepted.Decode([]byte(acceptedBody(4)))
--- a/entry/internal/follow/model_test.go
+++ b/entry/internal/follow/model_test.go
@@ -18,11 +18,11 @@
 	modelSeeds = 1000
 	modelHosts = 4
 	modelEdits = 8
-	// settle is the time within which an edit must be in force everywhere while the platform is well.
+	// settle is the time within which an edit must be in force on every host while the platform is up.
 	settle = 4 * time.Second
 )
 
-// model is a few hosts that share a fake platform and tell each other what is in force.
+// model is a few hosts that share a fake platform and gossip their generations in force.
 type model struct {
 	t      *testing.T
 	p      *fake
@@ -39,9 +39,10 @@
 	cancel   context.CancelFunc
 }
 
-// Story: operators race while hosts start, pause in the middle of a write, read copies that lag, and lose replies.
-// No generation may come into force that the platform doesn't hold as accepted, no two hosts may run different
-// documents under one number, no number goes back on a host, and in the end the last good edit is in force everywhere.
+// Guards against hosts that diverge when operators edit concurrently while hosts start, pause in the middle of a write,
+// read lagging copies and lose replies. No generation may come into force that the platform doesn't store as accepted,
+// no two hosts may run different documents under one number, no number may decrease on a host, and in the end the last
+// valid edit must be in force on every host.
 func TestModelGenerationsNeverGoBack(t *testing.T) {
 	const workers = 4
 	for w := range uint64(workers) {
@@ -78,7 +79,7 @@
 	m.p.down, m.p.lag, m.p.lost, m.p.slow = false, 0, 0, 0
 	m.p.mu.Unlock()
 	time.Sleep(5 * time.Second)
-	// An edit that was overwritten while the platform was down was never seen by anybody, so the last one is made now.
+	// No host may have received an edit that was made while the platform was down, so the last one is made now.
 	last := m.edit(true)
 	time.Sleep(settle)
 	for i, n := range m.nodes {
@@ -87,7 +88,7 @@
 		}
 		n.cancel()
 	}
-	// Every call that is under way ends within this time.
+	// Every call in flight ends within this time.
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
 	if m.broken != nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-// draw returns a chance up to a half.
+// draw returns a probability of up to one half.
 func (m *model) draw() float64 { return m.rnd.Float64() / 2 }
 
 func (m *model) fail(format string, args ...any) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// start runs a new incarnation that knows nothing; m.mu must be held.
+// start runs a new incarnation without any state; m.mu must be held.
 func (m *model) start(n *modelNode) {
 	highest := int64(0)
 	n.store = accepted.New(func(gen accepted.Generation) {
@@ -150,7 +151,7 @@
 	return false
 }
 
-// read stands for the two watches, which lag as every read does.
+// read replaces the two watches by reads, which lag.
 func (m *model) read(ctx context.Context, f *Follower) {
 	for ctx.Err() == nil {
 		if obj, err := m.p.get(ctx, platform.KindAccepted, desk); err == nil {
@@ -163,7 +164,7 @@
 	}
 }
 
-// gossip takes over what a random other host has in force, in the bytes that travel.
+// gossip applies the encoded generation in force of a random host.
 func (m *model) gossip(ctx context.Context, store *accepted.Store, rnd *rand.Rand) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
@@ -179,7 +180,7 @@
 	}
 }
 
-// edit is an operator's conditional update of the document, which may be a bad one; it returns its version.
+// edit updates the document as an operator does, to an invalid one unless right is set, and returns its version.
 func (m *model) edit(right bool) int64 {
 	m.p.mu.Lock()
 	defer m.p.mu.Unlock()
--- a/entry/internal/follow/platform_test.go
+++ b/entry/internal/follow/platform_test.go
@@ -11,12 +11,13 @@
 	"guavaspring.org/core/platform"
 )
 
-// fake is a platform whose reads lag, whose replies are lost after the effect, and which is down, as told.
+// fake is a platform with configurable outages, lagging reads and replies that are lost after the write took effect.
 type fake struct {
 	mu      sync.Mutex
 	rnd     *rand.Rand
 	history map[string][]platform.Object
-	// lag is the chance that a read returns an older state, lost that a reply is lost, slow that a call takes seconds.
+	// lag is the probability that a read returns an older state, lost that a reply is lost, slow that a call takes
+	// seconds.
 	lag, lost, slow float64
 	down            bool
 	puts            []platform.Object
@@ -30,7 +31,7 @@
 
 func key(kind platform.Kind, name string) string { return string(kind) + "/" + name }
 
-// wait lets a random time pass, during which other hosts go on.
+// wait sleeps for a random time, during which other hosts run.
 func (p *fake) wait() {
 	p.mu.Lock()
 	d := time.Duration(p.rnd.IntN(20_000_000))
@@ -91,7 +92,7 @@
 	return []platform.Replica{{ID: "r-1", Service: desk}}, nil
 }
 
-// watch waits until it is ended.
+// watch blocks until ctx ends.
 func (p *fake) watch(ctx context.Context, _ platform.Kind, _ int64, _ time.Duration) ([]platform.Object, int64, error) {
 	p.watching.Add(1)
 	defer p.watching.Add(-1)
--- a/entry/internal/follow/replicas.go
+++ b/entry/internal/follow/replicas.go
@@ -10,17 +10,17 @@
 
 const (
 	replicaEvery = time.Second
-	// replicaCalls is how many reads of the replica list all watchers together make each second: a reply has 2.5 MB at
-	// 24,000 replicas, and two a second show a change within a second or two.
+	// replicaCalls is the number of reads of the replica list a second by all watchers together: a reply has 2.5 MB at
+	// 24,000 replicas, and two reads a second deliver a change within 1 to 2 s.
 	replicaCalls = 2
-	// againHosts is the number of hosts for each of which an unchanged list is handed over once a second; in a larger
-	// fleet it is more rarely, since routing compares thousands of rows each time.
+	// againHosts is the largest fleet in which an unchanged list is passed to Options.Replicas once a second. The
+	// interval grows with a larger fleet, since routing compares thousands of rows each time.
 	againHosts = 200
 )
 
-// PollReplicas keeps the replica list until ctx ends. Only watchers read it from the platform, and a host that knows no
-// other host is one; the others read it until they have it once, and then hear of changes from the watchers. While the
-// platform is down the last list stays in use, and a host that has none yet takes over that of another host.
+// PollReplicas updates the replica list until ctx ends. Only watchers keep reading it from the platform, and a host
+// without other members is a watcher; the others read it until they have it once, and then receive changes from the
+// watchers. While the platform is down the last list stays in use, and a host without a list copies that of another.
 func (f *Follower) PollReplicas(ctx context.Context) {
 	var read, handed time.Time
 	var changes uint64
@@ -40,7 +40,7 @@
 	}
 }
 
-// readReplicas reads the list once. Rows that other hosts tell of while the reading is on its way are newer than it.
+// readReplicas reads the list once. Rows that other hosts send during the read are newer than its result.
 func (f *Follower) readReplicas(ctx context.Context) {
 	started, begun := f.opts.Clock.Now(), f.opts.Listing.Changes()
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -61,13 +61,13 @@
 	}
 }
 
-// Replicas returns the list as this host has it now.
+// Replicas returns the current list of this host.
 func (f *Follower) Replicas() []platform.Replica {
 	list, _ := f.list()
 	return list
 }
 
-// list also reports whether anything was read or heard yet.
+// list returns the current list, and whether this host has read or received any.
 func (f *Follower) list() ([]platform.Replica, bool) {
 	if list, ok := f.opts.Listing.List(); ok {
 		return list, true
@@ -77,10 +77,12 @@
 	return f.asked, len(f.asked) > 0
 }
 
+// replicaPause returns the interval between two reads of the list by this host.
 func (f *Follower) replicaPause() time.Duration {
 	return max(replicaEvery, time.Duration(len(f.Watchers()))*time.Second/replicaCalls)
 }
 
+// againPause returns the interval at which an unchanged list is passed to Options.Replicas.
 func (f *Follower) againPause() time.Duration {
 	return max(replicaEvery, time.Duration(len(f.opts.Hosts()))*time.Second/againHosts)
 }
--- a/entry/internal/follow/watchers.go
+++ b/entry/internal/follow/watchers.go
@@ -7,17 +7,18 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// Few hosts watch the platform, since a waiting watch counts as a call and a watch of every host would grow with the
-// fleet. Two in each zone leave one when a host fails, and zones that are cut off still have theirs.
+// Few hosts watch the platform: it counts a waiting watch as a call, so the calls would grow with the fleet if every
+// host watched. Two in each zone leave one when a host fails, and a zone that is cut off still has watchers.
 const (
 	watchersPerZone = 2
-	// judgeTurn is how much later than the host before it a watcher judges a proposal: one is enough, and forty-eight
-	// that race would cost the platform three calls each.
+	// judgeTurn is the delay of a watcher after the one ranked before it, until it judges a proposal: one watcher is
+	// enough, and forty-eight at the same time would cost the platform three calls each.
 	judgeTurn = 400 * time.Millisecond
-	maxTurns  = 5
+	// maxTurns is the rank from which on the delay no longer grows.
+	maxTurns = 5
 )
 
-// Watchers returns the hosts that watch the platform, as the given member list has it.
+// Watchers returns the hosts of a member list that watch the platform.
 func Watchers(hosts []member.Host) []member.Host {
 	type zone struct{ region, zone string }
 	count := map[zone]int{}
@@ -32,8 +33,8 @@
 	return list
 }
 
-// Watchers returns the hosts that watch the platform now. The answer is kept until the member list changes: ranking
-// 5,600 hosts takes milliseconds, and it is asked for several times a second for every service.
+// Watchers returns the hosts that watch the platform now. The result is cached until the member list changes: ranking
+// 5,600 hosts takes milliseconds, and the method is called several times a second for every service.
 func (f *Follower) Watchers() []member.Host {
 	hosts := f.opts.Hosts()
 	if len(hosts) == 0 {
@@ -53,14 +54,14 @@
 	return slices.ContainsFunc(f.Watchers(), func(h member.Host) bool { return h.ID == self })
 }
 
-// First reports whether this host is the first watcher for a purpose; hosts that disagree on who is a member may both
-// be.
+// First reports whether this host is the first watcher in the ranking for a purpose; with different member lists this
+// can be true on several hosts.
 func (f *Follower) First(purpose string) bool {
 	order := member.Ranked(f.Watchers(), purpose)
 	return len(order) > 0 && order[0].ID == f.opts.Self().ID
 }
 
-// turn returns how long this host waits before it judges a proposal for service.
+// turn returns the delay before this host judges a proposal for service.
 func (f *Follower) turn(service string) time.Duration {
 	self := f.opts.Self().ID
 	for i, h := range member.Ranked(f.Watchers(), "judge "+service) {
--- a/entry/internal/follow/watchers_test.go
+++ b/entry/internal/follow/watchers_test.go
@@ -25,8 +25,8 @@
 	return list
 }
 
-// Story: the fleet grows to thousands of hosts, and the platform counts each waiting watch as a call. A watch on every
-// host would use up its rates; two in each zone must do, and one that fails must move nobody's duty but its own.
+// Guards against watches that grow with the fleet and exhaust the platform's rate limits, since it counts each waiting
+// watch as a call. Only two hosts in each zone watch, and a failure of one must move no other.
 func TestFewHostsWatch(t *testing.T) {
 	c := qt.New(t)
 	all := hostsIn(24, 233)
@@ -50,9 +50,9 @@
 	c.Assert(Watchers(hostsIn(3, 2)), qt.HasLen, 6)
 }
 
-// Story: every host polls the replica list. A reply has 2.5 MB in a large fleet, so 200 calls a second of 5,600 hosts
-// take 500 MB/s out of the platform, and 90 KB/s into each host. Only the watchers of a zone may read it, together at
-// most twice a second, and every other host once, when it starts; a host that knows no other reads each second.
+// Guards against polls of the replica list that grow with the fleet: at 2.5 MB a reply, 200 calls a second by 5,600
+// hosts take 500 MB/s from the platform and 90 KB/s for each host. Only the watchers may read it, together at most
+// twice a second, and every other host once, when it starts; a host without other members reads it every second.
 func TestReplicaPollsStayBounded(t *testing.T) {
 	for _, test := range []struct {
 		zones, hosts int
@@ -68,7 +68,7 @@
 				p.mu.Lock()
 				p.reads = 0
 				p.mu.Unlock()
-				// A host that starts has no list, and neighbours may not have one either.
+				// A starting host has no list, and its neighbours may not have one either.
 				want := 1
 				if slices.ContainsFunc(watchers, func(h member.Host) bool { return h.ID == self.ID }) {
 					want = test.polls
@@ -87,7 +87,7 @@
 				c.Assert(p.reads, qt.Equals, want)
 				p.mu.Unlock()
 			}
-			// The first reading of each is at its start.
+			// The first read of each watcher is at its start.
 			c.Assert(len(watchers)*(test.polls-1) < 120, qt.IsTrue)
 			cancel()
 			synctest.Wait()
@@ -95,8 +95,8 @@
 	}
 }
 
-// Story: a host starts while the platform is down. Its configuration came from another host, but without the list of
-// replicas it could answer nothing; it must take over the list that the other read last, and keep it.
+// Guards against a host that can't serve since it starts while the platform is down and so has no replica list: it must
+// copy the latest list of another host, and keep it.
 func TestReplicaListIsTakenOverDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -118,8 +118,8 @@
 	})
 }
 
-// Story: a fleet starts at once, and each host takes itself for the only one until it has met the others. If each then
-// went on waiting for the platform, a restart of everything would cost two waiting calls for every host.
+// Guards against watches that stay open when a whole fleet starts: each host ranks itself as a watcher until it has the
+// member list, and without an end of its watches each would keep two waiting calls at the platform.
 func TestWatchEndsWithTheDuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
