--- a/entry/internal/rumor/rumor.go
+++ b/entry/internal/rumor/rumor.go
@@ -13,8 +13,8 @@
 	KindDraining Kind = "draining"
 )
 
-// MaxBody is the maximum size of Body in bytes: rumors are sent inside probes.
-const MaxBody = 512
+// MaxBodyBytes is the maximum size of Body in bytes: rumors are sent inside probes.
+const MaxBodyBytes = 512
 
 // Rumor is one fact; among rumors of the same Kind, Service and Key the one with the highest Number wins.
 type Rumor struct {
--- a/entry/internal/rumor/store.go
+++ b/entry/internal/rumor/store.go
@@ -19,12 +19,12 @@
 const (
 	// MaxRumors is the maximum number of rumors held at once, about 1 MB.
 	MaxRumors = 4096
-	// MaxLife is the maximum lifetime of a rumor, so that a host whose clock is wrong can't make one permanent.
-	MaxLife = time.Hour
-	// maxName is the maximum length of a kind, a service or a key in bytes.
-	maxName = 128
-	// perMessage is the maximum number of rumors in one probe.
-	perMessage = 3
+	// MaxLifetime is the maximum lifetime of a rumor, so that a host whose clock is wrong can't make one permanent.
+	MaxLifetime = time.Hour
+	// maxNameBytes is the maximum length of a kind, a service or a key in bytes.
+	maxNameBytes = 128
+	// maxPerMessage is the maximum number of rumors in one probe.
+	maxPerMessage = 3
 )
 
 // ErrInvalid is returned for a rumor whose kind, service, key or body has an invalid size.
@@ -37,10 +37,10 @@
 	// hosts returns the number of hosts, which determines how often a rumor is sent.
 	hosts func() int
 
-	mu      sync.Mutex
-	all     map[id]*entry
-	byKind  map[Kind][]func(Rumor)
-	dropped uint64
+	mu          sync.Mutex
+	rumors      map[id]*entry
+	subscribers map[Kind][]func(Rumor)
+	dropped     uint64
 }
 
 type id struct {
@@ -51,20 +51,21 @@
 
 type entry struct {
 	Rumor
-	sends int
-	spent bool
-	place digest.Entry
+	// sends is the number of times that the rumor was sent; fullySent is set once it needs no more.
+	sends       int
+	fullySent   bool
+	digestEntry digest.Entry
 }
 
 // New returns an empty store; hosts returns the number of hosts in the fleet.
 func New(c clock.Clock, hosts func() int) *Store {
-	return &Store{clock: c, hosts: hosts, all: map[id]*entry{}, byKind: map[Kind][]func(Rumor){}}
+	return &Store{clock: c, hosts: hosts, rumors: map[id]*entry{}, subscribers: map[Kind][]func(Rumor){}}
 }
 
 // Subscribe calls f for each rumor of kind that is alive now or merged later, then on the goroutine that merges it.
 func (s *Store) Subscribe(kind Kind, f func(Rumor)) {
 	s.mu.Lock()
-	s.byKind[kind] = append(s.byKind[kind], f)
+	s.subscribers[kind] = append(s.subscribers[kind], f)
 	s.mu.Unlock()
 	for _, r := range s.List(kind) {
 		f(r)
@@ -81,12 +82,12 @@
 
 func (s *Store) check(r Rumor) error {
 	switch {
-	case r.Kind == "" || len(r.Kind) > maxName:
+	case r.Kind == "" || len(r.Kind) > maxNameBytes:
 		return fmt.Errorf("%w: kind %.20q is empty or too long", ErrInvalid, r.Kind)
-	case r.Key == "" || len(r.Key) > maxName || len(r.Service) > maxName:
-		return fmt.Errorf("%w: key of %d and service of %d bytes; want 1 to %d and at most %d", ErrInvalid, len(r.Key), len(r.Service), maxName, maxName)
-	case len(r.Body) > MaxBody:
-		return fmt.Errorf("%w: body of %d bytes; want at most %d", ErrInvalid, len(r.Body), MaxBody)
+	case r.Key == "" || len(r.Key) > maxNameBytes || len(r.Service) > maxNameBytes:
+		return fmt.Errorf("%w: key of %d and service of %d bytes; want 1 to %d and at most %d", ErrInvalid, len(r.Key), len(r.Service), maxNameBytes, maxNameBytes)
+	case len(r.Body) > MaxBodyBytes:
+		return fmt.Errorf("%w: body of %d bytes; want at most %d", ErrInvalid, len(r.Body), MaxBodyBytes)
 	}
 	return nil
 }
@@ -101,7 +102,7 @@
 		if s.check(r) != nil || !r.Expires.After(now) {
 			continue
 		}
-		if latest := now.Add(MaxLife); r.Expires.After(latest) {
+		if latest := now.Add(MaxLifetime); r.Expires.After(latest) {
 			r.Expires = latest
 		}
 		// Other hosts can't use the monotonic reading, and it would make equal rumors differ.
@@ -110,7 +111,7 @@
 			continue
 		}
 		fresh = append(fresh, r)
-		for _, f := range s.byKind[r.Kind] {
+		for _, f := range s.subscribers[r.Kind] {
 			calls = append(calls, func() { f(r) })
 		}
 	}
@@ -124,15 +125,15 @@
 // put stores r if it is newer than the stored rumor of its key and there is room, and reports whether it did.
 func (s *Store) put(r Rumor) bool {
 	at := id{r.Kind, r.Service, r.Key}
-	old := s.all[at]
+	old := s.rumors[at]
 	if old != nil && compare(r, old.Rumor) <= 0 {
 		return false
 	}
-	if old == nil && len(s.all) >= MaxRumors && !s.makeRoom(r) {
+	if old == nil && len(s.rumors) >= MaxRumors && !s.makeRoom(r) {
 		s.dropped++
 		return false
 	}
-	s.all[at] = &entry{Rumor: r, place: place(r)}
+	s.rumors[at] = &entry{Rumor: r, digestEntry: digestEntryOf(r)}
 	return true
 }
 
@@ -145,24 +146,24 @@
 // is room for r. All hosts thus keep the same rumors.
 func (s *Store) makeRoom(r Rumor) bool {
 	now := s.clock.Now()
-	var first id
-	var least *entry
-	for at, e := range s.all {
+	var earliestID id
+	var earliest *entry
+	for at, e := range s.rumors {
 		if !e.Expires.After(now) {
-			delete(s.all, at)
+			delete(s.rumors, at)
 			continue
 		}
-		if least == nil || e.Expires.Before(least.Expires) {
-			first, least = at, e
+		if earliest == nil || e.Expires.Before(earliest.Expires) {
+			earliestID, earliest = at, e
 		}
 	}
-	if len(s.all) < MaxRumors {
+	if len(s.rumors) < MaxRumors {
 		return true
 	}
-	if !r.Expires.After(least.Expires) {
+	if !r.Expires.After(earliest.Expires) {
 		return false
 	}
-	delete(s.all, first)
+	delete(s.rumors, earliestID)
 	return true
 }
 
@@ -170,7 +171,7 @@
 func (s *Store) Get(kind Kind, service, key string) (Rumor, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.all[id{kind, service, key}]
+	e := s.rumors[id{kind, service, key}]
 	if e == nil || !s.alive(e.Rumor) {
 		return Rumor{}, false
 	}
@@ -182,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Rumor
-	for _, e := range s.all {
+	for _, e := range s.rumors {
 		if e.Kind == kind && s.alive(e.Rumor) {
 			list = append(list, e.Rumor)
 		}
@@ -197,7 +198,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, e := range s.all {
+	for _, e := range s.rumors {
 		if s.alive(e.Rumor) {
 			n++
 		}
@@ -210,23 +211,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*entry
-	for at, e := range s.all {
+	for at, e := range s.rumors {
 		switch {
 		case !s.alive(e.Rumor):
-			delete(s.all, at)
-		case !e.spent:
+			delete(s.rumors, at)
+		case !e.fullySent:
 			list = append(list, e)
 		}
 	}
 	slices.SortFunc(list, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.place.Key, b.place.Key))
+		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.digestEntry.Key, b.digestEntry.Key))
 	})
 	var out []Rumor
 	limit := 2 * (bits.Len(uint(s.hosts())) + 1)
-	for _, e := range list[:min(perMessage, len(list))] {
+	for _, e := range list[:min(maxPerMessage, len(list))] {
 		out = append(out, e.Rumor)
 		e.sends++
-		e.spent = e.sends >= limit
+		e.fullySent = e.sends >= limit
 	}
 	return out
 }
@@ -235,25 +236,25 @@
 func (s *Store) Entries() []digest.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]digest.Entry, 0, len(s.all))
-	for _, e := range s.all {
+	list := make([]digest.Entry, 0, len(s.rumors))
+	for _, e := range s.rumors {
 		if s.alive(e.Rumor) {
-			list = append(list, e.place)
+			list = append(list, e.digestEntry)
 		}
 	}
 	return list
 }
 
-// Rows returns up to most rumors below p.
-func (s *Store) Rows(p digest.Prefix, most int) []Rumor {
+// Rows returns up to limit rumors below p.
+func (s *Store) Rows(p digest.Prefix, limit int) []Rumor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Rumor
-	for _, e := range s.all {
-		if len(list) == most {
+	for _, e := range s.rumors {
+		if len(list) == limit {
 			break
 		}
-		if p.Holds(e.place.Key) && s.alive(e.Rumor) {
+		if p.Holds(e.digestEntry.Key) && s.alive(e.Rumor) {
 			list = append(list, e.Rumor)
 		}
 	}
@@ -267,13 +268,13 @@
 	return s.dropped
 }
 
-// place returns the digest entry of r.
-func place(r Rumor) digest.Entry {
-	key := sum(string(r.Kind), r.Service, r.Key)
-	return digest.Entry{Key: key, Sum: sum(string(r.Kind), r.Service, r.Key, fmt.Sprint(r.Number, r.Expires.UnixNano()), string(r.Body))}
+// digestEntryOf returns the digest entry of r.
+func digestEntryOf(r Rumor) digest.Entry {
+	key := hash(string(r.Kind), r.Service, r.Key)
+	return digest.Entry{Key: key, Sum: hash(string(r.Kind), r.Service, r.Key, fmt.Sprint(r.Number, r.Expires.UnixNano()), string(r.Body))}
 }
 
-func sum(parts ...string) uint64 {
+func hash(parts ...string) uint64 {
 	f := fnv.New64a()
 	for _, p := range parts {
 		// Writing to a hash returns no error.
--- a/entry/internal/rumor/store_test.go
+++ b/entry/internal/rumor/store_test.go
@@ -59,16 +59,16 @@
 		}
 		c.Assert(a.Len(), qt.Equals, MaxRumors)
 		c.Assert(digest.Total(a.Entries()), qt.Equals, digest.Total(b.Entries()))
-		c.Assert(len(a.Take()) <= perMessage, qt.IsTrue)
+		c.Assert(len(a.Take()) <= maxPerMessage, qt.IsTrue)
 
 		large := rumorOf("large", 1, time.Minute)
-		large.Body = make([]byte, MaxBody+1)
+		large.Body = make([]byte, MaxBodyBytes+1)
 		_, err := newStore().Publish(large)
 		c.Assert(err, qt.ErrorIs, ErrInvalid)
 		long := newStore()
 		_, err = long.Publish(rumorOf("long", 1, 1000*time.Hour))
 		c.Assert(err, qt.IsNil)
-		time.Sleep(MaxLife + time.Second)
+		time.Sleep(MaxLifetime + time.Second)
 		c.Assert(long.Len(), qt.Equals, 0)
 	})
 }
