--- a/entry/internal/digest/tree.go
+++ b/entry/internal/digest/tree.go
@@ -3,8 +3,8 @@
 // Fan is the number of children of each prefix: each level has four bits of the key.
 const Fan = 16
 
-// bits is the number of key bits of one level.
-const bits = 4
+// bitsPerLevel is the number of bits of the key in one level.
+const bitsPerLevel = 4
 
 // MaxDepth is the depth of the longest prefix; sixteen levels of four bits are the whole key.
 const MaxDepth = 16
@@ -29,7 +29,7 @@
 
 // Child returns the i-th prefix below p.
 func (p Prefix) Child(i int) Prefix {
-	shift := 64 - bits*(p.Depth+1)
+	shift := 64 - bitsPerLevel*(p.Depth+1)
 	return Prefix{Bits: p.Bits | uint64(i)<<shift, Depth: p.Depth + 1}
 }
 
@@ -38,7 +38,7 @@
 	if p.Depth <= 0 {
 		return true
 	}
-	shift := 64 - bits*p.Depth
+	shift := 64 - bitsPerLevel*p.Depth
 	return key>>shift == p.Bits>>shift
 }
 
@@ -57,7 +57,7 @@
 // Sums returns the digest of each child of p; p must be Valid.
 func Sums(entries []Entry, p Prefix) []Sum {
 	sums := make([]Sum, Fan)
-	shift := 64 - bits*(p.Depth+1)
+	shift := 64 - bitsPerLevel*(p.Depth+1)
 	for _, e := range entries {
 		if !p.Holds(e.Key) {
 			continue
