--- a/entry/internal/follow/era_test.go
+++ b/entry/internal/follow/era_test.go
@@ -40,11 +40,11 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Judge(ctx)
-		f.takeAccepted(lost)
+		f.applyAccepted(lost)
 		number, writes := held()
 		qt.Check(t, []any{number, writes}, qt.DeepEquals, []any{int64(5), 0})
 		era.Store(1)
-		f.takeAccepted(lost)
+		f.applyAccepted(lost)
 		number, writes = held()
 		qt.Check(t, []any{number, writes}, qt.DeepEquals, []any{int64(7), 1})
 		inForce, _ := store.Get(desk)
@@ -62,15 +62,15 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Judge(ctx)
 		inForce := func() int64 {
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			gen, _ := store.Get(desk)
 			return gen.Number
 		}
-		f.propose([]platform.Object{proposalOf(7, good(7))})
+		f.addProposals([]platform.Object{proposalOf(7, documentBody(7))})
 		qt.Assert(t, inForce(), qt.Equals, int64(7))
-		f.propose([]platform.Object{proposalOf(5, good(5))})
+		f.addProposals([]platform.Object{proposalOf(5, documentBody(5))})
 		qt.Assert(t, inForce(), qt.Equals, int64(7))
-		f.propose([]platform.Object{proposalOf(laterEra|6, good(6))})
+		f.addProposals([]platform.Object{proposalOf(laterEra|6, documentBody(6))})
 		qt.Assert(t, inForce(), qt.Equals, int64(laterEra|6))
 		gen, _ := store.Get(desk)
 		qt.Assert(t, gen.Document.Upstream.Slots, qt.Equals, 6)
--- a/entry/internal/follow/follow.go
+++ b/entry/internal/follow/follow.go
@@ -54,26 +54,27 @@
 	mu        sync.Mutex
 	down      bool
 	proposals map[string]*proposal
-	// lost holds the generations in force that a restore of the platform's store removed, era is that of the last watch.
-	lost     map[string]*proposal
-	era      int64
-	refusals map[string]Refusal
-	// asked is a replica list of another host, in use until the table has rows.
-	asked []platform.Replica
+	// lostGenerations holds the generations in force that a restore of the platform's store removed; era is the restart
+	// era of the last watch.
+	lostGenerations map[string]*proposal
+	era             int64
+	refusals        map[string]Refusal
+	// copiedReplicas is a replica list of another host, in use until the table has rows.
+	copiedReplicas []platform.Replica
 
-	// ranked caches the watchers for the member list whose first element is at rankedFor; ranking guards both.
-	ranking   sync.Mutex
-	ranked    []member.Host
-	rankedFor *member.Host
+	// watchers caches the watchers for the member list whose first element is at watchersOf; watchersMu guards both.
+	watchersMu sync.Mutex
+	watchers   []member.Host
+	watchersOf *member.Host
 }
 
 // proposal is the highest version of a document that this host received.
 type proposal struct {
-	obj   platform.Object
-	seen  time.Time
-	retry time.Time
-	// settled is set when the proposal was accepted or rejected, so that it needs no further attempt.
-	settled bool
+	obj        platform.Object
+	receivedAt time.Time
+	retryAt    time.Time
+	// done is set when the proposal was accepted, refused or found stale, so that it needs no further attempt.
+	done bool
 }
 
 // New returns a follower that does nothing until Judge and the Read, Watch and Poll methods are run.
@@ -102,20 +103,20 @@
 	if opts.ReplicasRead == nil {
 		opts.ReplicasRead = func([]listing.Row) {}
 	}
-	return &Follower{opts: opts, proposals: map[string]*proposal{}, lost: map[string]*proposal{}, refusals: map[string]Refusal{}}
+	return &Follower{opts: opts, proposals: map[string]*proposal{}, lostGenerations: map[string]*proposal{}, refusals: map[string]Refusal{}}
 }
 
 const (
-	watchWait    = 30 * time.Second
-	callTimeout  = 2 * time.Second
-	watchTimeout = watchWait + 5*time.Second
-	retryAfter   = 500 * time.Millisecond
-	// meetFor is the time for a starting host to receive the member list before it watches.
-	meetFor = 500 * time.Millisecond
-	// watchRetry limits each watcher to two calls a second during an outage.
-	watchRetry = time.Second
-	judgeEvery = 100 * time.Millisecond
-	readEvery  = 5 * time.Second
+	watchWait     = 30 * time.Second
+	callTimeout   = 2 * time.Second
+	watchTimeout  = watchWait + 5*time.Second
+	retryInterval = 500 * time.Millisecond
+	// joinWait is the time for a starting host to receive the member list before it watches.
+	joinWait = 500 * time.Millisecond
+	// watchRetryInterval limits each watcher to two calls a second during an outage.
+	watchRetryInterval = time.Second
+	judgeInterval      = 100 * time.Millisecond
+	readRetryInterval  = 5 * time.Second
 )
 
 // ReadAccepted reads every accepted generation once, so that a starting host doesn't depend on one peer, which may lag.
@@ -124,48 +125,48 @@
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		objs, _, err := f.opts.Platform.List(callCtx, platform.KindAccepted)
 		cancel()
-		f.note(ctx, err)
+		f.updateDown(ctx, err)
 		if err == nil {
-			f.offer(objs)
+			f.offerAccepted(objs)
 			return
 		}
-		clock.Sleep(ctx, f.opts.Clock, readEvery)
+		clock.Sleep(ctx, f.opts.Clock, readRetryInterval)
 	}
 }
 
 // WatchAccepted puts the accepted generations in force, while this host is one of its zone's watchers.
 func (f *Follower) WatchAccepted(ctx context.Context) {
-	f.watch(ctx, platform.KindAccepted, f.takeAccepted)
+	f.watch(ctx, platform.KindAccepted, f.applyAccepted)
 }
 
 // WatchDocuments collects proposals, while this host is one of its zone's watchers.
 func (f *Follower) WatchDocuments(ctx context.Context) {
-	f.watch(ctx, platform.KindDocument, f.propose)
+	f.watch(ctx, platform.KindDocument, f.addProposals)
 }
 
-func (f *Follower) watch(ctx context.Context, kind platform.Kind, take func([]platform.Object)) {
+func (f *Follower) watch(ctx context.Context, kind platform.Kind, apply func([]platform.Object)) {
 	after := int64(0)
 	// Until a host has received the member list, it ranks itself as a watcher of its zone, and every host of a fleet
 	// that starts at once would watch.
-	clock.Sleep(ctx, f.opts.Clock, meetFor)
+	clock.Sleep(ctx, f.opts.Clock, joinWait)
 	for ctx.Err() == nil {
-		if !f.Watches() {
+		if !f.IsWatcher() {
 			// A later watch must also return the changes of the meantime.
 			after = 0
-			clock.Sleep(ctx, f.opts.Clock, retryAfter)
+			clock.Sleep(ctx, f.opts.Clock, retryInterval)
 			continue
 		}
 		objs, rev, err := f.watchOnce(ctx, kind, after)
-		if err != nil && !f.Watches() {
+		if err != nil && !f.IsWatcher() {
 			continue
 		}
-		f.note(ctx, err)
+		f.updateDown(ctx, err)
 		if err != nil {
-			clock.Sleep(ctx, f.opts.Clock, watchRetry)
+			clock.Sleep(ctx, f.opts.Clock, watchRetryInterval)
 			continue
 		}
 		after = rev
-		take(objs)
+		apply(objs)
 	}
 }
 
@@ -176,8 +177,8 @@
 	defer cancel()
 	var check sync.WaitGroup
 	check.Go(func() {
-		for ctx.Err() == nil && f.Watches() {
-			clock.Sleep(ctx, f.opts.Clock, retryAfter)
+		for ctx.Err() == nil && f.IsWatcher() {
+			clock.Sleep(ctx, f.opts.Clock, retryInterval)
 		}
 		cancel()
 	})
@@ -187,22 +188,22 @@
 	return objs, rev, err
 }
 
-// takeAccepted applies the result of a watch of the accepted generations. The first result of a new era has all of
+// applyAccepted applies the result of a watch of the accepted generations. The first result of a new era has all of
 // them: a generation in force that isn't among them was lost when the platform's store was restored, and is recorded
 // again.
-func (f *Follower) takeAccepted(objs []platform.Object) {
-	f.offer(objs)
+func (f *Follower) applyAccepted(objs []platform.Object) {
+	f.offerAccepted(objs)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if era := f.opts.Era(); era != f.era {
 		f.era = era
-		f.noteLost(objs)
+		f.queueLost(objs)
 	}
 }
 
-// noteLost queues the generations in force that are higher than those in the platform, to record them again; f.mu must
+// queueLost queues the generations in force that are higher than those in the platform, to record them again; f.mu must
 // be held.
-func (f *Follower) noteLost(objs []platform.Object) {
+func (f *Follower) queueLost(objs []platform.Object) {
 	held := map[string]int64{}
 	for _, obj := range objs {
 		if gen, err := accepted.Decode(obj.Body); err == nil {
@@ -211,28 +212,28 @@
 	}
 	for _, gen := range f.opts.Store.All() {
 		if gen.Number > held[gen.Service] {
-			f.lost[gen.Service] = &proposal{obj: platform.Object{Name: gen.Service, Version: gen.Number}, seen: f.opts.Clock.Now()}
+			f.lostGenerations[gen.Service] = &proposal{obj: platform.Object{Name: gen.Service, Version: gen.Number}, receivedAt: f.opts.Clock.Now()}
 		}
 	}
 }
 
 // recordLost records the generations again that a restore of the platform's store removed.
 func (f *Follower) recordLost(ctx context.Context) {
-	for _, p := range f.due(f.lost) {
+	for _, p := range f.due(f.lostGenerations) {
 		gen, ok := f.opts.Store.Get(p.obj.Name)
 		if !ok {
 			continue
 		}
 		err := f.record(ctx, p.obj, gen)
 		if err != nil {
-			f.note(ctx, err)
+			f.updateDown(ctx, err)
 		}
-		f.settle(p, err)
+		f.finishAttempt(p, err)
 	}
 }
 
-// offer puts the accepted generations of objs in force, except those that are older than the ones in force.
-func (f *Follower) offer(objs []platform.Object) {
+// offerAccepted puts the accepted generations of objs in force, except those that are older than the ones in force.
+func (f *Follower) offerAccepted(objs []platform.Object) {
 	for _, obj := range objs {
 		gen, err := accepted.Decode(obj.Body)
 		if err != nil {
@@ -243,13 +244,13 @@
 	}
 }
 
-// propose stores the highest version of each document; a lagging read may return an older one.
-func (f *Follower) propose(objs []platform.Object) {
+// addProposals stores the highest version of each document; a lagging read may return an older one.
+func (f *Follower) addProposals(objs []platform.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, obj := range objs {
 		if old := f.proposals[obj.Name]; old == nil || old.obj.Version < obj.Version {
-			f.proposals[obj.Name] = &proposal{obj: obj, seen: f.opts.Clock.Now()}
+			f.proposals[obj.Name] = &proposal{obj: obj, receivedAt: f.opts.Clock.Now()}
 		}
 	}
 }
@@ -261,20 +262,20 @@
 		for _, p := range f.due(f.proposals) {
 			err := f.judge(ctx, p.obj)
 			if err != nil {
-				f.note(ctx, err)
+				f.updateDown(ctx, err)
 			}
-			f.settle(p, err)
+			f.finishAttempt(p, err)
 		}
 		f.recordLost(ctx)
-		clock.Sleep(ctx, f.opts.Clock, judgeEvery)
+		clock.Sleep(ctx, f.opts.Clock, judgeInterval)
 	}
 }
 
-// settle stores the result of an attempt; one that failed is retried after retryAfter.
-func (f *Follower) settle(p *proposal, err error) {
+// finishAttempt stores the result of an attempt; one that failed is retried after retryInterval.
+func (f *Follower) finishAttempt(p *proposal, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p.settled, p.retry = err == nil, f.opts.Clock.Now().Add(retryAfter)
+	p.done, p.retryAt = err == nil, f.opts.Clock.Now().Add(retryInterval)
 }
 
 // due returns the proposals that this host has to judge or record now.
@@ -284,7 +285,7 @@
 	defer f.mu.Unlock()
 	var list []*proposal
 	for name, p := range proposals {
-		if !p.settled && !now.Before(p.seen.Add(f.turn(name))) && !now.Before(p.retry) {
+		if !p.done && !now.Before(p.receivedAt.Add(f.judgeDelay(name))) && !now.Before(p.retryAt) {
 			list = append(list, p)
 		}
 	}
@@ -312,8 +313,8 @@
 	return slices.Collect(maps.Keys(f.proposals))
 }
 
-// note updates down from the result of a call, and logs a change.
-func (f *Follower) note(ctx context.Context, err error) {
+// updateDown updates down from the result of a call, and logs a change.
+func (f *Follower) updateDown(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		// The host is stopping, which cancels its calls.
 		return
--- a/entry/internal/follow/judge.go
+++ b/entry/internal/follow/judge.go
@@ -17,13 +17,14 @@
 	Reason string `json:"reason"`
 }
 
-// maxTries is the number of writes in one attempt to record; a conflict means that another host wrote meanwhile.
-const maxTries = 4
+// maxRecordAttempts is the maximum number of attempts in one call of record; each conflict means that another host
+// wrote meanwhile.
+const maxRecordAttempts = 4
 
 // judge validates a proposal and records it as accepted; after a non-nil error the proposal must be judged again.
 func (f *Follower) judge(ctx context.Context, obj platform.Object) error {
 	if gen, ok := f.opts.Store.Get(obj.Name); ok && gen.Number >= obj.Version {
-		f.stale(obj, gen.Number)
+		f.logStale(obj, gen.Number)
 		return nil
 	}
 	doc, err := document.Parse(obj.Body)
@@ -44,7 +45,7 @@
 // have accepted a higher proposal, or the same one with the defaults of another version. After a lost reply it is
 // unknown whether the write took effect, so each attempt reads first; a lagging read only leads to a conflict.
 func (f *Follower) record(ctx context.Context, obj platform.Object, gen accepted.Generation) error {
-	for range maxTries {
+	for range maxRecordAttempts {
 		err := f.recordOnce(ctx, obj, gen)
 		if !errors.Is(err, platform.ErrConflict) {
 			return err
@@ -69,7 +70,7 @@
 		}
 		f.opts.Store.Offer(have)
 		if have.Number >= gen.Number {
-			f.stale(obj, have.Number)
+			f.logStale(obj, have.Number)
 			return nil
 		}
 	}
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// stale logs a proposal that is lower than the generation in force; an equal one is the normal case.
-func (f *Follower) stale(obj platform.Object, inForce int64) {
+// logStale logs a proposal that is lower than the generation in force; an equal one is the normal case.
+func (f *Follower) logStale(obj platform.Object, inForce int64) {
 	if obj.Version < inForce {
 		events.ConfigStale.Log(f.opts.Log, "service", obj.Name, "number", obj.Version, "in_force", inForce)
 	}
--- a/entry/internal/follow/judge_test.go
+++ b/entry/internal/follow/judge_test.go
@@ -30,7 +30,7 @@
 	return platform.Object{Kind: platform.KindDocument, Name: desk, Version: version, Body: []byte(body)}
 }
 
-func good(slots int) string {
+func documentBody(slots int) string {
 	return fmt.Sprintf(`{"service":%q,"upstream":{"slots":%d}}`, desk, slots)
 }
 
@@ -51,13 +51,13 @@
 		wantErr   bool
 		refused   string
 	}{
-		{name: "first", proposal: proposalOf(1, good(7)), wantSlots: 7, wantNum: 1},
-		{name: "next", recorded: acceptedBody(1), proposal: proposalOf(2, good(7)), wantSlots: 7, wantNum: 2},
-		{name: "lagging read of an older proposal", recorded: acceptedBody(5), proposal: proposalOf(4, good(7)), wantSlots: 3, wantNum: 5},
-		{name: "accepted by a host with other defaults", recorded: acceptedBody(4), proposal: proposalOf(4, good(7)), wantSlots: 3, wantNum: 4},
-		{name: "bad document", recorded: acceptedBody(4), proposal: proposalOf(5, good(-1)), wantNum: 0, refused: "upstream.slots"},
+		{name: "first", proposal: proposalOf(1, documentBody(7)), wantSlots: 7, wantNum: 1},
+		{name: "next", recorded: acceptedBody(1), proposal: proposalOf(2, documentBody(7)), wantSlots: 7, wantNum: 2},
+		{name: "lagging read of an older proposal", recorded: acceptedBody(5), proposal: proposalOf(4, documentBody(7)), wantSlots: 3, wantNum: 5},
+		{name: "accepted by a host with other defaults", recorded: acceptedBody(4), proposal: proposalOf(4, documentBody(7)), wantSlots: 3, wantNum: 4},
+		{name: "bad document", recorded: acceptedBody(4), proposal: proposalOf(5, documentBody(-1)), wantNum: 0, refused: "upstream.slots"},
 		{name: "document of another service", proposal: proposalOf(1, `{"service":"ticket-desk"}`), refused: "want the same name"},
-		{name: "accepted object unreadable here", recorded: `{"service":"donor-desk","number":"9"}`, proposal: proposalOf(5, good(7)), refused: "accepted object"},
+		{name: "accepted object unreadable here", recorded: `{"service":"donor-desk","number":"9"}`, proposal: proposalOf(5, documentBody(7)), refused: "accepted object"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -68,7 +68,7 @@
 					c.Assert(err, qt.IsNil)
 				}
 				f := follower(p, store)
-				f.propose([]platform.Object{test.proposal})
+				f.addProposals([]platform.Object{test.proposal})
 				c.Assert(f.judge(t.Context(), test.proposal), qt.IsNil)
 				gen, _ := store.Get(desk)
 				c.Assert(gen.Number, qt.Equals, test.wantNum)
@@ -101,7 +101,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Judge(ctx)
 				test.fault(p)
-				f.propose([]platform.Object{proposalOf(2, good(7))})
+				f.addProposals([]platform.Object{proposalOf(2, documentBody(7))})
 				time.Sleep(10 * time.Minute)
 				p.mu.Lock()
 				p.down = false
--- a/entry/internal/follow/model_test.go
+++ b/entry/internal/follow/model_test.go
@@ -18,19 +18,19 @@
 	modelSeeds = 1000
 	modelHosts = 4
 	modelEdits = 8
-	// settle is the time within which an edit must be in force on every host while the platform is up.
-	settle = 4 * time.Second
+	// settleTime is the time within which an edit must be in force on every host while the platform is up.
+	settleTime = 4 * time.Second
 )
 
 // model is a few hosts that share a fake platform and gossip their generations in force.
 type model struct {
-	t      *testing.T
-	p      *fake
-	mu     sync.Mutex
-	rnd    *rand.Rand
-	bodies map[int64]string
-	nodes  []*modelNode
-	broken error
+	t        *testing.T
+	p        *fake
+	mu       sync.Mutex
+	rnd      *rand.Rand
+	bodies   map[int64]string
+	nodes    []*modelNode
+	firstErr error
 }
 
 type modelNode struct {
@@ -50,7 +50,7 @@
 			t.Parallel()
 			for seed := w; seed < modelSeeds; seed += workers {
 				ok := t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { playEdits(t, seed) })
+					synctest.Test(t, func(t *testing.T) { runEdits(t, seed) })
 				})
 				if !ok {
 					return
@@ -60,9 +60,9 @@
 	}
 }
 
-func playEdits(t *testing.T, seed uint64) {
+func runEdits(t *testing.T, seed uint64) {
 	m := &model{t: t, p: newFake(seed), rnd: rand.New(rand.NewPCG(seed, 4)), bodies: map[int64]string{}}
-	m.p.lag, m.p.lost, m.p.slow = m.draw(), m.draw(), m.draw()/2
+	m.p.lag, m.p.lost, m.p.slow = m.randomChance(), m.randomChance(), m.randomChance()/2
 	m.mu.Lock()
 	for range modelHosts {
 		n := &modelNode{}
@@ -72,7 +72,7 @@
 	m.mu.Unlock()
 	for range modelEdits {
 		m.edit(m.rnd.Float64() < 0.7)
-		m.fault()
+		m.injectFault()
 		time.Sleep(time.Duration(m.rnd.IntN(2000)) * time.Millisecond)
 	}
 	m.p.mu.Lock()
@@ -81,7 +81,7 @@
 	time.Sleep(5 * time.Second)
 	// No host may have received an edit that was made while the platform was down, so the last one is made now.
 	last := m.edit(true)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	for i, n := range m.nodes {
 		if gen, _ := n.store.Get(desk); gen.Number != last {
 			m.fail("host %d has %d in force at the end, want %d", i, gen.Number, last)
@@ -91,19 +91,19 @@
 	// Every call in flight ends within this time.
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
-	if m.broken != nil {
-		t.Fatal(m.broken)
+	if m.firstErr != nil {
+		t.Fatal(m.firstErr)
 	}
 }
 
-// draw returns a probability of up to one half.
-func (m *model) draw() float64 { return m.rnd.Float64() / 2 }
+// randomChance returns a probability of up to one half.
+func (m *model) randomChance() float64 { return m.rnd.Float64() / 2 }
 
 func (m *model) fail(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.broken == nil {
-		m.broken = fmt.Errorf(format, args...)
+	if m.firstErr == nil {
+		m.firstErr = fmt.Errorf(format, args...)
 	}
 }
 
@@ -155,10 +155,10 @@
 func (m *model) read(ctx context.Context, f *Follower) {
 	for ctx.Err() == nil {
 		if obj, err := m.p.get(ctx, platform.KindAccepted, desk); err == nil {
-			f.offer([]platform.Object{obj})
+			f.offerAccepted([]platform.Object{obj})
 		}
 		if obj, err := m.p.get(ctx, platform.KindDocument, desk); err == nil {
-			f.propose([]platform.Object{obj})
+			f.addProposals([]platform.Object{obj})
 		}
 		clock.Sleep(ctx, f.opts.Clock, 300*time.Millisecond)
 	}
@@ -181,20 +181,20 @@
 }
 
 // edit updates the document as an operator does, to an invalid one unless right is set, and returns its version.
-func (m *model) edit(right bool) int64 {
+func (m *model) edit(valid bool) int64 {
 	m.p.mu.Lock()
 	defer m.p.mu.Unlock()
 	k := key(platform.KindDocument, desk)
 	version := int64(len(m.p.history[k])) + 1
-	body := good(-1)
-	if right {
-		body = good(int(version))
+	body := documentBody(-1)
+	if valid {
+		body = documentBody(int(version))
 	}
 	m.p.history[k] = append(m.p.history[k], proposalOf(version, body))
 	return version
 }
 
-func (m *model) fault() {
+func (m *model) injectFault() {
 	switch m.rnd.IntN(5) {
 	case 0:
 		m.p.mu.Lock()
--- a/entry/internal/follow/watchers.go
+++ b/entry/internal/follow/watchers.go
@@ -11,11 +11,11 @@
 // host watched. Two in each zone leave one when a host fails, and a zone that is cut off still has watchers.
 const (
 	watchersPerZone = 2
-	// judgeTurn is the delay of a watcher after the one ranked before it, until it judges a proposal: one watcher is
-	// enough, and forty-eight at the same time would cost the platform three calls each.
-	judgeTurn = 400 * time.Millisecond
-	// maxTurns is the rank from which on the delay no longer grows.
-	maxTurns = 5
+	// judgeDelayStep is the delay of a watcher after the one ranked before it, until it judges a proposal: one watcher
+	// is enough, and forty-eight at the same time would cost the platform three calls each.
+	judgeDelayStep = 400 * time.Millisecond
+	// maxJudgeDelaySteps is the rank from which on the delay no longer grows.
+	maxJudgeDelaySteps = 5
 )
 
 // Watchers returns the hosts of a member list that watch the platform.
@@ -40,16 +40,16 @@
 	if len(hosts) == 0 {
 		return nil
 	}
-	f.ranking.Lock()
-	defer f.ranking.Unlock()
-	if f.rankedFor != &hosts[0] {
-		f.rankedFor, f.ranked = &hosts[0], Watchers(hosts)
+	f.watchersMu.Lock()
+	defer f.watchersMu.Unlock()
+	if f.watchersOf != &hosts[0] {
+		f.watchersOf, f.watchers = &hosts[0], Watchers(hosts)
 	}
-	return f.ranked
+	return f.watchers
 }
 
-// Watches reports whether this host is one of its zone's watchers.
-func (f *Follower) Watches() bool {
+// IsWatcher reports whether this host is one of its zone's watchers.
+func (f *Follower) IsWatcher() bool {
 	self := f.opts.Self().ID
 	return slices.ContainsFunc(f.Watchers(), func(h member.Host) bool { return h.ID == self })
 }
@@ -61,13 +61,13 @@
 	return len(order) > 0 && order[0].ID == f.opts.Self().ID
 }
 
-// turn returns the delay before this host judges a proposal for service.
-func (f *Follower) turn(service string) time.Duration {
+// judgeDelay returns the delay before this host judges a proposal for service.
+func (f *Follower) judgeDelay(service string) time.Duration {
 	self := f.opts.Self().ID
 	for i, h := range member.Ranked(f.Watchers(), "judge "+service) {
 		if h.ID == self {
-			return time.Duration(min(i, maxTurns)) * judgeTurn
+			return time.Duration(min(i, maxJudgeDelaySteps)) * judgeDelayStep
 		}
 	}
-	return maxTurns * judgeTurn
+	return maxJudgeDelaySteps * judgeDelayStep
 }
