--- a/entry/internal/member/list.go
+++ b/entry/internal/member/list.go
@@ -42,8 +42,8 @@
 
 // List is one host's member list: the state of a SWIM failure detector, without the network.
 //
-// Its cost per host doesn't depend on the size of the fleet: each host probes one neighbour a second, asks other hosts
-// to probe it if that fails, suspects it before it declares it dead, and lets the suspect refute by a higher Epoch.
+// It handles failures and restarts in a fleet of any size: each host probes one neighbour a second, asks other hosts to
+// probe it if that fails, suspects it before it declares it dead, and lets the suspect refute by a higher Epoch.
 // Without the suspicion a host that pauses for a second would be dropped by all; without the fixed probe rate the
 // traffic of a host would grow with the fleet. Each message carries a bounded number of changed rows.
 type List struct {
