--- a/entry/internal/follow/follow.go
+++ b/entry/internal/follow/follow.go
@@ -68,7 +68,7 @@
 	watchersOf *member.Host
 }
 
-// proposal is the highest version of a document that this host received.
+// proposal is the highest version of a document that this host received, or a lost generation to record again.
 type proposal struct {
 	obj        platform.Object
 	receivedAt time.Time
