--- a/entry/internal/follow/era_test.go
+++ b/entry/internal/follow/era_test.go
@@ -13,11 +13,11 @@
 	"guavaspring.org/entry/internal/accepted"
 )
 
-// laterEra is what the versions of the first era after the platform came back begin with.
+// laterEra is the base of the versions in the first era after a restore of the platform's store.
 const laterEra = 1 << 40
 
-// Guards against an acceptance that the platform has lost with its newest writes: a host that starts would go by an older
-// one.
+// Guards against an accepted generation that is lost with the platform's newest writes: a starting host would use an
+// older one.
 func TestLostAcceptanceIsRecordedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, store := newFake(1), accepted.New(nil)
@@ -40,11 +40,11 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Judge(ctx)
-		f.takeAccepted(lost)
+		f.applyAccepted(lost)
 		number, writes := held()
 		qt.Check(t, []any{number, writes}, qt.DeepEquals, []any{int64(5), 0})
 		era.Store(1)
-		f.takeAccepted(lost)
+		f.applyAccepted(lost)
 		number, writes = held()
 		qt.Check(t, []any{number, writes}, qt.DeepEquals, []any{int64(7), 1})
 		inForce, _ := store.Get(desk)
@@ -53,8 +53,8 @@
 	})
 }
 
-// Guards against a document that is never accepted, since its version was given out before for one that was lost, and
-// against an older document that the platform's copy brings back.
+// Guards against a document that is never accepted, since its version had been assigned to one that was lost, and
+// against an older document that the restored store returns.
 func TestVersionOfALaterEraIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, store := newFake(1), accepted.New(nil)
@@ -62,15 +62,15 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Judge(ctx)
 		inForce := func() int64 {
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			gen, _ := store.Get(desk)
 			return gen.Number
 		}
-		f.propose([]platform.Object{proposalOf(7, good(7))})
+		f.addProposals([]platform.Object{proposalOf(7, documentBody(7))})
 		qt.Assert(t, inForce(), qt.Equals, int64(7))
-		f.propose([]platform.Object{proposalOf(5, good(5))})
+		f.addProposals([]platform.Object{proposalOf(5, documentBody(5))})
 		qt.Assert(t, inForce(), qt.Equals, int64(7))
-		f.propose([]platform.Object{proposalOf(laterEra|6, good(6))})
+		f.addProposals([]platform.Object{proposalOf(laterEra|6, documentBody(6))})
 		qt.Assert(t, inForce(), qt.Equals, int64(laterEra|6))
 		gen, _ := store.Get(desk)
 		qt.Assert(t, gen.Document.Upstream.Slots, qt.Equals, 6)
--- a/entry/internal/member/bench_test.go
+++ b/entry/internal/member/bench_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// large returns a list of the letter's size.
-func large() (*List, []Host) {
+// largeList returns a list of 5,600 hosts and its rows.
+func largeList() (*List, []Host) {
 	rows := make([]Host, 5600)
 	for i := range rows {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7000)
@@ -24,10 +24,10 @@
 	return l, rows
 }
 
-// BenchmarkChange is the cost of one changed row at 5,600 hosts; the fleet has 0.22 changes a second, each told a few
+// BenchmarkChange measures one changed row at 5,600 hosts; the fleet has 0.22 changes a second, each received a few
 // times.
 func BenchmarkChange(b *testing.B) {
-	l, rows := large()
+	l, rows := largeList()
 	b.ReportAllocs()
 	for i := range b.N {
 		h := rows[1+i%5000]
@@ -36,9 +36,9 @@
 	}
 }
 
-// BenchmarkTick is the cost of letting time pass at 5,600 hosts, five times a second.
+// BenchmarkTick measures one tick at 5,600 hosts; a host has five a second.
 func BenchmarkTick(b *testing.B) {
-	l, _ := large()
+	l, _ := largeList()
 	b.ReportAllocs()
 	now := time.Unix(1, 0)
 	for range b.N {
@@ -47,12 +47,12 @@
 	}
 }
 
-// BenchmarkMessage is the cost of filling one message while there is much to tell.
+// BenchmarkMessage measures one message while many rows are queued.
 func BenchmarkMessage(b *testing.B) {
-	l, rows := large()
+	l, rows := largeList()
 	b.ReportAllocs()
 	for i := range b.N {
-		if len(l.queue) < 100 {
+		if len(l.queuedRows) < 100 {
 			b.StopTimer()
 			next := rows[1 : 1+200]
 			for j := range next {
@@ -65,15 +65,15 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a list of 5,600 hosts keeps.
+// BenchmarkMemory reports the heap that a list of 5,600 hosts uses.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		l, _ := large()
+		l, _ := largeList()
 		l.mu.Lock()
-		clear(l.queue)
+		clear(l.queuedRows)
 		l.mu.Unlock()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/entry/internal/member/model_test.go
+++ b/entry/internal/member/model_test.go
@@ -13,21 +13,21 @@
 	modelSeeds = 1000
 	modelHosts = 6
 	faultTime  = 40 * time.Second
-	// healTime covers the death of the last suspects and the search for hosts that were cut off.
+	// healTime covers the death of the last suspects and the contact with hosts that were cut off.
 	healTime = 60 * time.Second
 )
 
-// Story: hosts are paused, cut off by zone, killed and restarted while messages are lost, doubled and reordered.
-// A list that lets an old word override a newer one brings back hosts that ended or drops hosts that live; callers
-// are then sent to an address where nobody answers. Once the faults end, every host must list exactly the running
-// incarnations as alive, and on the way no list may go back to an older epoch of any host.
+// Guards against an old row that overrides a newer one, which restores hosts that ended or drops running ones, so that
+// clients are directed to a dead address. Hosts are paused, cut off by zone, killed and restarted while messages are
+// lost, duplicated and reordered. After the faults every host must list exactly the running incarnations, and no list
+// may ever go back to an older epoch of a host.
 func TestModelConvergesAfterFaults(t *testing.T) {
 	var workers sync.WaitGroup
 	seeds := make(chan uint64)
 	for range 4 {
 		workers.Go(func() {
 			for seed := range seeds {
-				if err := playFaults(seed); err != nil {
+				if err := runFaults(seed); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
 			}
@@ -40,9 +40,9 @@
 	workers.Wait()
 }
 
-func playFaults(seed uint64) (err error) {
+func runFaults(seed uint64) (err error) {
 	n := newNetwork(seed, modelHosts)
-	n.loss, n.double = 0.3*n.rnd.Float64(), 0.3*n.rnd.Float64()
+	n.loss, n.duplication = 0.3*n.rnd.Float64(), 0.3*n.rnd.Float64()
 	n.check = func(nd *node) {
 		for _, h := range nd.list.Hosts() {
 			if h.Epoch < nd.epochs[h.ID] && err == nil {
@@ -52,7 +52,7 @@
 		}
 	}
 	for end := n.now.Add(faultTime); n.now.Before(end); {
-		fault(n)
+		injectFault(n)
 		n.run(time.Duration(n.rnd.IntN(4000)) * time.Millisecond)
 	}
 	heal(n)
@@ -60,10 +60,10 @@
 	if err != nil {
 		return err
 	}
-	return converged(n)
+	return checkConverged(n)
 }
 
-func fault(n *network) {
+func injectFault(n *network) {
 	nd := n.nodes[n.rnd.IntN(len(n.nodes))]
 	switch n.rnd.IntN(6) {
 	case 0:
@@ -74,7 +74,7 @@
 	case 2:
 		nd.paused = n.now.Add(time.Duration(n.rnd.IntN(20)) * time.Second)
 	case 3:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 4:
 		nd.list.Leave()
 	case 5:
@@ -83,7 +83,7 @@
 }
 
 func heal(n *network) {
-	n.loss, n.double, n.cut = 0, 0, false
+	n.loss, n.duplication, n.partitioned = 0, 0, false
 	for _, nd := range n.nodes {
 		if n.now.Before(nd.paused) {
 			nd.paused = n.now
@@ -94,7 +94,7 @@
 	}
 }
 
-func converged(n *network) error {
+func checkConverged(n *network) error {
 	for _, nd := range n.nodes {
 		hosts := nd.list.Hosts()
 		if len(hosts) != len(n.nodes) {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Story: an operator replaces every host, one after another, by a new one at another address. In the end no old host
-// is left, yet each new one must know all the others, though no address of the first ones answers any more.
+// Guards against new hosts that lose each other when an operator replaces every host, one after another, by one at
+// another address: in the end none of the first addresses answers, and each host must still list all the others.
 func TestAllHostsReplacedOneAfterAnother(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(7, 7)
@@ -125,11 +125,11 @@
 		n.run(10 * time.Second)
 	}
 	n.run(20 * time.Second)
-	c.Assert(converged(n), qt.IsNil)
+	c.Assert(checkConverged(n), qt.IsNil)
 }
 
-// Story: a host's process is stopped for half a minute and goes on. Everybody took it for dead, and it finds every
-// probe of its own overdue. It must neither stay dead for the others nor accuse a healthy one.
+// Guards against a host that stays dead for the others, or suspects healthy hosts, after its process was stopped for
+// half a minute: the others have declared it dead, and all its own probes are overdue.
 func TestPausedHostComesBackAndAccusesNobody(t *testing.T) {
 	for seed := range uint64(50) {
 		c := qt.New(t)
@@ -141,7 +141,7 @@
 		n.run(29 * time.Second)
 		c.Assert(n.nodes[0].list.Hosts(), qt.HasLen, 6, seedIs)
 		n.run(15 * time.Second)
-		c.Assert(converged(n), qt.IsNil, seedIs)
+		c.Assert(checkConverged(n), qt.IsNil, seedIs)
 		for _, nd := range n.nodes {
 			if nd != paused {
 				c.Assert(nd.list.Self().Epoch, qt.Equals, uint64(1), seedIs)
@@ -150,17 +150,17 @@
 	}
 }
 
-// Story: a link between the zones is down for twenty minutes, and so is the platform with its directory. Each zone
-// takes the others for dead and forgets to talk to them. When the link is back, nobody is left to introduce them;
-// each must still list all the others within a minute.
+// Guards against zones that stay apart after a partition: the link between them and the platform's directory are down
+// for twenty minutes, so each zone declares the others dead. When the link is back, each host must list all the others
+// within a minute without the directory.
 func TestZonesCutApartJoinAgainWithoutDirectory(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(11, 9)
 	n.run(20 * time.Second)
-	n.cut, n.noDirectory = true, true
+	n.partitioned, n.noDirectory = true, true
 	n.run(20 * time.Minute)
 	c.Assert(n.nodes[0].list.Hosts(), qt.HasLen, 3)
-	n.cut = false
+	n.partitioned = false
 	n.run(time.Minute)
-	c.Assert(converged(n), qt.IsNil)
+	c.Assert(checkConverged(n), qt.IsNil)
 }
--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -10,17 +10,17 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// network carries messages between lists in virtual time, losing, doubling, delaying and cutting them off as told.
+// network carries messages between lists in virtual time, with configurable loss, duplication, delay and partitions.
 type network struct {
-	rnd    *rand.Rand
-	now    time.Time
-	events eventHeap
-	seq    int
-	nodes  []*node
-	loss   float64
-	double float64
-	cut    bool
-	// noDirectory leaves joined hosts nobody to ask but those they know.
+	rnd         *rand.Rand
+	now         time.Time
+	events      eventHeap
+	seq         int
+	nodes       []*node
+	loss        float64
+	duplication float64
+	partitioned bool
+	// noDirectory makes the directory unavailable, so that hosts contact only those in their lists.
 	noDirectory bool
 	starts      int
 	moves       int
@@ -33,10 +33,10 @@
 type node struct {
 	list   *List
 	addr   netip.AddrPort
-	side   int
+	zone   int
 	up     bool
 	paused time.Time
-	// repaired is when the node compared tables last, which is bounded as over the network.
+	// repaired is when the node last compared tables; the rate is bounded as in the real network.
 	repaired time.Time
 	epochs   map[string]uint64
 }
@@ -72,7 +72,7 @@
 func newNetwork(seed uint64, hosts int) *network {
 	n := &network{rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0)}
 	for i := range hosts {
-		n.nodes = append(n.nodes, &node{addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1), side: i % 3})
+		n.nodes = append(n.nodes, &node{addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1), zone: i % 3})
 	}
 	for _, nd := range n.nodes {
 		n.start(nd)
@@ -80,7 +80,7 @@
 	return n
 }
 
-// move gives the node an address that was never used.
+// move gives the node a new, unused address.
 func (n *network) move(nd *node) {
 	n.moves++
 	nd.addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n.moves >> 8), byte(n.moves)}), 1)
@@ -89,7 +89,7 @@
 // start runs a new incarnation on the node, which joins through the directory.
 func (n *network) start(nd *node) {
 	n.starts++
-	self := Host{ID: fmt.Sprintf("host-%d", n.starts), Peer: nd.addr, Caller: nd.addr, Zone: fmt.Sprint("zone-", nd.side), Region: "r"}
+	self := Host{ID: fmt.Sprintf("host-%d", n.starts), Peer: nd.addr, Caller: nd.addr, Zone: fmt.Sprint("zone-", nd.zone), Region: "r"}
 	nd.list = New(Options{Self: self, Rand: rand.New(rand.NewPCG(n.rnd.Uint64(), 2))})
 	nd.up, nd.paused, nd.epochs = true, time.Time{}, map[string]uint64{}
 	mine := nd.list
@@ -99,12 +99,12 @@
 			n.probe(nd, target)
 		}
 	})
-	n.repeat(nd, mine, 5*time.Second, func() { n.seek(nd) })
+	n.repeat(nd, mine, 5*time.Second, func() { n.contact(nd) })
 }
 
-// seek greets those of the first two nodes, which stand for the platform's directory, that aren't known, and one lost
+// contact calls those of the first two nodes that aren't listed, which stand for the platform's directory, and one lost
 // host.
-func (n *network) seek(nd *node) {
+func (n *network) contact(nd *node) {
 	known := map[netip.AddrPort]bool{}
 	for _, h := range nd.list.Hosts() {
 		known[h.Peer] = true
@@ -124,7 +124,7 @@
 	heap.Push(&n.events, event{at: n.now.Add(d), seq: n.seq, run: f})
 }
 
-// later runs f once d has passed, or at the end of the pause that it falls into, unless the incarnation has ended.
+// later runs f after d, or after the pause that this falls into, unless the incarnation has ended.
 func (n *network) later(nd *node, d time.Duration, f func()) {
 	l := nd.list
 	var due func()
@@ -140,7 +140,7 @@
 	n.at(d, due)
 }
 
-// repeat runs f each d as long as this incarnation runs.
+// repeat runs f every d while this incarnation runs.
 func (n *network) repeat(nd *node, l *List, d time.Duration, f func()) {
 	var again func()
 	again = func() {
@@ -171,14 +171,14 @@
 	return nil
 }
 
-// deliver runs f at the receiver after a random delay, perhaps twice, unless it is lost; a paused receiver runs it at
-// its end.
+// deliver runs f at the receiver after a random delay, perhaps twice, unless it is lost; a paused receiver runs it when
+// it resumes.
 func (n *network) deliver(from, to *node, f func()) {
-	if to == nil || n.rnd.Float64() < n.loss || n.cut && from.side != to.side {
+	if to == nil || n.rnd.Float64() < n.loss || n.partitioned && from.zone != to.zone {
 		return
 	}
 	n.later(to, time.Duration(n.rnd.IntN(80))*time.Millisecond, f)
-	if n.rnd.Float64() < n.double {
+	if n.rnd.Float64() < n.duplication {
 		n.later(to, time.Duration(n.rnd.IntN(2000))*time.Millisecond, f)
 	}
 }
@@ -197,12 +197,12 @@
 		reply := to.list.Message(msg.From)
 		reply.Rows = append(reply.Rows, to.list.Accuse(msg)...)
 		n.rows += len(reply.Rows)
-		n.checked(to)
+		n.runCheck(to)
 		n.deliver(to, from, func() {
 			answered = true
 			from.list.Receive(n.now, reply)
 			n.repair(from, to)
-			n.checked(from)
+			n.runCheck(from)
 			ok(reply)
 		})
 	})
@@ -213,7 +213,7 @@
 	})
 }
 
-func (n *network) checked(nd *node) {
+func (n *network) runCheck(nd *node) {
 	if n.check != nil {
 		n.check(nd)
 	}
@@ -226,10 +226,10 @@
 			from.list.Replaced(n.now, target)
 		}
 	}
-	n.call(from, target.Peer, target.ID, ok, func() { n.ask(from, target, sent) })
+	n.call(from, target.Peer, target.ID, ok, func() { n.probeIndirectly(from, target, sent) })
 }
 
-func (n *network) ask(from *node, target Host, sent time.Time) {
+func (n *network) probeIndirectly(from *node, target Host, sent time.Time) {
 	reached := false
 	for _, h := range from.list.IndirectProbers(target, 3) {
 		prober := n.find(h.Peer)
@@ -248,7 +248,7 @@
 	})
 }
 
-// repair exchanges the rows below the first prefixes that differ, as the walk over the network does in more steps.
+// repair exchanges the rows below the top-level prefixes that differ, which the real network does in more steps.
 func (n *network) repair(a, b *node) {
 	every := 2*time.Second + time.Duration(len(a.list.Hosts()))*2*time.Millisecond
 	if a.list.Digest() == b.list.Digest() || n.now.Sub(a.repaired) < every || n.rnd.Float64() < n.loss {
--- a/entry/internal/rumor/store.go
+++ b/entry/internal/rumor/store.go
@@ -15,31 +15,32 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// Bounds of the store; docs/design/membership.md says what they cost.
+// Bounds of the store; docs/design/membership.md has their costs.
 const (
-	// MaxRumors bounds the rumors held at once, about 1 MB.
+	// MaxRumors is the maximum number of rumors held at once, about 1 MB.
 	MaxRumors = 4096
-	// MaxLife is the longest that a rumor lives, so that a host whose clock is wrong can't make one last.
-	MaxLife = time.Hour
-	maxName = 128
-	// perMessage is the most rumors that ride on one probe.
-	perMessage = 3
+	// MaxLifetime is the maximum lifetime of a rumor, so that a host whose clock is wrong can't make one permanent.
+	MaxLifetime = time.Hour
+	// maxNameBytes is the maximum length of a kind, a service or a key in bytes.
+	maxNameBytes = 128
+	// maxPerMessage is the maximum number of rumors in one probe.
+	maxPerMessage = 3
 )
 
-// ErrInvalid is returned for a rumor that can't be published.
+// ErrInvalid is returned for a rumor whose kind, service, key or body has an invalid size.
 var ErrInvalid = errors.New("rumor: invalid")
 
-// Store holds the rumors that are alive. It answers the load of facts that every host needs within seconds and that
-// nobody must keep for good: without the bound, or the expiry, a burst of them would fill the memory of all hosts.
+// Store holds facts that every host needs within seconds and none needs for long. Without the bound on their number and
+// the expiry, a burst of them would fill the memory of all hosts.
 type Store struct {
 	clock clock.Clock
-	// Hosts returns the number of hosts, which decides how often a rumor is passed on.
+	// hosts returns the number of hosts, which determines how often a rumor is sent.
 	hosts func() int
 
-	mu      sync.Mutex
-	all     map[id]*entry
-	byKind  map[Kind][]func(Rumor)
-	dropped uint64
+	mu          sync.Mutex
+	rumors      map[id]*entry
+	subscribers map[Kind][]func(Rumor)
+	dropped     uint64
 }
 
 type id struct {
@@ -50,27 +51,28 @@
 
 type entry struct {
 	Rumor
-	sends int
-	spent bool
-	place digest.Entry
+	// sends is the number of times that the rumor was sent; fullySent is set once it needs no more.
+	sends       int
+	fullySent   bool
+	digestEntry digest.Entry
 }
 
 // New returns an empty store; hosts returns the number of hosts in the fleet.
 func New(c clock.Clock, hosts func() int) *Store {
-	return &Store{clock: c, hosts: hosts, all: map[id]*entry{}, byKind: map[Kind][]func(Rumor){}}
+	return &Store{clock: c, hosts: hosts, rumors: map[id]*entry{}, subscribers: map[Kind][]func(Rumor){}}
 }
 
-// Subscribe calls f, on the goroutine that brings the news, for each rumor of kind that is alive now or comes later.
+// Subscribe calls f for each rumor of kind that is alive now or merged later, then on the goroutine that merges it.
 func (s *Store) Subscribe(kind Kind, f func(Rumor)) {
 	s.mu.Lock()
-	s.byKind[kind] = append(s.byKind[kind], f)
+	s.subscribers[kind] = append(s.subscribers[kind], f)
 	s.mu.Unlock()
 	for _, r := range s.List(kind) {
 		f(r)
 	}
 }
 
-// Publish takes over a rumor of this host's own and reports whether it was news.
+// Publish adds a rumor of this host and reports whether it changed the store.
 func (s *Store) Publish(r Rumor) (bool, error) {
 	if err := s.check(r); err != nil {
 		return false, err
@@ -80,17 +82,17 @@
 
 func (s *Store) check(r Rumor) error {
 	switch {
-	case r.Kind == "" || len(r.Kind) > maxName:
-		return fmt.Errorf("%w: kind %.20q", ErrInvalid, r.Kind)
-	case r.Key == "" || len(r.Key) > maxName || len(r.Service) > maxName:
-		return fmt.Errorf("%w: key of %d and service of %d bytes; want 1 to %d and at most %d", ErrInvalid, len(r.Key), len(r.Service), maxName, maxName)
-	case len(r.Body) > MaxBody:
-		return fmt.Errorf("%w: body of %d bytes; want at most %d", ErrInvalid, len(r.Body), MaxBody)
+	case r.Kind == "" || len(r.Kind) > maxNameBytes:
+		return fmt.Errorf("%w: kind %.20q is empty or too long", ErrInvalid, r.Kind)
+	case r.Key == "" || len(r.Key) > maxNameBytes || len(r.Service) > maxNameBytes:
+		return fmt.Errorf("%w: key of %d and service of %d bytes; want 1 to %d and at most %d", ErrInvalid, len(r.Key), len(r.Service), maxNameBytes, maxNameBytes)
+	case len(r.Body) > MaxBodyBytes:
+		return fmt.Errorf("%w: body of %d bytes; want at most %d", ErrInvalid, len(r.Body), MaxBodyBytes)
 	}
 	return nil
 }
 
-// Merge takes over the rumors that are news and returns them.
+// Merge stores the rumors that are valid, alive and newer than the stored ones, and returns them.
 func (s *Store) Merge(list []Rumor) []Rumor {
 	var fresh []Rumor
 	var calls []func()
@@ -100,16 +102,16 @@
 		if s.check(r) != nil || !r.Expires.After(now) {
 			continue
 		}
-		if latest := now.Add(MaxLife); r.Expires.After(latest) {
+		if latest := now.Add(MaxLifetime); r.Expires.After(latest) {
 			r.Expires = latest
 		}
-		// The monotonic reading means nothing to other hosts, and would make equal rumors differ.
+		// Other hosts can't use the monotonic reading, and it would make equal rumors differ.
 		r.Expires = r.Expires.Round(0).UTC()
 		if !s.put(r) {
 			continue
 		}
 		fresh = append(fresh, r)
-		for _, f := range s.byKind[r.Kind] {
+		for _, f := range s.subscribers[r.Kind] {
 			calls = append(calls, func() { f(r) })
 		}
 	}
@@ -120,47 +122,48 @@
 	return fresh
 }
 
+// put stores r if it is newer than the stored rumor of its key and there is room, and reports whether it did.
 func (s *Store) put(r Rumor) bool {
 	at := id{r.Kind, r.Service, r.Key}
-	old := s.all[at]
+	old := s.rumors[at]
 	if old != nil && compare(r, old.Rumor) <= 0 {
 		return false
 	}
-	if old == nil && len(s.all) >= MaxRumors && !s.makeRoom(r) {
+	if old == nil && len(s.rumors) >= MaxRumors && !s.makeRoom(r) {
 		s.dropped++
 		return false
 	}
-	s.all[at] = &entry{Rumor: r, place: place(r)}
+	s.rumors[at] = &entry{Rumor: r, digestEntry: digestEntryOf(r)}
 	return true
 }
 
-// compare orders rumors of one key; beyond Number it only has to be the same order on all hosts.
+// compare orders rumors of one key by Number; ties only need the same order on all hosts.
 func compare(a, b Rumor) int {
 	return cmp.Or(cmp.Compare(a.Number, b.Number), a.Expires.Compare(b.Expires), bytes.Compare(a.Body, b.Body))
 }
 
-// makeRoom drops what is expired, or else the rumor that expires first if r outlives it: all hosts then keep the same
-// ones.
+// makeRoom removes the expired rumors, or else the one that expires first if r expires later, and reports whether there
+// is room for r. All hosts thus keep the same rumors.
 func (s *Store) makeRoom(r Rumor) bool {
 	now := s.clock.Now()
-	var first id
-	var least *entry
-	for at, e := range s.all {
+	var earliestID id
+	var earliest *entry
+	for at, e := range s.rumors {
 		if !e.Expires.After(now) {
-			delete(s.all, at)
+			delete(s.rumors, at)
 			continue
 		}
-		if least == nil || e.Expires.Before(least.Expires) {
-			first, least = at, e
+		if earliest == nil || e.Expires.Before(earliest.Expires) {
+			earliestID, earliest = at, e
 		}
 	}
-	if len(s.all) < MaxRumors {
+	if len(s.rumors) < MaxRumors {
 		return true
 	}
-	if !r.Expires.After(least.Expires) {
+	if !r.Expires.After(earliest.Expires) {
 		return false
 	}
-	delete(s.all, first)
+	delete(s.rumors, earliestID)
 	return true
 }
 
@@ -168,19 +171,19 @@
 func (s *Store) Get(kind Kind, service, key string) (Rumor, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.all[id{kind, service, key}]
+	e := s.rumors[id{kind, service, key}]
 	if e == nil || !s.alive(e.Rumor) {
 		return Rumor{}, false
 	}
 	return e.Rumor, true
 }
 
-// List returns the rumors of a kind that are alive, in no order.
+// List returns the rumors of a kind that are alive, in no particular order.
 func (s *Store) List(kind Kind) []Rumor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Rumor
-	for _, e := range s.all {
+	for _, e := range s.rumors {
 		if e.Kind == kind && s.alive(e.Rumor) {
 			list = append(list, e.Rumor)
 		}
@@ -190,12 +193,12 @@
 
 func (s *Store) alive(r Rumor) bool { return r.Expires.After(s.clock.Now()) }
 
-// Len returns how many rumors are alive.
+// Len returns the number of rumors that are alive.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, e := range s.all {
+	for _, e := range s.rumors {
 		if s.alive(e.Rumor) {
 			n++
 		}
@@ -203,28 +206,28 @@
 	return n
 }
 
-// Take returns the rumors that ride on the next message: those passed on least often.
+// Take returns the rumors for the next message: those sent least often.
 func (s *Store) Take() []Rumor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*entry
-	for at, e := range s.all {
+	for at, e := range s.rumors {
 		switch {
 		case !s.alive(e.Rumor):
-			delete(s.all, at)
-		case !e.spent:
+			delete(s.rumors, at)
+		case !e.fullySent:
 			list = append(list, e)
 		}
 	}
 	slices.SortFunc(list, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.place.Key, b.place.Key))
+		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.digestEntry.Key, b.digestEntry.Key))
 	})
 	var out []Rumor
 	limit := 2 * (bits.Len(uint(s.hosts())) + 1)
-	for _, e := range list[:min(perMessage, len(list))] {
+	for _, e := range list[:min(maxPerMessage, len(list))] {
 		out = append(out, e.Rumor)
 		e.sends++
-		e.spent = e.sends >= limit
+		e.fullySent = e.sends >= limit
 	}
 	return out
 }
@@ -233,44 +236,45 @@
 func (s *Store) Entries() []digest.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]digest.Entry, 0, len(s.all))
-	for _, e := range s.all {
+	list := make([]digest.Entry, 0, len(s.rumors))
+	for _, e := range s.rumors {
 		if s.alive(e.Rumor) {
-			list = append(list, e.place)
+			list = append(list, e.digestEntry)
 		}
 	}
 	return list
 }
 
-// Rows returns up to most rumors below p.
-func (s *Store) Rows(p digest.Prefix, most int) []Rumor {
+// Rows returns up to limit rumors below p.
+func (s *Store) Rows(p digest.Prefix, limit int) []Rumor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Rumor
-	for _, e := range s.all {
-		if len(list) == most {
+	for _, e := range s.rumors {
+		if len(list) == limit {
 			break
 		}
-		if p.Holds(e.place.Key) && s.alive(e.Rumor) {
+		if p.Holds(e.digestEntry.Key) && s.alive(e.Rumor) {
 			list = append(list, e.Rumor)
 		}
 	}
 	return list
 }
 
-// Dropped returns how many rumors were dropped because the store was full.
+// Dropped returns the number of rumors that were rejected because the store was full.
 func (s *Store) Dropped() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
-func place(r Rumor) digest.Entry {
-	key := sum(string(r.Kind), r.Service, r.Key)
-	return digest.Entry{Key: key, Sum: sum(string(r.Kind), r.Service, r.Key, fmt.Sprint(r.Number, r.Expires.UnixNano()), string(r.Body))}
+// digestEntryOf returns the digest entry of r.
+func digestEntryOf(r Rumor) digest.Entry {
+	key := hash(string(r.Kind), r.Service, r.Key)
+	return digest.Entry{Key: key, Sum: hash(string(r.Kind), r.Service, r.Key, fmt.Sprint(r.Number, r.Expires.UnixNano()), string(r.Body))}
 }
 
-func sum(parts ...string) uint64 {
+func hash(parts ...string) uint64 {
 	f := fnv.New64a()
 	for _, p := range parts {
 		// Writing to a hash returns no error.
