--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -138,11 +138,11 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Free reports whether a connection is idle or can be opened without exceeding maxConns.
-func (p *Pool) Free(maxConns int) bool {
+// Free reports whether a connection is idle or can be opened without exceeding connLimit.
+func (p *Pool) Free(connLimit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.idle) > 0 || p.openCount < maxConns
+	return len(p.idle) > 0 || p.openCount < connLimit
 }
 
 // Dialed returns the total number of attempts to open a connection.
@@ -251,11 +251,11 @@
 	return p.dial(ctx, dialTimeout)
 }
 
-// reserve counts one more connection as open. It reports false if maxConns are already open.
-func (p *Pool) reserve(maxConns int) bool {
+// reserve counts one more connection as open. It reports false if connLimit are already open.
+func (p *Pool) reserve(connLimit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.openCount >= maxConns {
+	if p.openCount >= connLimit {
 		return false
 	}
 	p.openCount++
--- a/entry/internal/subquery/job.go
+++ b/entry/internal/subquery/job.go
@@ -12,10 +12,10 @@
 
 // job is one subquery in progress.
 type job struct {
-	ctx     context.Context
-	cancel  context.CancelFunc
-	topK    int
-	results chan attemptResult
+	ctx        context.Context
+	cancel     context.CancelFunc
+	maxRecords int
+	results    chan attemptResult
 
 	// mu serializes the calls for the job.
 	mu sync.Mutex
@@ -72,7 +72,7 @@
 		reply.Parts = append(reply.Parts, part)
 	}
 	j.unreported = nil
-	reply.Records = records.Top(bodies, j.topK)
+	reply.Records = records.Top(bodies, j.maxRecords)
 	for shard, replica := range j.inFlight {
 		reply.Pending = append(reply.Pending, Pending{Shard: shard, Replica: replica})
 	}
--- a/entry/internal/subquery/server.go
+++ b/entry/internal/subquery/server.go
@@ -109,7 +109,7 @@
 // subqueries are in progress.
 func (s *Server) start(args *Args) *job {
 	ctx, cancel := context.WithCancel(context.Background())
-	j := &job{ctx: ctx, cancel: cancel, topK: args.Top, results: make(chan attemptResult, len(args.Shards)), inFlight: map[int]string{}}
+	j := &job{ctx: ctx, cancel: cancel, maxRecords: args.Top, results: make(chan attemptResult, len(args.Shards)), inFlight: map[int]string{}}
 	s.mu.Lock()
 	if s.jobs[args.Job] != nil || len(s.jobs) >= maxJobs {
 		s.mu.Unlock()
