--- a/entry/internal/peers/bench_test.go
+++ b/entry/internal/peers/bench_test.go
@@ -11,8 +11,8 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// BenchmarkPacketBytes reports the size of a probe on an open connection: with nothing to tell, with a membership
-// change, and with as much as one can hold. The first packet of a connection also describes its types.
+// BenchmarkPacketBytes reports the size of a probe on an open connection: without changes, with one membership change,
+// and with as many as fit. The first packet of a connection is larger, since gob sends its types with it.
 func BenchmarkPacketBytes(b *testing.B) {
 	host := member.Host{ID: "ABCDEFGHIJKLMNOPQRST000001", Caller: addrOf(1), Peer: addrOf(2), Zone: "webberton-room", Region: "perth", Epoch: 3, State: member.StateAlive}
 	quiet := Packet{Member: member.Message{From: host.ID, Epoch: 1, To: host.ID}, Sums: Sums{Members: 1 << 63, Generations: 1 << 62, Rumors: 1 << 61}}
--- a/entry/internal/peers/conn.go
+++ b/entry/internal/peers/conn.go
@@ -2,16 +2,17 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"sync/atomic"
 	"time"
 )
 
-// idleLimit ends a connection on which nothing came for so long; a neighbour sends every few seconds, so only a
-// forgotten or silent one is hit.
+// idleTimeout is the time without received bytes after which a connection is closed. A neighbour sends every few
+// seconds, so only abandoned or silently broken connections are closed.
 const idleLimit = 2 * time.Minute
 
-// traffic counts the bytes of all connections to other hosts, without TCP and IP headers.
+// traffic counts the bytes, without TCP and IP headers, and the operations of all connections with other hosts.
 type traffic struct {
 	in, out     atomic.Int64
 	reads       atomic.Int64
@@ -19,33 +20,33 @@
 	connections atomic.Int64
 }
 
-// The most bytes read from a connection between two writes to it. Each request is answered, and each reply was asked
-// for, so this bounds one message: gob alone would take in a gigabyte that a broken host claims to send, and the
-// process would end for want of memory. The largest request is a page of rows, the largest reply the replica list.
+// Limits of the bytes read from a connection between two writes to it. Each request has one reply, so this bounds one
+// message: gob itself accepts messages of up to 1 GB, by which a broken host could exhaust the process's memory. The
+// largest request is a page of rows, the largest reply the replica list.
 const (
 	maxRequest = 1 << 20
 	maxReply   = 16 << 20
 )
 
-var errTooLarge = errors.New("message from another host is too large")
+var errTooLarge = errors.New("message from another host exceeds the size limit")
 
-// counted is a connection that counts its bytes and ends when it is idle too long or a message is too large.
+// countedConn counts the bytes of a connection and fails reads when it is idle for too long or a message is too large.
 type counted struct {
 	net.Conn
 	t    *traffic
 	most int64
 	// pending counts the bytes read since the last write.
 	pending atomic.Int64
-	// used is when bytes last came or went, in nanoseconds of the monotonic clock since began; ended says that no more
-	// can be read.
+	// lastUsed is the time of the last read or write, in nanoseconds of the monotonic clock since clockStart; ended is
+	// set once a read has failed.
 	used  atomic.Int64
 	ended atomic.Bool
 }
 
-// began is a fixed moment from which the use of connections is told.
+// clockStart is the zero point of lastUsed.
 var began = time.Now()
 
-// newCounted returns a connection that has just been opened.
+// newCounted wraps a newly opened connection; most bounds the bytes of one message.
 func newCounted(c net.Conn, t *traffic, most int64) *counted {
 	n := &counted{Conn: c, t: t, most: most}
 	n.touch()
@@ -54,7 +55,7 @@
 
 func (c *counted) touch() { c.used.Store(int64(time.Since(began))) }
 
-// Read counts what arrives and moves the idle limit on.
+// Read counts the bytes received and extends the idle timeout.
 func (c *counted) Read(b []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(idleLimit)); err != nil {
 		c.ended.Store(true)
@@ -68,12 +69,12 @@
 	c.t.in.Add(int64(n))
 	c.t.reads.Add(1)
 	if c.pending.Add(int64(n)) > c.most {
-		return 0, errTooLarge
+		return 0, fmt.Errorf("%w of %d bytes", errTooLarge, c.most)
 	}
 	return n, err
 }
 
-// Write counts what is sent; a peer that reads nothing must not hold the writer for ever.
+// Write counts the bytes sent; its deadline keeps a peer that reads nothing from blocking the writer.
 func (c *counted) Write(b []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(callTimeout)); err != nil {
 		return 0, err
--- a/entry/internal/peers/doc.go
+++ b/entry/internal/peers/doc.go
@@ -1,2 +1,2 @@
-// Package peers speaks net/rpc with the other hosts.
+// Package peers exchanges probes, gossip and table repairs with the other hosts over net/rpc.
 package peers
--- a/entry/internal/peers/fleet_test.go
+++ b/entry/internal/peers/fleet_test.go
@@ -21,20 +21,20 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// fleet is a few hosts joined by pipes, so that a test runs in virtual time.
+// fleet is a set of hosts connected by pipes, so that a test runs in virtual time.
 type fleet struct {
 	t     *testing.T
 	mu    sync.Mutex
 	hosts map[netip.AddrPort]*testHost
-	// silent connections swallow what is written, as a middlebox that has lost track of them.
+	// silent connections drop written bytes without an error, as behind a middlebox that has lost their state.
 	silent map[net.Conn]bool
 	open   []*pipeEnd
-	// newsLost keeps hosts from telling their neighbours what is in force.
+	// dropNews keeps hosts from announcing generations to their neighbours.
 	newsLost bool
-	// dark holds the hosts that have lost power: nothing answers at their addresses.
+	// poweredOff holds the hosts that have lost power: nothing answers at their addresses.
 	dark  map[netip.AddrPort]bool
 	dials int
-	// watched returns the hosts that a host looks after besides its neighbours.
+	// watched returns the hosts that a host probes besides its neighbours.
 	watched func(h *testHost) []member.Host
 }
 
@@ -50,15 +50,15 @@
 	done   chan struct{}
 }
 
-// pipeEnd is one end of a connection that can go silent.
+// pipeEnd is one end of a connection that can become silent.
 type pipeEnd struct {
 	net.Conn
 	f *fleet
-	// to is the host that was dialled.
+	// to is the address that was dialled.
 	to netip.AddrPort
 }
 
-// Write pretends to have written once the connection is silent.
+// Write drops b and reports success once the connection is silent.
 func (e *pipeEnd) Write(b []byte) (int, error) {
 	e.f.mu.Lock()
 	quiet := e.f.silent[e]
@@ -69,7 +69,7 @@
 	return e.Conn.Write(b)
 }
 
-// listener accepts the pipes that others dial.
+// listener accepts the pipes that other hosts open.
 type listener struct {
 	h    *testHost
 	once sync.Once
@@ -117,14 +117,14 @@
 	return near, nil
 }
 
-// dialled returns how many connections were opened.
+// dialled returns the number of connections opened so far.
 func (f *fleet) dialled() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dials
 }
 
-// silence makes every open connection silent; new ones work.
+// silence makes every open connection silent; new connections work.
 func (f *fleet) silence() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,14 +133,14 @@
 	}
 }
 
-// watch lets hosts look after others.
+// watch sets the hosts that each host watches.
 func (f *fleet) watch(watched func(h *testHost) []member.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.watched = watched
 }
 
-// lose takes the power from a host.
+// powerOff stops a host without closing its connections; dials to it hang.
 func (f *fleet) lose(h *testHost) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +157,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7000)
 }
 
-// start runs host i, which knows only host 1.
+// start runs host i, whose only contact is host 1.
 func (f *fleet) start(i int) *testHost {
 	h := &testHost{addr: addrOf(i), accept: make(chan net.Conn, 64), done: make(chan struct{})}
 	self := member.Host{ID: fmt.Sprint("host-", i), Peer: h.addr, Caller: h.addr, Zone: fmt.Sprint("zone-", i%3), Region: "r"}
@@ -200,7 +200,7 @@
 	return h
 }
 
-// play runs a test over a fleet of n hosts that know each other, in virtual time.
+// runFleet runs a test over a fleet of n hosts that have joined, in virtual time.
 func play(t *testing.T, n int, f func(f *fleet, hosts []*testHost)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := &fleet{t: t, hosts: map[netip.AddrPort]*testHost{}, silent: map[net.Conn]bool{}, dark: map[netip.AddrPort]bool{}}
--- a/entry/internal/peers/join.go
+++ b/entry/internal/peers/join.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// seekEvery is how often a host that has joined looks for hosts that it lost or never met.
+	// discoveryInterval is the time between two rounds of discovery after the host has joined.
 	seekEvery = 5 * time.Second
-	// joinTries is the most unknown addresses tried at a time.
+	// maxContacts bounds the unknown addresses contacted in one round.
 	joinTries = 3
 )
 
-// seek joins the fleet, and later seeks hosts that were cut off: one contact that isn't known, and one that is lost,
-// each seekEvery.
+// discover joins the fleet. After that, each discoveryInterval, it contacts unknown addresses until one answers, and
+// one host that died without a stop and may have been partitioned.
 func (p *Peers) seek(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.contact(ctx)
@@ -28,7 +28,8 @@
 	}
 }
 
-// seekPause is short as long as the host is alone, since it serves nothing useful before it has joined.
+// discoveryDelay returns the time until the next round; it is short before the host has joined, since it can't serve
+// anything useful until then.
 func (p *Peers) seekPause() time.Duration {
 	if len(p.opts.List.Hosts()) == 1 {
 		return tickEvery
@@ -58,7 +59,8 @@
 	}
 }
 
-// greet exchanges packets and tables with a host whose ID isn't known, or that was thought dead.
+// syncWith exchanges packets with a host whose ID is unknown (empty) or that is listed as dead, and then repairs its
+// tables. A host that is alone copies all tables.
 func (p *Peers) greet(ctx context.Context, addr netip.AddrPort, id string) bool {
 	alone := len(p.opts.List.Hosts()) == 1
 	args := p.packet(id)
--- a/entry/internal/peers/messages.go
+++ b/entry/internal/peers/messages.go
@@ -11,55 +11,55 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// Packet is what hosts send each other with every probe and every reply to one.
+// Packet is the content of every probe and of every reply to one.
 type Packet struct {
 	Member member.Message
 	Rumors []rumor.Rumor
-	// Sums lets the receiver see that its tables differ from the sender's.
+	// Sums lets the receiver detect that its tables differ from the sender's.
 	Sums Sums
 }
 
-// Sums holds the digest of each table that all hosts share.
+// Sums holds the digest of each table shared by all hosts.
 type Sums struct{ Members, Generations, Rumors, Replicas uint64 }
 
-// News is what a host tells its neighbours at once instead of with the next probes.
+// News holds changes that a host sends to its neighbours at once instead of with the next probes.
 type News struct {
-	// From is the sender's address, where the documents of Marks can be had.
+	// From is the sender's address, from which the documents of Marks can be fetched.
 	From   netip.AddrPort
 	Marks  []accepted.Mark
 	Rumors []rumor.Rumor
-	// Hosts holds the rows of hosts that are stopping, that callers are sent to and nobody reaches, or that show that
-	// they are alive.
+	// Hosts holds the rows of hosts that are stopping, of serving hosts that became unreachable, and of hosts that
+	// refute a suspicion.
 	Hosts []member.Host
-	// Replicas holds rows of the platform's replica list that changed.
+	// Replicas holds changed rows of the platform's replica list.
 	Replicas []listing.Row
 }
 
 // AskArgs asks another host to probe Target.
 type AskArgs struct{ Target member.Host }
 
-// AskReply says whether Target answered.
+// AskReply reports whether Target answered.
 type AskReply struct{ Reached bool }
 
-// SumsArgs asks for the digests below a prefix of one table.
+// SumsArgs asks for the digests of the children of a prefix of one table.
 type SumsArgs struct {
 	Table  Table
 	Prefix digest.Prefix
 }
 
-// SumsReply holds the digests asked for.
+// SumsReply holds one digest for each child of the prefix.
 type SumsReply struct{ Sums []digest.Sum }
 
 // RowsArgs exchanges the rows below a prefix of one table.
 type RowsArgs struct {
 	Table  Table
 	Prefix digest.Prefix
-	// From is the sender's address, where the documents of its marks can be had.
+	// From is the sender's address, from which the documents of its marks can be fetched.
 	From netip.AddrPort
 	Rows Rows
 }
 
-// Rows holds rows of the table in question.
+// Rows holds rows of one table; the fields of the other tables are empty.
 type Rows struct {
 	Members []member.Host
 	Marks   []accepted.Mark
@@ -71,22 +71,22 @@
 // GenerationArgs asks for the accepted object of a service.
 type GenerationArgs struct{ Service string }
 
-// GenerationReply holds the accepted object as it was recorded.
+// GenerationReply holds the encoded accepted object as it was recorded.
 type GenerationReply struct{ Raw []byte }
 
-// NumberReply says which generation is in force.
+// NumberReply holds the number of the generation in force, zero for none.
 type NumberReply struct{ Number int64 }
 
-// ReplicasArgs asks for the replica list that was read last.
+// ReplicasArgs asks for the replica list that the host read last.
 type ReplicasArgs struct{}
 
-// ReplicasReply holds that list.
+// ReplicasReply holds the replica list that the host read last.
 type ReplicasReply struct{ List []platform.Replica }
 
-// Table names a table that all hosts share.
+// Table names a table shared by all hosts.
 type Table string
 
-// The tables that all hosts share.
+// The tables shared by all hosts.
 const (
 	TableMembers     Table = "members"
 	TableGenerations Table = "generations"
--- a/entry/internal/peers/methods.go
+++ b/entry/internal/peers/methods.go
@@ -7,10 +7,11 @@
 	"guavaspring.org/entry/internal/digest"
 )
 
-// Methods is what other hosts call; net/rpc needs it exported.
+// Methods holds the net/rpc methods of the service Peers; net/rpc requires an exported type.
 type Methods struct{ p *Peers }
 
-// Probe takes over a packet and answers with one, which proves that this host is alive.
+// Probe merges the sender's packet and replies with one of this host, which proves that it is alive. The reply includes
+// the sender's row if this host holds it for suspect or dead, so that the sender can refute.
 func (m *Methods) Probe(args *Packet, reply *Packet) error {
 	m.p.receive(args)
 	*reply = m.p.packet(args.Member.From)
@@ -18,14 +19,14 @@
 	return nil
 }
 
-// Ask probes a host on behalf of another that can't reach it.
+// Ask probes a host on behalf of another one that gets no reply from it.
 func (m *Methods) Ask(args *AskArgs, reply *AskReply) error {
 	_, err := m.p.reach(context.Background(), args.Target, probeTimeout)
 	reply.Reached = err == nil
 	return nil
 }
 
-// Sums answers with the digests below a prefix.
+// Sums returns the digests of the children of a prefix.
 func (m *Methods) Sums(args *SumsArgs, reply *SumsReply) error {
 	if !args.Prefix.Valid() {
 		return fmt.Errorf("prefix of depth %d: want 0 to %d", args.Prefix.Depth, digest.MaxDepth-1)
@@ -34,14 +35,14 @@
 	return nil
 }
 
-// Rows takes over the rows below a prefix and answers with this host's.
+// Rows returns this host's rows below a prefix and merges the sender's.
 func (m *Methods) Rows(args *RowsArgs, reply *Rows) error {
 	*reply = m.p.rows(args.Table, args.Prefix)
 	m.p.take(args.From, args.Rows)
 	return nil
 }
 
-// Tell takes over news.
+// Tell merges news and passes on what was new here.
 func (m *Methods) Tell(args *News, _ *struct{}) error {
 	m.p.hear(args.From, args.Marks, args.Rumors)
 	m.p.hearHosts(args.Hosts)
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// Generation answers with the accepted object of a service as it was recorded.
+// Generation returns the accepted object of a service as it was recorded.
 func (m *Methods) Generation(args *GenerationArgs, reply *GenerationReply) error {
 	gen, ok := m.p.opts.Store.Get(args.Service)
 	if !ok {
@@ -60,14 +61,14 @@
 	return err
 }
 
-// Number answers which generation of a service is in force here; zero means none.
+// Number returns the number of the generation of a service that is in force here; zero means none.
 func (m *Methods) Number(args *GenerationArgs, reply *NumberReply) error {
 	gen, _ := m.p.opts.Store.Get(args.Service)
 	reply.Number = gen.Number
 	return nil
 }
 
-// Replicas answers with the replica list that this host read last.
+// Replicas returns the replica list that this host read last.
 func (m *Methods) Replicas(_ *ReplicasArgs, reply *ReplicasReply) error {
 	reply.List = m.p.opts.Replicas()
 	return nil
--- a/entry/internal/peers/metrics.go
+++ b/entry/internal/peers/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Collectors returns the metrics of the traffic with other hosts and of what is shared with them.
+// Collectors returns the metrics of the traffic with other hosts and of the rumors and generations shared with them.
 func (p *Peers) Collectors() []prometheus.Collector {
 	t := &p.traffic
 	return []prometheus.Collector{
--- a/entry/internal/peers/news.go
+++ b/entry/internal/peers/news.go
@@ -12,18 +12,19 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// News that must be everywhere within seconds, such as a generation or a stop, is told to all neighbours at once and
-// passed on by each that hears it: with eight neighbours that takes about four hops at 5,600 hosts, where probes alone
-// would take ten seconds. The bucket bounds it: what exceeds the rate rides on probes and is found by the digests.
+// News that must reach all hosts within seconds, such as a generation or a stopping host, is sent to all neighbours at
+// once, and each receiver passes it on: with eight neighbours it takes about four hops at 5,600 hosts, whereas probes
+// alone would take ten seconds. A token bucket limits it; news above the rate travels with probes and is found by the
+// digests.
 const (
 	newsBurst  = 10.0
 	newsRefill = 0.5
 	newsQueue  = 256
-	// maxNews is the most marks and rumors in one telling; the rest follows in the next.
+	// maxNewsItems bounds the items of one message; the rest follows in the next.
 	maxNews = 32
 )
 
-// bucket limits tellings to a burst and a steady rate a second.
+// tokenBucket limits messages to a burst of newsBurst and newsPerSecond after it.
 type bucket struct {
 	tokens float64
 	last   time.Time
@@ -43,19 +44,19 @@
 	return true
 }
 
-// item is one piece of news: a mark, a rumor or the row of a host.
+// newsItem holds one of a mark, a rumor and the row of a host.
 type item struct {
 	mark  accepted.Mark
 	rumor rumor.Rumor
 	host  member.Host
 }
 
-// InForce tells the other hosts that gen is in force here.
+// InForce announces to the other hosts that gen is in force here.
 func (p *Peers) InForce(gen accepted.Generation) {
 	p.news.Push(item{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
 }
 
-// Publish takes over a rumor of this host's own and tells it to all hosts.
+// Publish stores a rumor of this host and sends it to all hosts.
 func (p *Peers) Publish(r rumor.Rumor) error {
 	fresh, err := p.opts.Rumors.Publish(r)
 	if fresh {
@@ -64,7 +65,7 @@
 	return err
 }
 
-// tellNews sends what is in the ring to every neighbour until ctx ends.
+// gossipNews sends the queued news to every neighbour until ctx ends.
 func (p *Peers) tellNews(ctx context.Context) {
 	var b bucket
 	for {
@@ -109,14 +110,14 @@
 	var wg sync.WaitGroup
 	for _, h := range p.opts.List.Neighbours() {
 		wg.Go(func() {
-			// A neighbour that can't be told now hears it from the others, or by its digests.
+			// A neighbour that misses this message receives the news from other hosts or by a repair.
 			_ = p.pool.call(ctx, h.Peer, probeTimeout, "Tell", news, &struct{}{})
 		})
 	}
 	wg.Wait()
 }
 
-// hear takes over news; documents that are missing here are fetched from whoever told.
+// receiveNews merges marks and rumors, passes on new rumors and fetches newer documents from the sender.
 func (p *Peers) hear(from netip.AddrPort, marks []accepted.Mark, rumors []rumor.Rumor) {
 	for _, r := range p.opts.Rumors.Merge(rumors) {
 		events.RumorHeard.Log(p.opts.Log, "kind", r.Kind, "service", r.Service, "key", r.Key, "number", r.Number)
@@ -132,18 +133,18 @@
 	}
 }
 
-// hearHosts takes over the rows of hosts and passes on what is news here; where this host is told to be out of reach,
-// that is its own row.
+// receiveHosts merges the rows of hosts and passes on those that are new here; where a row calls this host suspect or
+// dead, it passes on its own row, which refutes that.
 func (p *Peers) hearHosts(rows []member.Host) {
 	for _, h := range p.opts.List.Merge(p.opts.Clock.Now(), rows) {
 		p.news.Push(item{host: h})
 	}
 }
 
-// maxFetches bounds the documents fetched at once, since marks come from other processes.
+// maxFetches bounds the concurrent fetches of documents, since marks come from other processes.
 const maxFetches = 16
 
-// begin reports whether m should be fetched: eight neighbours tell the same news, and one fetch is enough.
+// beginFetch reports whether m should be fetched: eight neighbours send the same news, and one fetch is enough.
 func (p *Peers) begin(m accepted.Mark) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +164,7 @@
 func (p *Peers) fetch(from netip.AddrPort, service string) {
 	var reply GenerationReply
 	if err := p.pool.call(p.ctx, from, callTimeout, "Generation", &GenerationArgs{Service: service}, &reply); err != nil {
-		// The digests in the next probe show that the document is still missing.
+		// The sums in the next probe differ as long as the document is missing, which starts a repair.
 		return
 	}
 	gen, err := accepted.Decode(reply.Raw)
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -28,16 +28,16 @@
 	indirectProbes = 3
 )
 
-// Use says what a connection to another host is for.
+// Use is the purpose of a connection to another host.
 type Use string
 
 // The uses of connections.
 const (
-	// Probes is for probes, news and repairs.
+	// Probes is used for probes, news and repairs.
 	Probes Use = "probes"
-	// Waits is for Call, whose calls wait for long.
+	// Waits is used by Call, whose calls may be long polls.
 	Waits Use = "waits"
-	// Works is for Work.
+	// Works is used by Work.
 	Works Use = "works"
 )
 
@@ -45,26 +45,26 @@
 type Options struct {
 	Clock clock.Clock
 	Log   logr.Logger
-	// Listener accepts the other hosts at the address in the list's own row; Run closes it.
+	// Listener accepts connections of other hosts at the peer address in this host's own row; Run closes it.
 	Listener net.Listener
 	List     *member.List
 	Store    *accepted.Store
 	Rumors   *rumor.Store
-	// Listing holds the rows of the platform's replica list.
+	// Listing holds the rows of the platform's replica list, shared by all hosts.
 	Listing *listing.Table
-	// Replicas returns the platform's replica list as this host read it last.
+	// Replicas returns the platform's replica list that this host read last.
 	Replicas func() []platform.Replica
-	// Contacts returns addresses of hosts that may be alive, from settings and the platform's directory.
+	// Contacts returns addresses of hosts that may be alive, from the settings and the platform's directory.
 	Contacts func() []netip.AddrPort
 	Rand     *rand.Rand
-	// Watched returns the hosts that this one looks after besides its neighbours, whose loss all have to hear of at
-	// once; nil means none.
+	// Watched returns the hosts that this host probes besides its neighbours, and whose failure it announces to all
+	// hosts at once; nil means none.
 	Watched func() []member.Host
-	// Services are further net/rpc services for the other hosts, by name.
+	// Services holds additional net/rpc services for the other hosts, by name.
 	Services map[string]any
-	// Dial opens a connection to another host; New takes TCP where it is nil.
+	// Dial opens a connection to another host; nil means TCP.
 	Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	// Opened returns what is used in place of a new connection to another host; nil means the connection itself.
+	// Opened wraps a new connection to another host; nil leaves it unwrapped.
 	Opened func(c net.Conn, addr netip.AddrPort, use Use) net.Conn
 }
 
@@ -73,15 +73,15 @@
 	opts    Options
 	traffic traffic
 	pool    *pool
-	// waits holds the connections of Call, whose calls wait for long: a call that is late closes its connection, which
-	// must not break the probes.
+	// longPollPool holds the connections of Call. They are separate because a call that times out closes its
+	// connection, which must not fail probes.
 	waits *pool
-	// works holds the connections of Work, whose calls come many at a time and end when their callers do.
+	// concurrentPool holds the connections of Work, which carry many calls at once that end with their callers.
 	works   *pool
 	server  *server
 	news    *ring.Ring[item]
 	changed *ring.Ring[listing.Row]
-	// ctx ends when Run does; fetches of documents that others told of use it.
+	// fetchCtx ends with Run; fetches of announced documents use it.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	fetches sync.WaitGroup
@@ -93,7 +93,7 @@
 	asked    int
 }
 
-// New returns a Peers that does nothing until Run.
+// New returns a Peers that is idle until Run.
 func New(opts Options) (*Peers, error) {
 	p := &Peers{opts: opts, news: ring.New[item](newsQueue), changed: ring.New[listing.Row](rowsQueue), repaired: map[Table]time.Time{}, fetching: map[accepted.Mark]bool{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
@@ -116,7 +116,7 @@
 	return p, nil
 }
 
-// dialer returns how connections for a use are opened.
+// dialer returns the function that opens connections for a use.
 func dialer(opts Options, use Use) func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	dial := opts.Dial
 	if dial == nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// Run serves and probes until ctx ends.
+// Run serves other hosts, probes them and sends news until ctx ends.
 func (p *Peers) Run(ctx context.Context) {
 	defer p.pool.close()
 	defer p.waits.close()
@@ -154,26 +154,27 @@
 	p.fetches.Wait()
 }
 
-// Call runs a method of one of the other hosts' further services, written as service and method with a dot between.
+// Call calls a method of an additional service at addr, given as "Service.Method". A call that fails or times out
+// closes its connection.
 func (p *Peers) Call(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.waits.invoke(ctx, addr, timeout, method, args, reply)
 }
 
-// Work runs a method like Call does. Many may run at once on one connection, which the end of ctx leaves to the others;
-// one that is late closes it.
+// Work calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the connection
+// open for the other calls; a timeout closes it.
 func (p *Peers) Work(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.works.run(ctx, addr, callOptions{timeout: timeout, keep: true}, method, args, reply)
 }
 
-// Leave tells the neighbours at once that this host is stopping, and returns once they have answered; each passes it
-// on.
+// Leave announces to all neighbours that this host is stopping, and returns once each has answered or timed out; they
+// pass it on.
 func (p *Peers) Leave(ctx context.Context) {
 	p.opts.List.Leave()
 	self := p.opts.List.Self()
 	p.sendNews(ctx, &News{From: self.Peer, Hosts: []member.Host{self}})
 }
 
-// probeAll probes one neighbour each ProbeEvery; a probe that hangs doesn't delay the next.
+// probeNeighbours probes one neighbour each member.ProbeEvery; a probe that hangs does not delay the next.
 func (p *Peers) probeAll(ctx context.Context) {
 	var running sync.WaitGroup
 	p.every(ctx, member.ProbeEvery, func() {
@@ -184,8 +185,8 @@
 	running.Wait()
 }
 
-// check probes target, asks others to do so if that fails, and reports it unreachable if they fail too. It returns the
-// row of a host that became suspect by that.
+// detectFailure probes target, first directly and then through other hosts, and marks it unreachable if all probes
+// fail. It returns the row of target if that made it suspect.
 func (p *Peers) check(ctx context.Context, target member.Host, probe, ask time.Duration) (member.Host, bool) {
 	sent := p.opts.Clock.Now()
 	err := p.probe(ctx, target, probe)
@@ -198,11 +199,11 @@
 	return p.opts.List.Unreachable(p.opts.Clock.Now(), target, sent)
 }
 
-var errNobody = errors.New("no other host is known")
+var errNobody = errors.New("no neighbour in the member list")
 
-var errReplaced = errors.New("another incarnation answers at the address")
+var errReplaced = errors.New("another process answers at the address")
 
-// probe exchanges packets with target and repairs what differs.
+// probe exchanges packets with target and repairs the tables that differ.
 func (p *Peers) probe(ctx context.Context, target member.Host, timeout time.Duration) error {
 	sums, err := p.reach(ctx, target, timeout)
 	if err != nil {
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// reach exchanges packets with target and returns its digests.
+// exchangePackets probes target without a repair and returns the sums of its tables.
 func (p *Peers) reach(ctx context.Context, target member.Host, timeout time.Duration) (Sums, error) {
 	args := p.packet(target.ID)
 	var reply Packet
@@ -222,7 +223,7 @@
 	p.receive(&reply)
 	if reply.Member.From != target.ID {
 		p.opts.List.Replaced(p.opts.Clock.Now(), target)
-		return Sums{}, fmt.Errorf("peer %s: %w", target.Peer, errReplaced)
+		return Sums{}, fmt.Errorf("peer %s: %w: got ID %s, want %s", target.Peer, errReplaced, reply.Member.From, target.ID)
 	}
 	return reply.Sums, nil
 }
@@ -252,15 +253,15 @@
 	own := p.opts.List.Self().ID
 	for _, h := range p.opts.List.Receive(p.opts.Clock.Now(), pkt.Member) {
 		if h.ID == own {
-			// Callers are kept from this host until all have heard that it is alive; everything else travels with the
-			// probes.
+			// Clients are directed away from this host until all hosts have received its refutation, so it is sent as
+			// news; other rows travel with the probes.
 			p.news.Push(item{host: h})
 		}
 	}
 	p.hear(netip.AddrPort{}, nil, pkt.Rumors)
 }
 
-// compare repairs each table whose sum differs from the other host's.
+// repairTables repairs each table whose sum differs from that of the host at addr.
 func (p *Peers) compare(ctx context.Context, addr netip.AddrPort, sums Sums) {
 	own := p.totals()
 	for _, t := range []struct {
@@ -293,7 +294,7 @@
 	return true
 }
 
-// Number asks a host, which may be this one, which generation of a service it has in force.
+// Number returns the number of the generation of a service that is in force at h, which may be this host; 0 means none.
 func (p *Peers) Number(ctx context.Context, h member.Host, service string) (int64, error) {
 	var reply NumberReply
 	if h.ID == p.opts.List.Self().ID {
@@ -304,7 +305,7 @@
 	return reply.Number, err
 }
 
-// AskReplicas returns the replica list that a neighbour read last.
+// AskReplicas returns the replica list that a neighbour read last, from the first neighbour that sends one.
 func (p *Peers) AskReplicas(ctx context.Context) ([]platform.Replica, error) {
 	var reply ReplicasReply
 	err := errNobody
--- a/entry/internal/peers/peers_test.go
+++ b/entry/internal/peers/peers_test.go
@@ -22,9 +22,9 @@
 	return gen.Number
 }
 
-// Story: only a few hosts watch the platform. A team raises a limit before the Saturday rush; a host that doesn't hear
-// of it goes on refusing. Every host must have the generation in force within 4 s of the first one, among them one
-// that starts later, during an outage of the platform, and knows a single other host.
+// Guards against hosts that keep an old generation: only a few hosts watch the platform, and one that misses a raised
+// limit keeps rejecting requests. Every host must have the generation in force within 4 s of the first one, and so must
+// a host that starts later, during an outage of the platform, with a single contact.
 func TestGenerationReachesEveryHost(t *testing.T) {
 	play(t, 9, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -42,8 +42,8 @@
 	})
 }
 
-// Story: the same news is lost everywhere, since a switch restarts just then. Nobody tells it a second time; the sums
-// in the next probes must show the difference.
+// Guards against a generation that stays unknown because its news was lost at all hosts, as when a switch restarts.
+// News is not sent twice; the sums in the next probes must reveal the difference.
 func TestDigestsRepairLostNews(t *testing.T) {
 	play(t, 6, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -56,8 +56,8 @@
 	})
 }
 
-// Story: a request crashes an upstream at one host, and its caller sends it again to another. Unless every host hears
-// of it at once, each crashes one more upstream.
+// Guards against a quarantine that reaches other hosts too late: a request crashes an upstream, its client repeats it
+// at another host, and each host without the rumor crashes one more upstream.
 func TestRumorReachesEveryHostAndExpires(t *testing.T) {
 	play(t, 9, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -78,8 +78,8 @@
 	})
 }
 
-// Story: something between two hosts loses track of their open connections. Everything written on them vanishes, while
-// new connections work. The hosts are healthy, so nobody may be taken for dead, and probes go on over new connections.
+// Guards against healthy hosts that are declared dead because a middlebox has lost the state of their open connections:
+// bytes written to these vanish, while new connections work. Probes must continue over new connections.
 func TestSilentConnectionsAreReplacedAndNobodyIsBlamed(t *testing.T) {
 	play(t, 6, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -97,7 +97,7 @@
 	})
 }
 
-// Story: a host is told to stop. Callers must not be sent to it any more, though it still finishes their requests.
+// Guards against hosts that direct clients to a stopping host, which finishes its requests but must get no new ones.
 func TestLeavingIsKnownEverywhereWithinASecond(t *testing.T) {
 	play(t, 40, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -113,8 +113,8 @@
 	})
 }
 
-// Story: a scanner, or a host of another version, sends bytes that aren't net/rpc, and calls with arguments that make
-// no sense. The host must go on serving the others.
+// Guards against a host that stops serving the others after bytes that aren't net/rpc, or calls with invalid arguments,
+// as from a port scanner or a host of another version.
 func TestBytesThatMakeNoSenseEndOnlyTheirConnection(t *testing.T) {
 	play(t, 3, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -137,15 +137,15 @@
 	})
 }
 
-// Story: a broken host sends one message that never ends. Without a bound the host that reads it keeps all of it, until
-// the system ends the process together with the queries that it serves.
+// Guards against memory exhaustion by a broken host that sends one endless message: without a limit the reader buffers
+// all of it until the process is killed for memory, and its queries with it.
 func TestMessageThatNeverEndsIsCutOff(t *testing.T) {
 	play(t, 2, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		conn, err := f.dial(f.t.Context(), hosts[0].addr)
 		c.Assert(err, qt.IsNil)
 		c.Assert(conn.SetDeadline(time.Now().Add(time.Minute)), qt.IsNil)
-		// A gob message of 512 MB is announced by its length.
+		// The length prefix of a gob message of 512 MB.
 		_, err = conn.Write([]byte{0xfc, 0x20, 0x00, 0x00, 0x00})
 		c.Assert(err, qt.IsNil)
 		sent := 0
@@ -157,8 +157,8 @@
 	})
 }
 
-// Story: the address of a stopped host is given to something else, or a host is cut off: each dial hangs or is refused.
-// The number of connections that a host holds must stay bounded whatever it tries.
+// Guards against file descriptors that leak as a host contacts many others, some of them stopped or partitioned: the
+// number of its open connections must stay bounded.
 func TestConnectionsStayBounded(t *testing.T) {
 	play(t, 40, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -169,9 +169,9 @@
 	})
 }
 
-// Story: hundreds of hosts start and turn to the few that their settings name, by connections that they then hardly
-// use. Later a host that works with one of these every second must get a connection to it, and its earlier one must
-// have been kept; a host whose unused connection made room for it must not notice.
+// Guards against seeds that reject active hosts because starting hosts hold all connections: hundreds of hosts start
+// and connect to the few seeds of their settings, by connections that they then hardly use. A later host must get a
+// connection, a busy one must keep its own, and a call on an evicted idle one must succeed over a new connection.
 func TestNewcomersFindRoom(t *testing.T) {
 	play(t, 2, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
--- a/entry/internal/peers/pool.go
+++ b/entry/internal/peers/pool.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxClients bounds the open connections to other hosts: neighbours, hosts asked to probe and the sources of a
-	// repair.
+	// maxClients bounds the open connections of a pool to other hosts: neighbours, hosts asked for indirect probes and
+	// the sources of repairs.
 	maxClients  = 24
 	callTimeout = 2 * time.Second
 )
 
-// ErrUnreached means that no connection to a host could be had, so that nothing of a call was sent.
-var ErrUnreached = errors.New("peers: the host can't be reached")
+// ErrUnreached means that no connection to a host could be opened, so that nothing of the call was sent.
+var ErrUnreached = errors.New("peers: no connection to the host")
 
-// pool is a bounded cache of net/rpc clients; the one used longest ago gives way.
+// pool is a bounded cache of net/rpc clients by address; it evicts the least recently used one.
 type pool struct {
 	clock clock.Clock
 	t     *traffic
@@ -48,22 +48,21 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// call runs one method of Methods at addr.
+// call calls one method of Methods at addr.
 func (p *pool) call(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.invoke(ctx, addr, timeout, "Peers."+method, args, reply)
 }
 
-// invoke runs one method at addr. A call that fails or is late closes its connection: the connection may have gone
-// silent for good while a new one would work, and a late reply is then never taken for a later one.
+// invoke calls one method at addr. A call that fails or times out closes its connection: the connection may be silently
+// broken while a new one would work, and a late reply can't be taken for that of a later call.
 func (p *pool) invoke(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.run(ctx, addr, callOptions{timeout: timeout}, method, args, reply)
 }
 
-// callOptions says how one call is made.
+// callOptions configures one call.
 type callOptions struct {
 	timeout time.Duration
-	// keep says that the end of the caller's context, other than the timeout, leaves the connection to the calls beside
-	// it.
+	// keepConn leaves the connection open for its other calls when the caller's context ends before the timeout.
 	keep bool
 }
 
@@ -107,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.clients[addr]; c != nil {
-		// Another call dialled meanwhile.
+		// A concurrent call opened a connection meanwhile.
 		_ = fresh.rpc.Close()
 		return c.rpc, nil
 	}
@@ -116,9 +115,9 @@
 	return fresh.rpc, nil
 }
 
-// usable returns the client of a connection that is open. The other host closes those that were not used for the
-// longest time: a call on such a one would fail though nothing is wrong, and its own end, which net/rpc leaves open,
-// would stay a descriptor until memory is collected.
+// usable returns the client of an open connection to addr, or nil. It closes a connection that the other host has
+// closed as its least recently used: a call on it would fail although both hosts work, and net/rpc leaves this end open, which
+// would hold a file descriptor until garbage collection.
 func (p *pool) usable(addr netip.AddrPort) *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/internal/peers/pool_test.go
+++ b/entry/internal/peers/pool_test.go
@@ -14,7 +14,7 @@
 	"guavaspring.org/core/clock"
 )
 
-// closable tells whether it was closed.
+// closable records whether it was closed.
 type closable struct {
 	net.Conn
 	closed atomic.Bool
@@ -25,9 +25,8 @@
 	return c.Conn.Close()
 }
 
-// Story: a host closes a connection that was not used for long, to make room. The one that had opened it dials again
-// when it has something to say. Its own end of the old connection must be closed then: each is a descriptor, of which a
-// host has a few thousand.
+// Guards against a leak of file descriptors, of which a host has a few thousand: when the other host has closed an idle
+// connection, a new one is opened for the next call, and this end of the old one must be closed.
 func TestEndedConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var near []*closable
--- a/entry/internal/peers/repair.go
+++ b/entry/internal/peers/repair.go
@@ -9,23 +9,26 @@
 )
 
 const (
-	// repairEvery is the least time between two repairs of one table; repairEveryHost is added for each host, since
-	// news on its way makes sums differ for a few seconds and a larger fleet always has some.
+	// repairInterval is the minimum time between two repairs of one table. repairIntervalPerHost is added for each host
+	// to that of members and replicas, since news in flight makes sums differ for a few seconds and a large fleet
+	// always has some.
 	repairEvery     = 2 * time.Second
 	repairEveryHost = 2 * time.Millisecond
-	// maxRows bounds the rows of one reply, about 50 KB.
+	// maxRows bounds the rows of one message, about 50 KB.
 	maxRows = 512
 )
 
-// walk bounds one comparison of two tables: the rows of a prefix exchanged whole, and the prefixes exchanged.
+// walkLimits bounds one comparison of two tables: leafRows is the largest number of rows for which a prefix is
+// exchanged whole, leaves the number of prefixes exchanged.
 type walk struct{ leafRows, leaves int }
 
 var (
 	// repairWalk finds few differences in a table that is mostly equal.
 	repairWalk = walk{leafRows: 8, leaves: 16}
-	// joinWalk takes over a whole table, at 5,600 rows in about 32 calls.
+	// joinWalk fetches a whole table, 5,600 rows in about 32 calls.
 	joinWalk = walk{leafRows: 384, leaves: 256}
-	// replicasWalk carries up to 2,048 rows, since a list that comes back after a short one changes them all at once.
+	// replicasWalk exchanges up to 2,048 rows: many change at once when the platform returns a partial list and then
+	// the full one.
 	replicasWalk = walk{leafRows: 32, leaves: 64}
 )
 
@@ -38,9 +41,9 @@
 
 // repair compares a table with the host at addr, prefix by prefix, and exchanges the rows that differ.
 //
-// News sent with probes can be lost, or pass by a host that was cut off or paused; the sums in each probe then go on
-// differing, and this walk finds the rows in about one call a level. Its bound keeps two tables that differ
-// everywhere, as after a region was cut off, from taking all the traffic at once: the next repair goes on.
+// News can be lost, or miss a host that was partitioned or paused; the sums in the probes then keep differing, and
+// the walk over the prefix tree finds the rows in about one call a level. Its limits keep two tables that differ everywhere,
+// as after a region was partitioned, from saturating the link; the next repair continues.
 func (p *Peers) repair(ctx context.Context, addr netip.AddrPort, table Table, w walk) {
 	queue := []digest.Prefix{{}}
 	for leaves := 0; len(queue) > 0 && leaves < w.leaves; {
@@ -63,7 +66,8 @@
 	}
 }
 
-// split sorts the children of at that differ into those small enough to be exchanged and those to be divided further.
+// split returns the children of a prefix that differ: those small enough to be exchanged whole and those to be divided
+// further.
 func (w walk) split(at digest.Prefix, own, other []digest.Sum) (whole, divide []digest.Prefix) {
 	if len(other) != digest.Fan {
 		return nil, nil
@@ -139,6 +143,7 @@
 		p.news.Push(item{host: row})
 	}
 	p.hear(from, rows.Marks, rows.Rumors)
-	// What a repair brought is not told on: the others' sums show it to them, and a whole table would be thousands.
+	// Replica rows from a repair are not passed on as news: other hosts find them by their sums, and a whole table is
+	// thousands of rows.
 	p.opts.Listing.Merge(rows.Replicas)
 }
--- a/entry/internal/peers/replicas.go
+++ b/entry/internal/peers/replicas.go
@@ -8,29 +8,30 @@
 	"guavaspring.org/entry/internal/listing"
 )
 
-// Changed rows of the replica list are told like other news, but from a ring and at a rate of their own: a deployment
-// of a large service would otherwise use up the tellings that generations and stops need. At one telling in two seconds
-// 16 rows a second pass; what exceeds that is found by the sums.
+// Changed rows of the replica list are sent as news, but from a separate queue with its own rate limit: a deployment of
+// a large service would otherwise exhaust the rate that generations and stopping hosts need. One message in two seconds
+// carries 16 rows a second; rows above that are found by the sums.
 const (
 	rowsQueue = 256
 	tellRows  = 2 * time.Second
-	// maxTold is the most rows in one telling, about 4 KB.
+	// maxNewsRows bounds the rows of one message, about 4 KB.
 	maxTold = 32
 )
 
-// ReplicasRead tells the other hosts which rows a reading of the platform's list changed here.
+// ReplicasRead announces to the other hosts the rows that a read of the platform's replica list changed here.
 func (p *Peers) ReplicasRead(rows []listing.Row) {
 	for _, r := range rows[:min(len(rows), rowsQueue)] {
 		p.changed.Push(r)
 	}
 }
 
-// hearReplicas takes over rows of the replica list, and passes on what is news here.
+// receiveReplicas merges rows of the replica list and passes on those that are new here.
 func (p *Peers) hearReplicas(rows []listing.Row) {
 	p.ReplicasRead(p.opts.Listing.Merge(rows))
 }
 
-// tellReplicas sends the rows in the ring to every neighbour until ctx ends, the first at once and then at its rate.
+// gossipReplicas sends the queued rows to every neighbour until ctx ends, a burst at once and then one message each
+// replicaNewsInterval.
 func (p *Peers) tellReplicas(ctx context.Context) {
 	b := bucket{}
 	for {
--- a/entry/internal/peers/replicas_test.go
+++ b/entry/internal/peers/replicas_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// read is one reading of the platform's list at h.
+// readList makes h merge list as a read of the platform's replica list.
 func (h *testHost) read(list []platform.Replica) {
 	h.peers.ReplicasRead(h.rows.Read(time.Now(), h.rows.Changes(), list))
 }
@@ -32,9 +32,9 @@
 	}
 }
 
-// Story: one host of nine reads the platform's list. A replica is removed and comes back; hosts that hear of it late
-// or never call an address that is gone, or leave a replica idle. Each change must be everywhere within 3 s, and a
-// host that starts during an outage of the platform, and knows a single other one, must have every row.
+// Guards against changes of the replica list that reach other hosts late or never, so that they call a removed replica
+// or leave a returned one idle. One of nine hosts reads the list; each change must be at all hosts within 3 s, and a host
+// that starts during an outage of the platform, with a single contact, must have every row.
 func TestReplicaRowsReachEveryHost(t *testing.T) {
 	play(t, 9, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
@@ -59,8 +59,8 @@
 	})
 }
 
-// Story: the platform answers one reading with half of its list, and the next with the whole. Some 600 rows change at
-// once, more than tellings carry; the sums must bring all hosts to the last reading.
+// Guards against replica rows that stay wrong when more change at once than news carries: the platform returns half of
+// its list and then the whole, so some 600 rows change. Repairs by the sums must bring all hosts to the last read.
 func TestSumsCarryWhatTellingsCannot(t *testing.T) {
 	play(t, 6, func(_ *fleet, hosts []*testHost) {
 		c := qt.New(t)
--- a/entry/internal/peers/server.go
+++ b/entry/internal/peers/server.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// maxServed bounds the connections that other hosts hold here. A host has about eight probers, eight that hear from it
-// and as many that send it parts of queries; all that start turn to the hosts that the settings name.
+// maxServerConns bounds the connections of other hosts to this one. About eight hosts probe it, eight receive news from
+// it and eight send it subqueries; besides, all starting hosts connect to the seeds that the settings name.
 const maxServed = 256
 
-// acceptPause is how long to wait after a connection could not be accepted.
+// acceptRetryDelay is the delay after a failed accept. Without it a process that is out of file descriptors would spin.
 const acceptPause = 100 * time.Millisecond
 
 // server accepts connections of other hosts and serves them with net/rpc.
@@ -35,7 +35,7 @@
 	return s, nil
 }
 
-// serve accepts until ctx ends and then closes every connection.
+// serve accepts connections until ctx ends and then closes all of them.
 func (s *server) serve(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -45,7 +45,6 @@
 			break
 		}
 		if err != nil {
-			// Without the pause a process that is out of file descriptors would spin here.
 			s.pause(ctx)
 			continue
 		}
@@ -67,12 +66,12 @@
 	}
 }
 
-// admit takes a connection in, and closes the one that was not used for the longest time where there are too many, so
-// that a broken or hostile host can't exhaust this one's memory.
+// addConn registers a connection. At maxServerConns it closes the least recently used one, so that a broken or hostile
+// host can't exhaust memory.
 //
-// It guards against a large fleet that starts: each host turns to the three that the settings name, by two connections
-// that it then hardly uses. Where newcomers were refused, those three would be out of reach for hosts that have work for
-// them until the old connections end, and parts of queries fail with them.
+// New connections are not refused instead: when a large fleet starts, each host opens two connections to each of the
+// three seeds and then hardly uses them. Hosts with subqueries for the seeds could not connect until those idle
+// connections end, and their queries would miss parts.
 func (s *server) admit(c *counted) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +83,7 @@
 	s.conns[c] = true
 }
 
-// oldest returns the connection that was not used for the longest time.
+// leastRecentlyUsed returns the connection that has been idle for the longest time.
 func (s *server) oldest() *counted {
 	var oldest *counted
 	for c := range s.conns {
--- a/entry/internal/peers/watch.go
+++ b/entry/internal/peers/watch.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// watchEvery is the time between two probes of a watched host, watchTimeout how long it has to answer.
+	// watchInterval is the time between two probes of a watched host, watchProbeTimeout the timeout of each.
 	watchEvery   = 500 * time.Millisecond
 	watchTimeout = 300 * time.Millisecond
-	// watchAsk is how long others that are asked to probe it have: a round trip more than their own probe may take.
+	// watchIndirectTimeout is the timeout of indirect probes: that of the probe itself and 200 ms for a round trip to
+	// the host that sends it.
 	watchAsk = probeTimeout + 200*time.Millisecond
 )
 
-// watchAll probes each watched host every watchEvery until ctx ends, and tells all hosts at once of one that is out of
-// reach.
+// watchHosts probes each watched host every watchInterval until ctx ends, and announces an unreachable one to all hosts
+// at once.
 //
-// It answers a host or a zone that loses power. Callers are sent to few hosts, and each connection to one that is gone
-// costs its caller a second, which is more than most have. The probes of neighbours find it after some seconds, as
-// each takes its turn, and tell it with probes, so that hosts go on naming it to callers for longer than these have.
+// It covers the power loss of a host or an availability zone. Clients are directed to few hosts, and each connection
+// attempt to a lost one costs a client a second, which exceeds most deadlines. Probes of neighbours take turns, detect
+// the loss after some seconds and spread it with later probes; until then hosts would keep directing clients to it.
 func (p *Peers) watchAll(ctx context.Context) {
 	var running sync.WaitGroup
 	p.every(ctx, watchEvery, func() {
@@ -32,7 +33,7 @@
 	running.Wait()
 }
 
-// watch probes one watched host.
+// probeWatched probes one watched host and announces it if it became suspect.
 func (p *Peers) watch(ctx context.Context, target member.Host) {
 	if lost, ok := p.check(ctx, target, watchTimeout, watchAsk); ok {
 		p.news.Push(item{host: lost})
--- a/entry/internal/peers/watch_test.go
+++ b/entry/internal/peers/watch_test.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// nextFour lets each of some hosts look after the next four of them.
+// watchNextFour makes each of hosts watch the next four of them.
 func nextFour(hosts []*testHost) func(h *testHost) []member.Host {
 	return func(h *testHost) []member.Host {
 		at := slices.Index(hosts, h)
@@ -25,7 +25,7 @@
 	}
 }
 
-// knowing counts the hosts, of those that have power, that hold another one to be in a state.
+// countState returns the number of hosts with power whose member list has other in state.
 func knowing(f *fleet, hosts []*testHost, other *testHost, state member.State) int {
 	n := 0
 	for _, h := range hosts {
@@ -44,9 +44,9 @@
 	return n
 }
 
-// Story: a zone of three loses power, with two of the six hosts that callers are sent to. Any host may be asked where
-// to connect, and each connection to one of the two costs a caller a second. All that are left must know of both within
-// two seconds.
+// Guards against hosts that direct clients to serving hosts of a lost zone, where each connection attempt costs a
+// client a second. One of three zones loses power, with two of the six serving hosts; since clients may ask any host for
+// addresses, all that are left must suspect both within two seconds.
 func TestLostZoneIsKnownEverywhereWithinTwoSeconds(t *testing.T) {
 	play(t, 60, func(f *fleet, hosts []*testHost) {
 		f.watch(nextFour(hosts[:6]))
@@ -67,9 +67,8 @@
 	})
 }
 
-// Story: a host that callers are sent to is taken for lost though it lives, as its connections had fallen silent.
-// Callers are kept from it until it has shown that it is alive, which must be known everywhere within a second and a
-// half.
+// Guards against a serving host that stays suspect though it is alive, as after its connections became silent. Clients
+// are directed away from it until it has refuted, which must reach all hosts within a second and a half.
 func TestWronglySuspectedHostIsBackAtOnce(t *testing.T) {
 	play(t, 60, func(f *fleet, hosts []*testHost) {
 		f.watch(nextFour(hosts[:6]))
@@ -83,7 +82,7 @@
 	})
 }
 
-// Guards against a host that finds out by a comparison of tables that it is accused, and tells nobody that it lives.
+// Guards against a host that receives the suspicion of itself by a repair and does not announce its refutation.
 func TestAccusedHostThatLearnsByRepairIsBackAtOnce(t *testing.T) {
 	play(t, 60, func(f *fleet, hosts []*testHost) {
 		f.watch(nextFour(hosts[:6]))
