--- a/entry/internal/peers/conn.go
+++ b/entry/internal/peers/conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"sync/atomic"
 	"time"
@@ -10,14 +9,14 @@
 
 // idleTimeout is the time without received bytes after which a connection is closed. A neighbour sends every few
 // seconds, so only abandoned or silently broken connections are closed.
-const idleLimit = 2 * time.Minute
+const idleTimeout = 2 * time.Minute
 
 // traffic counts the bytes, without TCP and IP headers, and the operations of all connections with other hosts.
 type traffic struct {
-	in, out     atomic.Int64
-	reads       atomic.Int64
-	writes      atomic.Int64
-	connections atomic.Int64
+	received, sent atomic.Int64
+	reads          atomic.Int64
+	writes         atomic.Int64
+	dials          atomic.Int64
 }
 
 // Limits of the bytes read from a connection between two writes to it. Each request has one reply, so this bounds one
@@ -28,61 +27,61 @@
 	maxReply   = 16 << 20
 )
 
-var errTooLarge = errors.New("message from another host exceeds the size limit")
+var errTooLarge = errors.New("message from another host is too large")
 
 // countedConn counts the bytes of a connection and fails reads when it is idle for too long or a message is too large.
-type counted struct {
+type countedConn struct {
 	net.Conn
-	t    *traffic
-	most int64
-	// pending counts the bytes read since the last write.
-	pending atomic.Int64
-	// lastUsed is the time of the last read or write, in nanoseconds of the monotonic clock since clockStart; ended is
-	// set once a read has failed.
-	used  atomic.Int64
-	ended atomic.Bool
+	t     *traffic
+	limit int64
+	// readSinceWrite is the number of bytes read since the last write.
+	readSinceWrite atomic.Int64
+	// lastUsed is the time of the last read or write, in nanoseconds of the monotonic clock since clockStart;
+	// readFailed is set once a read has failed.
+	lastUsed   atomic.Int64
+	readFailed atomic.Bool
 }
 
 // clockStart is the zero point of lastUsed.
-var began = time.Now()
+var clockStart = time.Now()
 
-// newCounted wraps a newly opened connection; most bounds the bytes of one message.
-func newCounted(c net.Conn, t *traffic, most int64) *counted {
-	n := &counted{Conn: c, t: t, most: most}
+// newCountedConn wraps a newly opened connection; limit bounds the bytes of one message.
+func newCountedConn(c net.Conn, t *traffic, limit int64) *countedConn {
+	n := &countedConn{Conn: c, t: t, limit: limit}
 	n.touch()
 	return n
 }
 
-func (c *counted) touch() { c.used.Store(int64(time.Since(began))) }
+func (c *countedConn) touch() { c.lastUsed.Store(int64(time.Since(clockStart))) }
 
 // Read counts the bytes received and extends the idle timeout.
-func (c *counted) Read(b []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(idleLimit)); err != nil {
-		c.ended.Store(true)
+func (c *countedConn) Read(b []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
+		c.readFailed.Store(true)
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
 	c.touch()
 	if err != nil {
-		c.ended.Store(true)
+		c.readFailed.Store(true)
 	}
-	c.t.in.Add(int64(n))
+	c.t.received.Add(int64(n))
 	c.t.reads.Add(1)
-	if c.pending.Add(int64(n)) > c.most {
-		return 0, fmt.Errorf("%w of %d bytes", errTooLarge, c.most)
+	if c.readSinceWrite.Add(int64(n)) > c.limit {
+		return 0, errTooLarge
 	}
 	return n, err
 }
 
 // Write counts the bytes sent; its deadline keeps a peer that reads nothing from blocking the writer.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(callTimeout)); err != nil {
 		return 0, err
 	}
-	c.pending.Store(0)
+	c.readSinceWrite.Store(0)
 	n, err := c.Conn.Write(b)
 	c.touch()
-	c.t.out.Add(int64(n))
+	c.t.sent.Add(int64(n))
 	c.t.writes.Add(1)
 	return n, err
 }
--- a/entry/internal/peers/fleet_test.go
+++ b/entry/internal/peers/fleet_test.go
@@ -30,10 +30,10 @@
 	silent map[net.Conn]bool
 	open   []*pipeEnd
 	// dropNews keeps hosts from announcing generations to their neighbours.
-	newsLost bool
+	dropNews bool
 	// poweredOff holds the hosts that have lost power: nothing answers at their addresses.
-	dark  map[netip.AddrPort]bool
-	dials int
+	poweredOff map[netip.AddrPort]bool
+	dials      int
 	// watched returns the hosts that a host probes besides its neighbours.
 	watched func(h *testHost) []member.Host
 }
@@ -61,9 +61,9 @@
 // Write drops b and reports success once the connection is silent.
 func (e *pipeEnd) Write(b []byte) (int, error) {
 	e.f.mu.Lock()
-	quiet := e.f.silent[e]
+	silent := e.f.silent[e]
 	e.f.mu.Unlock()
-	if quiet {
+	if silent {
 		return len(b), nil
 	}
 	return e.Conn.Write(b)
@@ -97,9 +97,9 @@
 
 func (f *fleet) dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	f.mu.Lock()
-	dark := f.dark[addr]
+	off := f.poweredOff[addr]
 	f.mu.Unlock()
-	if dark {
+	if off {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -133,18 +133,18 @@
 	}
 }
 
-// watch sets the hosts that each host watches.
-func (f *fleet) watch(watched func(h *testHost) []member.Host) {
+// setWatched sets the hosts that each host watches.
+func (f *fleet) setWatched(watched func(h *testHost) []member.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.watched = watched
 }
 
 // powerOff stops a host without closing its connections; dials to it hang.
-func (f *fleet) lose(h *testHost) {
+func (f *fleet) powerOff(h *testHost) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dark[h.addr] = true
+	f.poweredOff[h.addr] = true
 	for _, e := range f.open {
 		if e.to == h.addr {
 			f.silent[e] = true
@@ -165,7 +165,7 @@
 	h.rumors = rumor.New(clock.System{}, func() int { return len(h.list.Hosts()) })
 	h.rows = listing.New(clock.System{})
 	h.store = accepted.New(func(gen accepted.Generation) {
-		if !f.newsLost {
+		if !f.dropNews {
 			h.peers.InForce(gen)
 		}
 	})
@@ -201,9 +201,9 @@
 }
 
 // runFleet runs a test over a fleet of n hosts that have joined, in virtual time.
-func play(t *testing.T, n int, f func(f *fleet, hosts []*testHost)) {
+func runFleet(t *testing.T, n int, f func(f *fleet, hosts []*testHost)) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := &fleet{t: t, hosts: map[netip.AddrPort]*testHost{}, silent: map[net.Conn]bool{}, dark: map[netip.AddrPort]bool{}}
+		fl := &fleet{t: t, hosts: map[netip.AddrPort]*testHost{}, silent: map[net.Conn]bool{}, poweredOff: map[netip.AddrPort]bool{}}
 		var hosts []*testHost
 		for i := range n {
 			hosts = append(hosts, fl.start(i+1))
--- a/entry/internal/peers/join.go
+++ b/entry/internal/peers/join.go
@@ -11,33 +11,33 @@
 
 const (
 	// discoveryInterval is the time between two rounds of discovery after the host has joined.
-	seekEvery = 5 * time.Second
+	discoveryInterval = 5 * time.Second
 	// maxContacts bounds the unknown addresses contacted in one round.
-	joinTries = 3
+	maxContacts = 3
 )
 
 // discover joins the fleet. After that, each discoveryInterval, it contacts unknown addresses until one answers, and
 // one host that died without a stop and may have been partitioned.
-func (p *Peers) seek(ctx context.Context) {
+func (p *Peers) discover(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.contact(ctx)
+		p.contactUnknown(ctx)
 		if lost, ok := p.opts.List.Lost(); ok {
-			p.greet(ctx, lost.Peer, lost.ID)
+			p.syncWith(ctx, lost.Peer, lost.ID)
 		}
-		clock.Sleep(ctx, p.opts.Clock, p.seekPause())
+		clock.Sleep(ctx, p.opts.Clock, p.discoveryDelay())
 	}
 }
 
 // discoveryDelay returns the time until the next round; it is short before the host has joined, since it can't serve
 // anything useful until then.
-func (p *Peers) seekPause() time.Duration {
+func (p *Peers) discoveryDelay() time.Duration {
 	if len(p.opts.List.Hosts()) == 1 {
-		return tickEvery
+		return tickInterval
 	}
-	return seekEvery
+	return discoveryInterval
 }
 
-func (p *Peers) contact(ctx context.Context) {
+func (p *Peers) contactUnknown(ctx context.Context) {
 	known := map[netip.AddrPort]bool{p.opts.List.Self().Peer: true}
 	for _, h := range p.opts.List.Hosts() {
 		known[h.Peer] = true
@@ -48,12 +48,12 @@
 			unknown = append(unknown, addr)
 		}
 	}
-	for range min(joinTries, len(unknown)) {
+	for range min(maxContacts, len(unknown)) {
 		p.mu.Lock()
-		p.asked++
-		addr := unknown[p.asked%len(unknown)]
+		p.nextContact++
+		addr := unknown[p.nextContact%len(unknown)]
 		p.mu.Unlock()
-		if p.greet(ctx, addr, "") {
+		if p.syncWith(ctx, addr, "") {
 			return
 		}
 	}
@@ -61,9 +61,9 @@
 
 // syncWith exchanges packets with a host whose ID is unknown (empty) or that is listed as dead, and then repairs its
 // tables. A host that is alone copies all tables.
-func (p *Peers) greet(ctx context.Context, addr netip.AddrPort, id string) bool {
+func (p *Peers) syncWith(ctx context.Context, addr netip.AddrPort, id string) bool {
 	alone := len(p.opts.List.Hosts()) == 1
-	args := p.packet(id)
+	args := p.newPacket(id)
 	args.Member.Rows = append(args.Member.Rows, p.opts.List.Self())
 	var reply Packet
 	if err := p.pool.call(ctx, addr, probeTimeout, "Probe", &args, &reply); err != nil {
@@ -80,6 +80,6 @@
 		p.repair(ctx, addr, TableReplicas, joinWalk)
 		return true
 	}
-	p.compare(ctx, addr, reply.Sums)
+	p.repairTables(ctx, addr, reply.Sums)
 	return true
 }
--- a/entry/internal/peers/methods.go
+++ b/entry/internal/peers/methods.go
@@ -14,14 +14,14 @@
 // the sender's row if this host holds it for suspect or dead, so that the sender can refute.
 func (m *Methods) Probe(args *Packet, reply *Packet) error {
 	m.p.receive(args)
-	*reply = m.p.packet(args.Member.From)
+	*reply = m.p.newPacket(args.Member.From)
 	reply.Member.Rows = append(reply.Member.Rows, m.p.opts.List.Accuse(args.Member)...)
 	return nil
 }
 
 // Ask probes a host on behalf of another one that gets no reply from it.
 func (m *Methods) Ask(args *AskArgs, reply *AskReply) error {
-	_, err := m.p.reach(context.Background(), args.Target, probeTimeout)
+	_, err := m.p.exchangePackets(context.Background(), args.Target, probeTimeout)
 	reply.Reached = err == nil
 	return nil
 }
@@ -38,15 +38,15 @@
 // Rows returns this host's rows below a prefix and merges the sender's.
 func (m *Methods) Rows(args *RowsArgs, reply *Rows) error {
 	*reply = m.p.rows(args.Table, args.Prefix)
-	m.p.take(args.From, args.Rows)
+	m.p.mergeRows(args.From, args.Rows)
 	return nil
 }
 
 // Tell merges news and passes on what was new here.
 func (m *Methods) Tell(args *News, _ *struct{}) error {
-	m.p.hear(args.From, args.Marks, args.Rumors)
-	m.p.hearHosts(args.Hosts)
-	m.p.hearReplicas(args.Replicas)
+	m.p.receiveNews(args.From, args.Marks, args.Rumors)
+	m.p.receiveHosts(args.Hosts)
+	m.p.receiveReplicas(args.Replicas)
 	return nil
 }
 
--- a/entry/internal/peers/news.go
+++ b/entry/internal/peers/news.go
@@ -17,24 +17,24 @@
 // alone would take ten seconds. A token bucket limits it; news above the rate travels with probes and is found by the
 // digests.
 const (
-	newsBurst  = 10.0
-	newsRefill = 0.5
-	newsQueue  = 256
+	newsBurst     = 10.0
+	newsPerSecond = 0.5
+	newsQueueSize = 256
 	// maxNewsItems bounds the items of one message; the rest follows in the next.
-	maxNews = 32
+	maxNewsItems = 32
 )
 
 // tokenBucket limits messages to a burst of newsBurst and newsPerSecond after it.
-type bucket struct {
+type tokenBucket struct {
 	tokens float64
 	last   time.Time
 }
 
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	if b.last.IsZero() {
 		b.tokens = newsBurst
 	} else {
-		b.tokens = min(newsBurst, b.tokens+newsRefill*now.Sub(b.last).Seconds())
+		b.tokens = min(newsBurst, b.tokens+newsPerSecond*now.Sub(b.last).Seconds())
 	}
 	b.last = now
 	if b.tokens < 1 {
@@ -45,7 +45,7 @@
 }
 
 // newsItem holds one of a mark, a rumor and the row of a host.
-type item struct {
+type newsItem struct {
 	mark  accepted.Mark
 	rumor rumor.Rumor
 	host  member.Host
@@ -53,29 +53,29 @@
 
 // InForce announces to the other hosts that gen is in force here.
 func (p *Peers) InForce(gen accepted.Generation) {
-	p.news.Push(item{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
+	p.newsQueue.Push(newsItem{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
 }
 
 // Publish stores a rumor of this host and sends it to all hosts.
 func (p *Peers) Publish(r rumor.Rumor) error {
 	fresh, err := p.opts.Rumors.Publish(r)
 	if fresh {
-		p.news.Push(item{rumor: r})
+		p.newsQueue.Push(newsItem{rumor: r})
 	}
 	return err
 }
 
 // gossipNews sends the queued news to every neighbour until ctx ends.
-func (p *Peers) tellNews(ctx context.Context) {
-	var b bucket
+func (p *Peers) gossipNews(ctx context.Context) {
+	var b tokenBucket
 	for {
 		select {
-		case <-p.news.Ready():
+		case <-p.newsQueue.Ready():
 		case <-ctx.Done():
 			return
 		}
 		for {
-			news, n := p.collect()
+			news, n := p.nextNews()
 			if n == 0 {
 				break
 			}
@@ -86,11 +86,11 @@
 	}
 }
 
-func (p *Peers) collect() (*News, int) {
+func (p *Peers) nextNews() (*News, int) {
 	news := &News{From: p.opts.List.Self().Peer}
 	n := 0
-	for ; n < maxNews; n++ {
-		it, ok := p.news.Pop()
+	for ; n < maxNewsItems; n++ {
+		it, ok := p.newsQueue.Pop()
 		if !ok {
 			break
 		}
@@ -118,16 +118,16 @@
 }
 
 // receiveNews merges marks and rumors, passes on new rumors and fetches newer documents from the sender.
-func (p *Peers) hear(from netip.AddrPort, marks []accepted.Mark, rumors []rumor.Rumor) {
+func (p *Peers) receiveNews(from netip.AddrPort, marks []accepted.Mark, rumors []rumor.Rumor) {
 	for _, r := range p.opts.Rumors.Merge(rumors) {
 		events.RumorHeard.Log(p.opts.Log, "kind", r.Kind, "service", r.Service, "key", r.Key, "number", r.Number)
-		p.news.Push(item{rumor: r})
+		p.newsQueue.Push(newsItem{rumor: r})
 	}
 	for _, m := range marks {
-		if p.opts.Store.Lacks(m) && p.begin(m) {
+		if p.opts.Store.Lacks(m) && p.beginFetch(m) {
 			p.fetches.Go(func() {
-				defer p.end(m)
-				p.fetch(from, m.Service)
+				defer p.endFetch(m)
+				p.fetchGeneration(from, m.Service)
 			})
 		}
 	}
@@ -135,9 +135,9 @@
 
 // receiveHosts merges the rows of hosts and passes on those that are new here; where a row calls this host suspect or
 // dead, it passes on its own row, which refutes that.
-func (p *Peers) hearHosts(rows []member.Host) {
+func (p *Peers) receiveHosts(rows []member.Host) {
 	for _, h := range p.opts.List.Merge(p.opts.Clock.Now(), rows) {
-		p.news.Push(item{host: h})
+		p.newsQueue.Push(newsItem{host: h})
 	}
 }
 
@@ -145,7 +145,7 @@
 const maxFetches = 16
 
 // beginFetch reports whether m should be fetched: eight neighbours send the same news, and one fetch is enough.
-func (p *Peers) begin(m accepted.Mark) bool {
+func (p *Peers) beginFetch(m accepted.Mark) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fetching[m] || len(p.fetching) >= maxFetches || p.stopped {
@@ -155,15 +155,15 @@
 	return true
 }
 
-func (p *Peers) end(m accepted.Mark) {
+func (p *Peers) endFetch(m accepted.Mark) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.fetching, m)
 }
 
-func (p *Peers) fetch(from netip.AddrPort, service string) {
+func (p *Peers) fetchGeneration(from netip.AddrPort, service string) {
 	var reply GenerationReply
-	if err := p.pool.call(p.ctx, from, callTimeout, "Generation", &GenerationArgs{Service: service}, &reply); err != nil {
+	if err := p.pool.call(p.fetchCtx, from, callTimeout, "Generation", &GenerationArgs{Service: service}, &reply); err != nil {
 		// The sums in the next probe differ as long as the document is missing, which starts a repair.
 		return
 	}
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	tickEvery      = 200 * time.Millisecond
-	probeTimeout   = 500 * time.Millisecond
-	askTimeout     = 1200 * time.Millisecond
-	indirectProbes = 3
+	tickInterval         = 200 * time.Millisecond
+	probeTimeout         = 500 * time.Millisecond
+	indirectProbeTimeout = 1200 * time.Millisecond
+	indirectProbes       = 3
 )
 
 // Use is the purpose of a connection to another host.
@@ -75,34 +75,34 @@
 	pool    *pool
 	// longPollPool holds the connections of Call. They are separate because a call that times out closes its
 	// connection, which must not fail probes.
-	waits *pool
+	longPollPool *pool
 	// concurrentPool holds the connections of Work, which carry many calls at once that end with their callers.
-	works   *pool
-	server  *server
-	news    *ring.Ring[item]
-	changed *ring.Ring[listing.Row]
+	concurrentPool *pool
+	server         *server
+	newsQueue      *ring.Ring[newsItem]
+	replicaQueue   *ring.Ring[listing.Row]
 	// fetchCtx ends with Run; fetches of announced documents use it.
-	ctx     context.Context
-	cancel  context.CancelFunc
-	fetches sync.WaitGroup
+	fetchCtx      context.Context
+	cancelFetches context.CancelFunc
+	fetches       sync.WaitGroup
 
-	mu       sync.Mutex
-	repaired map[Table]time.Time
-	fetching map[accepted.Mark]bool
-	stopped  bool
-	asked    int
+	mu          sync.Mutex
+	lastRepair  map[Table]time.Time
+	fetching    map[accepted.Mark]bool
+	stopped     bool
+	nextContact int
 }
 
 // New returns a Peers that is idle until Run.
 func New(opts Options) (*Peers, error) {
-	p := &Peers{opts: opts, news: ring.New[item](newsQueue), changed: ring.New[listing.Row](rowsQueue), repaired: map[Table]time.Time{}, fetching: map[accepted.Mark]bool{}}
-	p.ctx, p.cancel = context.WithCancel(context.Background())
+	p := &Peers{opts: opts, newsQueue: ring.New[newsItem](newsQueueSize), replicaQueue: ring.New[listing.Row](replicaQueueSize), lastRepair: map[Table]time.Time{}, fetching: map[accepted.Mark]bool{}}
+	p.fetchCtx, p.cancelFetches = context.WithCancel(context.Background())
 	if opts.Opened == nil {
 		opts.Opened = func(c net.Conn, _ netip.AddrPort, _ Use) net.Conn { return c }
 	}
 	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, Probes))
-	p.waits = newPool(opts.Clock, &p.traffic, dialer(opts, Waits))
-	p.works = newPool(opts.Clock, &p.traffic, dialer(opts, Works))
+	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, Waits))
+	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, Works))
 	srv, err := newServer(&Methods{p: p}, &p.traffic)
 	if err != nil {
 		return nil, err
@@ -134,36 +134,36 @@
 // Run serves other hosts, probes them and sends news until ctx ends.
 func (p *Peers) Run(ctx context.Context) {
 	defer p.pool.close()
-	defer p.waits.close()
-	defer p.works.close()
-	var duties sync.WaitGroup
-	duties.Go(func() { p.server.serve(ctx, p.opts.Listener) })
-	duties.Go(func() { p.every(ctx, tickEvery, func() { p.opts.List.Tick(p.opts.Clock.Now()) }) })
-	duties.Go(func() { p.probeAll(ctx) })
+	defer p.longPollPool.close()
+	defer p.concurrentPool.close()
+	var loops sync.WaitGroup
+	loops.Go(func() { p.server.serve(ctx, p.opts.Listener) })
+	loops.Go(func() { p.every(ctx, tickInterval, func() { p.opts.List.Tick(p.opts.Clock.Now()) }) })
+	loops.Go(func() { p.probeNeighbours(ctx) })
 	if p.opts.Watched != nil {
-		duties.Go(func() { p.watchAll(ctx) })
+		loops.Go(func() { p.watchHosts(ctx) })
 	}
-	duties.Go(func() { p.seek(ctx) })
-	duties.Go(func() { p.tellNews(ctx) })
-	duties.Go(func() { p.tellReplicas(ctx) })
-	duties.Wait()
+	loops.Go(func() { p.discover(ctx) })
+	loops.Go(func() { p.gossipNews(ctx) })
+	loops.Go(func() { p.gossipReplicas(ctx) })
+	loops.Wait()
 	p.mu.Lock()
 	p.stopped = true
 	p.mu.Unlock()
-	p.cancel()
+	p.cancelFetches()
 	p.fetches.Wait()
 }
 
 // Call calls a method of an additional service at addr, given as "Service.Method". A call that fails or times out
 // closes its connection.
 func (p *Peers) Call(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
-	return p.waits.invoke(ctx, addr, timeout, method, args, reply)
+	return p.longPollPool.invoke(ctx, addr, timeout, method, args, reply)
 }
 
 // Work calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the connection
 // open for the other calls; a timeout closes it.
 func (p *Peers) Work(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
-	return p.works.run(ctx, addr, callOptions{timeout: timeout, keep: true}, method, args, reply)
+	return p.concurrentPool.run(ctx, addr, callOptions{timeout: timeout, keepConn: true}, method, args, reply)
 }
 
 // Leave announces to all neighbours that this host is stopping, and returns once each has answered or timed out; they
@@ -175,11 +175,11 @@
 }
 
 // probeNeighbours probes one neighbour each member.ProbeEvery; a probe that hangs does not delay the next.
-func (p *Peers) probeAll(ctx context.Context) {
+func (p *Peers) probeNeighbours(ctx context.Context) {
 	var running sync.WaitGroup
 	p.every(ctx, member.ProbeEvery, func() {
 		if target, ok := p.opts.List.Next(); ok {
-			running.Go(func() { p.check(ctx, target, probeTimeout, askTimeout) })
+			running.Go(func() { p.detectFailure(ctx, target, probeTimeout, indirectProbeTimeout) })
 		}
 	})
 	running.Wait()
@@ -187,35 +187,35 @@
 
 // detectFailure probes target, first directly and then through other hosts, and marks it unreachable if all probes
 // fail. It returns the row of target if that made it suspect.
-func (p *Peers) check(ctx context.Context, target member.Host, probe, ask time.Duration) (member.Host, bool) {
+func (p *Peers) detectFailure(ctx context.Context, target member.Host, probe, ask time.Duration) (member.Host, bool) {
 	sent := p.opts.Clock.Now()
 	err := p.probe(ctx, target, probe)
 	if err == nil || ctx.Err() != nil {
 		return member.Host{}, false
 	}
-	if p.askOthers(ctx, target, ask) || ctx.Err() != nil {
+	if p.probeIndirectly(ctx, target, ask) || ctx.Err() != nil {
 		return member.Host{}, false
 	}
 	return p.opts.List.Unreachable(p.opts.Clock.Now(), target, sent)
 }
 
-var errNobody = errors.New("no neighbour in the member list")
+var errNoNeighbour = errors.New("no neighbour in the member list")
 
 var errReplaced = errors.New("another process answers at the address")
 
 // probe exchanges packets with target and repairs the tables that differ.
 func (p *Peers) probe(ctx context.Context, target member.Host, timeout time.Duration) error {
-	sums, err := p.reach(ctx, target, timeout)
+	sums, err := p.exchangePackets(ctx, target, timeout)
 	if err != nil {
 		return err
 	}
-	p.compare(ctx, target.Peer, sums)
+	p.repairTables(ctx, target.Peer, sums)
 	return nil
 }
 
 // exchangePackets probes target without a repair and returns the sums of its tables.
-func (p *Peers) reach(ctx context.Context, target member.Host, timeout time.Duration) (Sums, error) {
-	args := p.packet(target.ID)
+func (p *Peers) exchangePackets(ctx context.Context, target member.Host, timeout time.Duration) (Sums, error) {
+	args := p.newPacket(target.ID)
 	var reply Packet
 	if err := p.pool.call(ctx, target.Peer, timeout, "Probe", &args, &reply); err != nil {
 		return Sums{}, err
@@ -228,25 +228,25 @@
 	return reply.Sums, nil
 }
 
-func (p *Peers) askOthers(ctx context.Context, target member.Host, timeout time.Duration) bool {
+func (p *Peers) probeIndirectly(ctx context.Context, target member.Host, timeout time.Duration) bool {
 	list := p.opts.List.IndirectProbers(target, indirectProbes)
-	found := make(chan bool, len(list))
+	results := make(chan bool, len(list))
 	for _, h := range list {
 		go func() {
 			var reply AskReply
 			err := p.pool.call(ctx, h.Peer, timeout, "Ask", &AskArgs{Target: target}, &reply)
-			found <- err == nil && reply.Reached
+			results <- err == nil && reply.Reached
 		}()
 	}
 	reached := false
 	for range list {
-		reached = <-found || reached
+		reached = <-results || reached
 	}
 	return reached
 }
 
-func (p *Peers) packet(to string) Packet {
-	return Packet{Member: p.opts.List.Message(to), Rumors: p.opts.Rumors.Take(), Sums: p.totals()}
+func (p *Peers) newPacket(to string) Packet {
+	return Packet{Member: p.opts.List.Message(to), Rumors: p.opts.Rumors.Take(), Sums: p.tableSums()}
 }
 
 func (p *Peers) receive(pkt *Packet) {
@@ -255,15 +255,15 @@
 		if h.ID == own {
 			// Clients are directed away from this host until all hosts have received its refutation, so it is sent as
 			// news; other rows travel with the probes.
-			p.news.Push(item{host: h})
+			p.newsQueue.Push(newsItem{host: h})
 		}
 	}
-	p.hear(netip.AddrPort{}, nil, pkt.Rumors)
+	p.receiveNews(netip.AddrPort{}, nil, pkt.Rumors)
 }
 
 // repairTables repairs each table whose sum differs from that of the host at addr.
-func (p *Peers) compare(ctx context.Context, addr netip.AddrPort, sums Sums) {
-	own := p.totals()
+func (p *Peers) repairTables(ctx context.Context, addr netip.AddrPort, sums Sums) {
+	own := p.tableSums()
 	for _, t := range []struct {
 		table      Table
 		own, other uint64
@@ -273,24 +273,24 @@
 		{TableRumors, own.Rumors, sums.Rumors},
 		{TableReplicas, own.Replicas, sums.Replicas},
 	} {
-		if t.own != t.other && p.due(t.table) {
-			p.repair(ctx, addr, t.table, walkOf(t.table))
+		if t.own != t.other && p.repairDue(t.table) {
+			p.repair(ctx, addr, t.table, walkLimitsFor(t.table))
 		}
 	}
 }
 
-func (p *Peers) due(table Table) bool {
+func (p *Peers) repairDue(table Table) bool {
 	now := p.opts.Clock.Now()
-	every := repairEvery
+	every := repairInterval
 	if table == TableMembers || table == TableReplicas {
-		every += time.Duration(len(p.opts.List.Hosts())) * repairEveryHost
+		every += time.Duration(len(p.opts.List.Hosts())) * repairIntervalPerHost
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.repaired[table]) < every {
+	if now.Sub(p.lastRepair[table]) < every {
 		return false
 	}
-	p.repaired[table] = now
+	p.lastRepair[table] = now
 	return true
 }
 
@@ -308,7 +308,7 @@
 // AskReplicas returns the replica list that a neighbour read last, from the first neighbour that sends one.
 func (p *Peers) AskReplicas(ctx context.Context) ([]platform.Replica, error) {
 	var reply ReplicasReply
-	err := errNobody
+	err := errNoNeighbour
 	for _, h := range p.opts.List.Neighbours() {
 		err = p.pool.call(ctx, h.Peer, callTimeout, "Replicas", &ReplicasArgs{}, &reply)
 		if err == nil && len(reply.List) > 0 {
--- a/entry/internal/peers/peers_test.go
+++ b/entry/internal/peers/peers_test.go
@@ -26,7 +26,7 @@
 // limit keeps rejecting requests. Every host must have the generation in force within 4 s of the first one, and so must
 // a host that starts later, during an outage of the platform, with a single contact.
 func TestGenerationReachesEveryHost(t *testing.T) {
-	play(t, 9, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 9, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		hosts[5].store.Offer(generation(t, "3"))
 		time.Sleep(4 * time.Second)
@@ -45,9 +45,9 @@
 // Guards against a generation that stays unknown because its news was lost at all hosts, as when a switch restarts.
 // News is not sent twice; the sums in the next probes must reveal the difference.
 func TestDigestsRepairLostNews(t *testing.T) {
-	play(t, 6, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 6, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
-		f.newsLost = true
+		f.dropNews = true
 		hosts[2].store.Offer(generation(t, "4"))
 		time.Sleep(8 * time.Second)
 		for _, h := range hosts {
@@ -59,10 +59,10 @@
 // Guards against a quarantine that reaches other hosts too late: a request crashes an upstream, its client repeats it
 // at another host, and each host without the rumor crashes one more upstream.
 func TestRumorReachesEveryHostAndExpires(t *testing.T) {
-	play(t, 9, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 9, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
-		heard := 0
-		hosts[8].rumors.Subscribe(rumor.KindQuarantine, func(rumor.Rumor) { heard++ })
+		received := 0
+		hosts[8].rumors.Subscribe(rumor.KindQuarantine, func(rumor.Rumor) { received++ })
 		r := rumor.Rumor{Kind: rumor.KindQuarantine, Service: "donor-desk", Key: "f00d", Number: 1, Expires: time.Now().Add(30 * time.Second)}
 		c.Assert(hosts[0].peers.Publish(r), qt.IsNil)
 		time.Sleep(time.Second)
@@ -72,7 +72,7 @@
 		late := f.start(20)
 		time.Sleep(3 * time.Second)
 		c.Assert(late.rumors.Len(), qt.Equals, 1)
-		c.Assert(heard, qt.Equals, 1)
+		c.Assert(received, qt.Equals, 1)
 		time.Sleep(time.Minute)
 		c.Assert(late.rumors.Len(), qt.Equals, 0)
 	})
@@ -81,7 +81,7 @@
 // Guards against healthy hosts that are declared dead because a middlebox has lost the state of their open connections:
 // bytes written to these vanish, while new connections work. Probes must continue over new connections.
 func TestSilentConnectionsAreReplacedAndNobodyIsBlamed(t *testing.T) {
-	play(t, 6, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 6, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		f.silence()
 		time.Sleep(30 * time.Second)
@@ -99,7 +99,7 @@
 
 // Guards against hosts that direct clients to a stopping host, which finishes its requests but must get no new ones.
 func TestLeavingIsKnownEverywhereWithinASecond(t *testing.T) {
-	play(t, 40, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 40, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		hosts[3].peers.Leave(f.t.Context())
 		time.Sleep(time.Second)
@@ -116,7 +116,7 @@
 // Guards against a host that stops serving the others after bytes that aren't net/rpc, or calls with invalid arguments,
 // as from a port scanner or a host of another version.
 func TestBytesThatMakeNoSenseEndOnlyTheirConnection(t *testing.T) {
-	play(t, 3, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 3, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\xf8\xff\xff\xff\xff\xff\xff\xff\xff", "\x00\x00\x00\x00"} {
 			conn, err := f.dial(f.t.Context(), hosts[0].addr)
@@ -140,7 +140,7 @@
 // Guards against memory exhaustion by a broken host that sends one endless message: without a limit the reader buffers
 // all of it until the process is killed for memory, and its queries with it.
 func TestMessageThatNeverEndsIsCutOff(t *testing.T) {
-	play(t, 2, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 2, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		conn, err := f.dial(f.t.Context(), hosts[0].addr)
 		c.Assert(err, qt.IsNil)
@@ -160,7 +160,7 @@
 // Guards against file descriptors that leak as a host contacts many others, some of them stopped or partitioned: the
 // number of its open connections must stay bounded.
 func TestConnectionsStayBounded(t *testing.T) {
-	play(t, 40, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 40, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		for _, h := range hosts[1:] {
 			_ = hosts[0].peers.pool.call(f.t.Context(), h.addr, time.Second, "Number", &GenerationArgs{}, &NumberReply{})
@@ -173,7 +173,7 @@
 // and connect to the few seeds of their settings, by connections that they then hardly use. A later host must get a
 // connection, a busy one must keep its own, and a call on an evicted idle one must succeed over a new connection.
 func TestNewcomersFindRoom(t *testing.T) {
-	play(t, 2, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 2, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		ctx := f.t.Context()
 		ask := func(h *testHost) error {
@@ -183,7 +183,7 @@
 		c.Assert(ask(early), qt.IsNil)
 		time.Sleep(time.Second)
 		c.Assert(ask(busy), qt.IsNil)
-		for i := range maxServed {
+		for i := range maxServerConns {
 			_, err := f.dial(ctx, hosts[0].addr)
 			c.Assert(err, qt.IsNil)
 			time.Sleep(time.Millisecond)
@@ -191,11 +191,11 @@
 				c.Assert(ask(busy), qt.IsNil)
 			}
 		}
-		before := busy.peers.traffic.connections.Load()
+		before := busy.peers.traffic.dials.Load()
 		late := f.start(32)
 		c.Check(ask(late), qt.IsNil)
 		c.Check(ask(busy), qt.IsNil)
 		c.Check(ask(early), qt.IsNil)
-		c.Check(busy.peers.traffic.connections.Load(), qt.Equals, before)
+		c.Check(busy.peers.traffic.dials.Load(), qt.Equals, before)
 	})
 }
--- a/entry/internal/peers/pool.go
+++ b/entry/internal/peers/pool.go
@@ -34,9 +34,9 @@
 }
 
 type client struct {
-	rpc  *rpc.Client
-	conn *counted
-	used time.Time
+	rpc      *rpc.Client
+	conn     *countedConn
+	lastUsed time.Time
 }
 
 func newPool(c clock.Clock, t *traffic, dial func(context.Context, netip.AddrPort) (net.Conn, error)) *pool {
@@ -63,7 +63,7 @@
 type callOptions struct {
 	timeout time.Duration
 	// keepConn leaves the connection open for its other calls when the caller's context ends before the timeout.
-	keep bool
+	keepConn bool
 }
 
 func (p *pool) run(caller context.Context, addr netip.AddrPort, opts callOptions, method string, args, reply any) error {
@@ -85,7 +85,7 @@
 		}
 		return nil
 	case <-ctx.Done():
-		if !opts.keep || caller.Err() == nil {
+		if !opts.keepConn || caller.Err() == nil {
 			p.drop(addr, c)
 		}
 		return fmt.Errorf("peer %s: %s: %w", addr, method, ctx.Err())
@@ -100,9 +100,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", addr, err)
 	}
-	p.t.connections.Add(1)
-	nc := newCounted(conn, p.t, maxReply)
-	fresh := &client{rpc: rpc.NewClient(nc), conn: nc, used: p.clock.Now()}
+	p.t.dials.Add(1)
+	nc := newCountedConn(conn, p.t, maxReply)
+	fresh := &client{rpc: rpc.NewClient(nc), conn: nc, lastUsed: p.clock.Now()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.clients[addr]; c != nil {
@@ -110,14 +110,14 @@
 		_ = fresh.rpc.Close()
 		return c.rpc, nil
 	}
-	p.makeRoom()
+	p.evictIfFull()
 	p.clients[addr] = fresh
 	return fresh.rpc, nil
 }
 
 // usable returns the client of an open connection to addr, or nil. It closes a connection that the other host has
-// closed as its least recently used: a call on it would fail although both hosts work, and net/rpc leaves this end open, which
-// would hold a file descriptor until garbage collection.
+// closed as its least recently used: a call on it would fail although both hosts work, and net/rpc leaves this end
+// open, which would hold a file descriptor until garbage collection.
 func (p *pool) usable(addr netip.AddrPort) *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,22 +125,22 @@
 	if c == nil {
 		return nil
 	}
-	if c.conn.ended.Load() {
+	if c.conn.readFailed.Load() {
 		_ = c.rpc.Close()
 		delete(p.clients, addr)
 		return nil
 	}
-	c.used = p.clock.Now()
+	c.lastUsed = p.clock.Now()
 	return c.rpc
 }
 
-func (p *pool) makeRoom() {
+func (p *pool) evictIfFull() {
 	if len(p.clients) < maxClients {
 		return
 	}
 	var oldest netip.AddrPort
 	for addr, c := range p.clients {
-		if !oldest.IsValid() || c.used.Before(p.clients[oldest].used) {
+		if !oldest.IsValid() || c.lastUsed.Before(p.clients[oldest].lastUsed) {
 			oldest = addr
 		}
 	}
--- a/entry/internal/peers/pool_test.go
+++ b/entry/internal/peers/pool_test.go
@@ -14,13 +14,13 @@
 	"guavaspring.org/core/clock"
 )
 
-// closable records whether it was closed.
-type closable struct {
+// closeRecorder records whether it was closed.
+type closeRecorder struct {
 	net.Conn
 	closed atomic.Bool
 }
 
-func (c *closable) Close() error {
+func (c *closeRecorder) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
@@ -29,11 +29,11 @@
 // connection, a new one is opened for the next call, and this end of the old one must be closed.
 func TestEndedConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var near []*closable
+		var near []*closeRecorder
 		var far []net.Conn
 		p := newPool(clock.System{}, &traffic{}, func(context.Context, netip.AddrPort) (net.Conn, error) {
 			a, b := net.Pipe()
-			near, far = append(near, &closable{Conn: a}), append(far, b)
+			near, far = append(near, &closeRecorder{Conn: a}), append(far, b)
 			return near[len(near)-1], nil
 		})
 		defer p.close()
--- a/entry/internal/peers/replicas.go
+++ b/entry/internal/peers/replicas.go
@@ -12,39 +12,39 @@
 // a large service would otherwise exhaust the rate that generations and stopping hosts need. One message in two seconds
 // carries 16 rows a second; rows above that are found by the sums.
 const (
-	rowsQueue = 256
-	tellRows  = 2 * time.Second
+	replicaQueueSize    = 256
+	replicaNewsInterval = 2 * time.Second
 	// maxNewsRows bounds the rows of one message, about 4 KB.
-	maxTold = 32
+	maxNewsRows = 32
 )
 
 // ReplicasRead announces to the other hosts the rows that a read of the platform's replica list changed here.
 func (p *Peers) ReplicasRead(rows []listing.Row) {
-	for _, r := range rows[:min(len(rows), rowsQueue)] {
-		p.changed.Push(r)
+	for _, r := range rows[:min(len(rows), replicaQueueSize)] {
+		p.replicaQueue.Push(r)
 	}
 }
 
 // receiveReplicas merges rows of the replica list and passes on those that are new here.
-func (p *Peers) hearReplicas(rows []listing.Row) {
+func (p *Peers) receiveReplicas(rows []listing.Row) {
 	p.ReplicasRead(p.opts.Listing.Merge(rows))
 }
 
 // gossipReplicas sends the queued rows to every neighbour until ctx ends, a burst at once and then one message each
 // replicaNewsInterval.
-func (p *Peers) tellReplicas(ctx context.Context) {
-	b := bucket{}
+func (p *Peers) gossipReplicas(ctx context.Context) {
+	b := tokenBucket{}
 	for {
 		select {
-		case <-p.changed.Ready():
+		case <-p.replicaQueue.Ready():
 		case <-ctx.Done():
 			return
 		}
 		for ctx.Err() == nil {
 			news := &News{From: p.opts.List.Self().Peer}
-			for r, ok := p.changed.Pop(); ok; r, ok = p.changed.Pop() {
+			for r, ok := p.replicaQueue.Pop(); ok; r, ok = p.replicaQueue.Pop() {
 				news.Replicas = append(news.Replicas, r)
-				if len(news.Replicas) == maxTold {
+				if len(news.Replicas) == maxNewsRows {
 					break
 				}
 			}
@@ -52,7 +52,7 @@
 				break
 			}
 			if !b.take(p.opts.Clock.Now()) {
-				clock.Sleep(ctx, p.opts.Clock, tellRows)
+				clock.Sleep(ctx, p.opts.Clock, replicaNewsInterval)
 				b.take(p.opts.Clock.Now())
 			}
 			p.sendNews(ctx, news)
--- a/entry/internal/peers/replicas_test.go
+++ b/entry/internal/peers/replicas_test.go
@@ -19,11 +19,11 @@
 }
 
 // readList makes h merge list as a read of the platform's replica list.
-func (h *testHost) read(list []platform.Replica) {
+func (h *testHost) readList(list []platform.Replica) {
 	h.peers.ReplicasRead(h.rows.Read(time.Now(), h.rows.Changes(), list))
 }
 
-func sameRows(c *qt.C, hosts []*testHost, want []platform.Replica) {
+func assertSameRows(c *qt.C, hosts []*testHost, want []platform.Replica) {
 	for i, h := range hosts {
 		list, _ := h.rows.List()
 		c.Assert(len(list), qt.Equals, len(want), qt.Commentf("host %d", i+1))
@@ -33,22 +33,22 @@
 }
 
 // Guards against changes of the replica list that reach other hosts late or never, so that they call a removed replica
-// or leave a returned one idle. One of nine hosts reads the list; each change must be at all hosts within 3 s, and a host
-// that starts during an outage of the platform, with a single contact, must have every row.
+// or leave a returned one idle. One of nine hosts reads the list; each change must be at all hosts within 3 s, and a
+// host that starts during an outage of the platform, with a single contact, must have every row.
 func TestReplicaRowsReachEveryHost(t *testing.T) {
-	play(t, 9, func(f *fleet, hosts []*testHost) {
+	runFleet(t, 9, func(f *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		list := replicasOf(600, "live")
-		hosts[4].read(list)
+		hosts[4].readList(list)
 		time.Sleep(20 * time.Second)
-		sameRows(c, hosts, list)
+		assertSameRows(c, hosts, list)
 		for _, step := range [][]platform.Replica{list[1:], list, replicasOf(1, "draining")} {
 			if len(step) == 1 {
 				step = append(step, list[1:]...)
 			}
-			hosts[4].read(step)
+			hosts[4].readList(step)
 			time.Sleep(3 * time.Second)
-			sameRows(c, hosts, step)
+			assertSameRows(c, hosts, step)
 		}
 		late := f.start(20)
 		time.Sleep(4 * time.Second)
@@ -62,15 +62,15 @@
 // Guards against replica rows that stay wrong when more change at once than news carries: the platform returns half of
 // its list and then the whole, so some 600 rows change. Repairs by the sums must bring all hosts to the last read.
 func TestSumsCarryWhatTellingsCannot(t *testing.T) {
-	play(t, 6, func(_ *fleet, hosts []*testHost) {
+	runFleet(t, 6, func(_ *fleet, hosts []*testHost) {
 		c := qt.New(t)
 		list := replicasOf(1200, "live")
-		hosts[0].read(list)
+		hosts[0].readList(list)
 		time.Sleep(20 * time.Second)
-		hosts[0].read(list[:600])
+		hosts[0].readList(list[:600])
 		time.Sleep(time.Second)
-		hosts[0].read(list)
+		hosts[0].readList(list)
 		time.Sleep(40 * time.Second)
-		sameRows(c, hosts, list)
+		assertSameRows(c, hosts, list)
 	})
 }
--- a/entry/internal/peers/server.go
+++ b/entry/internal/peers/server.go
@@ -12,23 +12,23 @@
 
 // maxServerConns bounds the connections of other hosts to this one. About eight hosts probe it, eight receive news from
 // it and eight send it subqueries; besides, all starting hosts connect to the seeds that the settings name.
-const maxServed = 256
+const maxServerConns = 256
 
 // acceptRetryDelay is the delay after a failed accept. Without it a process that is out of file descriptors would spin.
-const acceptPause = 100 * time.Millisecond
+const acceptRetryDelay = 100 * time.Millisecond
 
 // server accepts connections of other hosts and serves them with net/rpc.
 type server struct {
 	rpc *rpc.Server
 	t   *traffic
 
-	mu    sync.Mutex
-	conns map[*counted]bool
-	done  sync.WaitGroup
+	mu       sync.Mutex
+	conns    map[*countedConn]bool
+	handlers sync.WaitGroup
 }
 
 func newServer(methods any, t *traffic) (*server, error) {
-	s := &server{rpc: rpc.NewServer(), t: t, conns: map[*counted]bool{}}
+	s := &server{rpc: rpc.NewServer(), t: t, conns: map[*countedConn]bool{}}
 	if err := s.rpc.RegisterName("Peers", methods); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
@@ -48,20 +48,20 @@
 			s.pause(ctx)
 			continue
 		}
-		c := newCounted(conn, s.t, maxRequest)
-		s.admit(c)
-		s.done.Go(func() {
+		c := newCountedConn(conn, s.t, maxRequest)
+		s.addConn(c)
+		s.handlers.Go(func() {
 			s.rpc.ServeConn(c)
-			s.forget(c)
+			s.removeConn(c)
 		})
 	}
 	s.closeAll()
-	s.done.Wait()
+	s.handlers.Wait()
 }
 
 func (s *server) pause(ctx context.Context) {
 	select {
-	case <-time.After(acceptPause):
+	case <-time.After(acceptRetryDelay):
 	case <-ctx.Done():
 	}
 }
@@ -72,11 +72,11 @@
 // New connections are not refused instead: when a large fleet starts, each host opens two connections to each of the
 // three seeds and then hardly uses them. Hosts with subqueries for the seeds could not connect until those idle
 // connections end, and their queries would miss parts.
-func (s *server) admit(c *counted) {
+func (s *server) addConn(c *countedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= maxServed {
-		oldest := s.oldest()
+	if len(s.conns) >= maxServerConns {
+		oldest := s.leastRecentlyUsed()
 		delete(s.conns, oldest)
 		_ = oldest.Close()
 	}
@@ -84,17 +84,17 @@
 }
 
 // leastRecentlyUsed returns the connection that has been idle for the longest time.
-func (s *server) oldest() *counted {
-	var oldest *counted
+func (s *server) leastRecentlyUsed() *countedConn {
+	var oldest *countedConn
 	for c := range s.conns {
-		if oldest == nil || c.used.Load() < oldest.used.Load() {
+		if oldest == nil || c.lastUsed.Load() < oldest.lastUsed.Load() {
 			oldest = c
 		}
 	}
 	return oldest
 }
 
-func (s *server) forget(c *counted) {
+func (s *server) removeConn(c *countedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
--- a/entry/internal/peers/watch.go
+++ b/entry/internal/peers/watch.go
@@ -10,11 +10,11 @@
 
 const (
 	// watchInterval is the time between two probes of a watched host, watchProbeTimeout the timeout of each.
-	watchEvery   = 500 * time.Millisecond
-	watchTimeout = 300 * time.Millisecond
+	watchInterval     = 500 * time.Millisecond
+	watchProbeTimeout = 300 * time.Millisecond
 	// watchIndirectTimeout is the timeout of indirect probes: that of the probe itself and 200 ms for a round trip to
 	// the host that sends it.
-	watchAsk = probeTimeout + 200*time.Millisecond
+	watchIndirectTimeout = probeTimeout + 200*time.Millisecond
 )
 
 // watchHosts probes each watched host every watchInterval until ctx ends, and announces an unreachable one to all hosts
@@ -23,19 +23,19 @@
 // It covers the power loss of a host or an availability zone. Clients are directed to few hosts, and each connection
 // attempt to a lost one costs a client a second, which exceeds most deadlines. Probes of neighbours take turns, detect
 // the loss after some seconds and spread it with later probes; until then hosts would keep directing clients to it.
-func (p *Peers) watchAll(ctx context.Context) {
+func (p *Peers) watchHosts(ctx context.Context) {
 	var running sync.WaitGroup
-	p.every(ctx, watchEvery, func() {
+	p.every(ctx, watchInterval, func() {
 		for _, target := range p.opts.Watched() {
-			running.Go(func() { p.watch(ctx, target) })
+			running.Go(func() { p.probeWatched(ctx, target) })
 		}
 	})
 	running.Wait()
 }
 
 // probeWatched probes one watched host and announces it if it became suspect.
-func (p *Peers) watch(ctx context.Context, target member.Host) {
-	if lost, ok := p.check(ctx, target, watchTimeout, watchAsk); ok {
-		p.news.Push(item{host: lost})
+func (p *Peers) probeWatched(ctx context.Context, target member.Host) {
+	if suspect, ok := p.detectFailure(ctx, target, watchProbeTimeout, watchIndirectTimeout); ok {
+		p.newsQueue.Push(newsItem{host: suspect})
 	}
 }
--- a/entry/internal/peers/watch_test.go
+++ b/entry/internal/peers/watch_test.go
@@ -11,7 +11,7 @@
 )
 
 // watchNextFour makes each of hosts watch the next four of them.
-func nextFour(hosts []*testHost) func(h *testHost) []member.Host {
+func watchNextFour(hosts []*testHost) func(h *testHost) []member.Host {
 	return func(h *testHost) []member.Host {
 		at := slices.Index(hosts, h)
 		if at < 0 {
@@ -26,13 +26,13 @@
 }
 
 // countState returns the number of hosts with power whose member list has other in state.
-func knowing(f *fleet, hosts []*testHost, other *testHost, state member.State) int {
+func countState(f *fleet, hosts []*testHost, other *testHost, state member.State) int {
 	n := 0
 	for _, h := range hosts {
 		f.mu.Lock()
-		dark := f.dark[h.addr]
+		off := f.poweredOff[h.addr]
 		f.mu.Unlock()
-		if dark {
+		if off {
 			continue
 		}
 		for _, row := range h.list.Hosts() {
@@ -45,23 +45,23 @@
 }
 
 // Guards against hosts that direct clients to serving hosts of a lost zone, where each connection attempt costs a
-// client a second. One of three zones loses power, with two of the six serving hosts; since clients may ask any host for
-// addresses, all that are left must suspect both within two seconds.
+// client a second. One of three zones loses power, with two of the six serving hosts; since clients may ask any host
+// for addresses, all that are left must suspect both within two seconds.
 func TestLostZoneIsKnownEverywhereWithinTwoSeconds(t *testing.T) {
-	play(t, 60, func(f *fleet, hosts []*testHost) {
-		f.watch(nextFour(hosts[:6]))
+	runFleet(t, 60, func(f *fleet, hosts []*testHost) {
+		f.setWatched(watchNextFour(hosts[:6]))
 		time.Sleep(2 * time.Second)
 		lost := 0
 		for _, h := range hosts {
 			if h.list.Self().Zone == "zone-1" {
-				f.lose(h)
+				f.powerOff(h)
 				lost++
 			}
 		}
 		time.Sleep(2 * time.Second)
 		for _, h := range hosts[:6] {
 			if h.list.Self().Zone == "zone-1" {
-				qt.Check(t, knowing(f, hosts, h, member.StateSuspect), qt.Equals, len(hosts)-lost)
+				qt.Check(t, countState(f, hosts, h, member.StateSuspect), qt.Equals, len(hosts)-lost)
 			}
 		}
 	})
@@ -70,29 +70,29 @@
 // Guards against a serving host that stays suspect though it is alive, as after its connections became silent. Clients
 // are directed away from it until it has refuted, which must reach all hosts within a second and a half.
 func TestWronglySuspectedHostIsBackAtOnce(t *testing.T) {
-	play(t, 60, func(f *fleet, hosts []*testHost) {
-		f.watch(nextFour(hosts[:6]))
+	runFleet(t, 60, func(f *fleet, hosts []*testHost) {
+		f.setWatched(watchNextFour(hosts[:6]))
 		time.Sleep(2 * time.Second)
-		accused := hosts[2].list.Self()
-		row, ok := hosts[0].list.Unreachable(time.Now(), accused, time.Now())
+		suspected := hosts[2].list.Self()
+		row, ok := hosts[0].list.Unreachable(time.Now(), suspected, time.Now())
 		qt.Assert(t, ok, qt.IsTrue)
-		hosts[0].peers.news.Push(item{host: row})
+		hosts[0].peers.newsQueue.Push(newsItem{host: row})
 		time.Sleep(1500 * time.Millisecond)
-		qt.Assert(t, knowing(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
+		qt.Assert(t, countState(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
 	})
 }
 
 // Guards against a host that receives the suspicion of itself by a repair and does not announce its refutation.
 func TestAccusedHostThatLearnsByRepairIsBackAtOnce(t *testing.T) {
-	play(t, 60, func(f *fleet, hosts []*testHost) {
-		f.watch(nextFour(hosts[:6]))
+	runFleet(t, 60, func(f *fleet, hosts []*testHost) {
+		f.setWatched(watchNextFour(hosts[:6]))
 		time.Sleep(2 * time.Second)
-		accused := hosts[2].list.Self()
-		row, ok := hosts[0].list.Unreachable(time.Now(), accused, time.Now())
+		suspected := hosts[2].list.Self()
+		row, ok := hosts[0].list.Unreachable(time.Now(), suspected, time.Now())
 		qt.Assert(t, ok, qt.IsTrue)
-		hosts[2].peers.take(hosts[0].addr, Rows{Members: []member.Host{row}})
-		hosts[0].peers.news.Push(item{host: row})
+		hosts[2].peers.mergeRows(hosts[0].addr, Rows{Members: []member.Host{row}})
+		hosts[0].peers.newsQueue.Push(newsItem{host: row})
 		time.Sleep(1500 * time.Millisecond)
-		qt.Assert(t, knowing(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
+		qt.Assert(t, countState(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
 	})
 }
