--- a/entry/internal/peers/news.go
+++ b/entry/internal/peers/news.go
@@ -12,28 +12,29 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// News that must be everywhere within seconds, such as a generation or a stop, is told to all neighbours at once and
-// passed on by each that hears it: with eight neighbours that takes about four hops at 5,600 hosts, where probes alone
-// would take ten seconds. The bucket bounds it: what exceeds the rate rides on probes and is found by the digests.
+// News that must reach all hosts within seconds, such as a generation or a stopping host, is sent to all neighbours at
+// once, and each receiver passes it on: with eight neighbours it takes about four hops at 5,600 hosts, whereas probes
+// alone would take ten seconds. A token bucket limits it; news above the rate travels with probes and is found by the
+// digests.
 const (
-	newsBurst  = 10.0
-	newsRefill = 0.5
-	newsQueue  = 256
-	// maxNews is the most marks and rumors in one telling; the rest follows in the next.
-	maxNews = 32
+	newsBurst     = 10.0
+	newsPerSecond = 0.5
+	newsQueueSize = 256
+	// maxNewsItems bounds the items of one message; the rest follows in the next.
+	maxNewsItems = 32
 )
 
-// bucket limits tellings to a burst and a steady rate a second.
-type bucket struct {
+// tokenBucket limits messages to a burst of newsBurst and newsPerSecond after it.
+type tokenBucket struct {
 	tokens float64
 	last   time.Time
 }
 
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	if b.last.IsZero() {
 		b.tokens = newsBurst
 	} else {
-		b.tokens = min(newsBurst, b.tokens+newsRefill*now.Sub(b.last).Seconds())
+		b.tokens = min(newsBurst, b.tokens+newsPerSecond*now.Sub(b.last).Seconds())
 	}
 	b.last = now
 	if b.tokens < 1 {
@@ -43,38 +44,38 @@
 	return true
 }
 
-// item is one piece of news: a mark, a rumor or the row of a host.
-type item struct {
+// newsItem holds one of a mark, a rumor and the row of a host.
+type newsItem struct {
 	mark  accepted.Mark
 	rumor rumor.Rumor
 	host  member.Host
 }
 
-// InForce tells the other hosts that gen is in force here.
+// InForce announces to the other hosts that gen is in force here.
 func (p *Peers) InForce(gen accepted.Generation) {
-	p.news.Push(item{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
+	p.newsQueue.Push(newsItem{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
 }
 
-// Publish takes over a rumor of this host's own and tells it to all hosts.
+// Publish stores a rumor of this host and sends it to all hosts.
 func (p *Peers) Publish(r rumor.Rumor) error {
 	fresh, err := p.opts.Rumors.Publish(r)
 	if fresh {
-		p.news.Push(item{rumor: r})
+		p.newsQueue.Push(newsItem{rumor: r})
 	}
 	return err
 }
 
-// tellNews sends what is in the ring to every neighbour until ctx ends.
-func (p *Peers) tellNews(ctx context.Context) {
-	var b bucket
+// gossipNews sends the queued news to every neighbour until ctx ends.
+func (p *Peers) gossipNews(ctx context.Context) {
+	var b tokenBucket
 	for {
 		select {
-		case <-p.news.Ready():
+		case <-p.newsQueue.Ready():
 		case <-ctx.Done():
 			return
 		}
 		for {
-			news, n := p.collect()
+			news, n := p.nextNews()
 			if n == 0 {
 				break
 			}
@@ -85,11 +86,11 @@
 	}
 }
 
-func (p *Peers) collect() (*News, int) {
+func (p *Peers) nextNews() (*News, int) {
 	news := &News{From: p.opts.List.Self().Peer}
 	n := 0
-	for ; n < maxNews; n++ {
-		it, ok := p.news.Pop()
+	for ; n < maxNewsItems; n++ {
+		it, ok := p.newsQueue.Pop()
 		if !ok {
 			break
 		}
@@ -109,42 +110,42 @@
 	var wg sync.WaitGroup
 	for _, h := range p.opts.List.Neighbours() {
 		wg.Go(func() {
-			// A neighbour that can't be told now hears it from the others, or by its digests.
+			// A neighbour that misses this message receives the news from other hosts or by a repair.
 			_ = p.pool.call(ctx, h.Peer, probeTimeout, "Tell", news, &struct{}{})
 		})
 	}
 	wg.Wait()
 }
 
-// hear takes over news; documents that are missing here are fetched from whoever told.
-func (p *Peers) hear(from netip.AddrPort, marks []accepted.Mark, rumors []rumor.Rumor) {
+// receiveNews merges marks and rumors, passes on new rumors and fetches newer documents from the sender.
+func (p *Peers) receiveNews(from netip.AddrPort, marks []accepted.Mark, rumors []rumor.Rumor) {
 	for _, r := range p.opts.Rumors.Merge(rumors) {
 		events.RumorHeard.Log(p.opts.Log, "kind", r.Kind, "service", r.Service, "key", r.Key, "number", r.Number)
-		p.news.Push(item{rumor: r})
+		p.newsQueue.Push(newsItem{rumor: r})
 	}
 	for _, m := range marks {
-		if p.opts.Store.Lacks(m) && p.begin(m) {
+		if p.opts.Store.Lacks(m) && p.beginFetch(m) {
 			p.fetches.Go(func() {
-				defer p.end(m)
-				p.fetch(from, m.Service)
+				defer p.endFetch(m)
+				p.fetchGeneration(from, m.Service)
 			})
 		}
 	}
 }
 
-// hearHosts takes over the rows of hosts and passes on what is news here; where this host is told to be out of reach,
-// that is its own row.
-func (p *Peers) hearHosts(rows []member.Host) {
+// receiveHosts merges the rows of hosts and passes on those that are new here; where a row calls this host suspect or
+// dead, it passes on its own row, which refutes that.
+func (p *Peers) receiveHosts(rows []member.Host) {
 	for _, h := range p.opts.List.Merge(p.opts.Clock.Now(), rows) {
-		p.news.Push(item{host: h})
+		p.newsQueue.Push(newsItem{host: h})
 	}
 }
 
-// maxFetches bounds the documents fetched at once, since marks come from other processes.
+// maxFetches bounds the concurrent fetches of documents, since marks come from other processes.
 const maxFetches = 16
 
-// begin reports whether m should be fetched: eight neighbours tell the same news, and one fetch is enough.
-func (p *Peers) begin(m accepted.Mark) bool {
+// beginFetch reports whether m should be fetched: eight neighbours send the same news, and one fetch is enough.
+func (p *Peers) beginFetch(m accepted.Mark) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fetching[m] || len(p.fetching) >= maxFetches || p.stopped {
@@ -154,16 +155,16 @@
 	return true
 }
 
-func (p *Peers) end(m accepted.Mark) {
+func (p *Peers) endFetch(m accepted.Mark) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.fetching, m)
 }
 
-func (p *Peers) fetch(from netip.AddrPort, service string) {
+func (p *Peers) fetchGeneration(from netip.AddrPort, service string) {
 	var reply GenerationReply
-	if err := p.pool.call(p.ctx, from, callTimeout, "Generation", &GenerationArgs{Service: service}, &reply); err != nil {
-		// The digests in the next probe show that the document is still missing.
+	if err := p.pool.call(p.fetchCtx, from, callTimeout, "Generation", &GenerationArgs{Service: service}, &reply); err != nil {
+		// The sums in the next probe differ as long as the document is missing, which starts a repair.
 		return
 	}
 	gen, err := accepted.Decode(reply.Raw)
--- a/entry/internal/peers/pool.go
+++ b/entry/internal/peers/pool.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxClients bounds the open connections to other hosts: neighbours, hosts asked to probe and the sources of a
-	// repair.
+	// maxClients bounds the open connections of a pool to other hosts: neighbours, hosts asked for indirect probes and
+	// the sources of repairs.
 	maxClients  = 24
 	callTimeout = 2 * time.Second
 )
 
-// ErrUnreached means that no connection to a host could be had, so that nothing of a call was sent.
-var ErrUnreached = errors.New("peers: the host can't be reached")
+// ErrUnreached means that no connection to a host could be opened, so that nothing of the call was sent.
+var ErrUnreached = errors.New("peers: no connection to the host")
 
-// pool is a bounded cache of net/rpc clients; the one used longest ago gives way.
+// pool is a bounded cache of net/rpc clients by address; it evicts the least recently used one.
 type pool struct {
 	clock clock.Clock
 	t     *traffic
@@ -34,9 +34,9 @@
 }
 
 type client struct {
-	rpc  *rpc.Client
-	conn *counted
-	used time.Time
+	rpc      *rpc.Client
+	conn     *countedConn
+	lastUsed time.Time
 }
 
 func newPool(c clock.Clock, t *traffic, dial func(context.Context, netip.AddrPort) (net.Conn, error)) *pool {
@@ -48,23 +48,22 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// call runs one method of Methods at addr.
+// call calls one method of Methods at addr.
 func (p *pool) call(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.invoke(ctx, addr, timeout, "Peers."+method, args, reply)
 }
 
-// invoke runs one method at addr. A call that fails or is late closes its connection: the connection may have gone
-// silent for good while a new one would work, and a late reply is then never taken for a later one.
+// invoke calls one method at addr. A call that fails or times out closes its connection: the connection may be silently
+// broken while a new one would work, and a late reply can't be taken for that of a later call.
 func (p *pool) invoke(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.run(ctx, addr, callOptions{timeout: timeout}, method, args, reply)
 }
 
-// callOptions says how one call is made.
+// callOptions configures one call.
 type callOptions struct {
 	timeout time.Duration
-	// keep says that the end of the caller's context, other than the timeout, leaves the connection to the calls beside
-	// it.
-	keep bool
+	// keepConn leaves the connection open for its other calls when the caller's context ends before the timeout.
+	keepConn bool
 }
 
 func (p *pool) run(caller context.Context, addr netip.AddrPort, opts callOptions, method string, args, reply any) error {
@@ -86,7 +85,7 @@
 		}
 		return nil
 	case <-ctx.Done():
-		if !opts.keep || caller.Err() == nil {
+		if !opts.keepConn || caller.Err() == nil {
 			p.drop(addr, c)
 		}
 		return fmt.Errorf("peer %s: %s: %w", addr, method, ctx.Err())
@@ -101,24 +100,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", addr, err)
 	}
-	p.t.connections.Add(1)
-	nc := newCounted(conn, p.t, maxReply)
-	fresh := &client{rpc: rpc.NewClient(nc), conn: nc, used: p.clock.Now()}
+	p.t.dials.Add(1)
+	nc := newCountedConn(conn, p.t, maxReply)
+	fresh := &client{rpc: rpc.NewClient(nc), conn: nc, lastUsed: p.clock.Now()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.clients[addr]; c != nil {
-		// Another call dialled meanwhile.
+		// A concurrent call opened a connection meanwhile.
 		_ = fresh.rpc.Close()
 		return c.rpc, nil
 	}
-	p.makeRoom()
+	p.evictIfFull()
 	p.clients[addr] = fresh
 	return fresh.rpc, nil
 }
 
-// usable returns the client of a connection that is open. The other host closes those that were not used for the
-// longest time: a call on such a one would fail though nothing is wrong, and its own end, which net/rpc leaves open,
-// would stay a descriptor until memory is collected.
+// usable returns the client of an open connection to addr, or nil. It closes a connection that the other host has
+// closed as its least recently used: a call on it would fail although both hosts work, and net/rpc leaves this end
+// open, which would hold a file descriptor until garbage collection.
 func (p *pool) usable(addr netip.AddrPort) *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,22 +125,22 @@
 	if c == nil {
 		return nil
 	}
-	if c.conn.ended.Load() {
+	if c.conn.readFailed.Load() {
 		_ = c.rpc.Close()
 		delete(p.clients, addr)
 		return nil
 	}
-	c.used = p.clock.Now()
+	c.lastUsed = p.clock.Now()
 	return c.rpc
 }
 
-func (p *pool) makeRoom() {
+func (p *pool) evictIfFull() {
 	if len(p.clients) < maxClients {
 		return
 	}
 	var oldest netip.AddrPort
 	for addr, c := range p.clients {
-		if !oldest.IsValid() || c.used.Before(p.clients[oldest].used) {
+		if !oldest.IsValid() || c.lastUsed.Before(p.clients[oldest].lastUsed) {
 			oldest = addr
 		}
 	}
--- a/entry/internal/peers/server.go
+++ b/entry/internal/peers/server.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// maxServed bounds the connections that other hosts hold here. A host has about eight probers, eight that hear from it
-// and as many that send it parts of queries; all that start turn to the hosts that the settings name.
-const maxServed = 256
+// maxServerConns bounds the connections of other hosts to this one. About eight hosts probe it, eight receive news from
+// it and eight send it subqueries; besides, all starting hosts connect to the seeds that the settings name.
+const maxServerConns = 256
 
-// acceptPause is how long to wait after a connection could not be accepted.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept. Without it a process that is out of file descriptors would spin.
+const acceptRetryDelay = 100 * time.Millisecond
 
 // server accepts connections of other hosts and serves them with net/rpc.
 type server struct {
 	rpc *rpc.Server
 	t   *traffic
 
-	mu    sync.Mutex
-	conns map[*counted]bool
-	done  sync.WaitGroup
+	mu       sync.Mutex
+	conns    map[*countedConn]bool
+	handlers sync.WaitGroup
 }
 
 func newServer(methods any, t *traffic) (*server, error) {
-	s := &server{rpc: rpc.NewServer(), t: t, conns: map[*counted]bool{}}
+	s := &server{rpc: rpc.NewServer(), t: t, conns: map[*countedConn]bool{}}
 	if err := s.rpc.RegisterName("Peers", methods); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	return s, nil
 }
 
-// serve accepts until ctx ends and then closes every connection.
+// serve accepts connections until ctx ends and then closes all of them.
 func (s *server) serve(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -45,57 +45,56 @@
 			break
 		}
 		if err != nil {
-			// Without the pause a process that is out of file descriptors would spin here.
 			s.pause(ctx)
 			continue
 		}
-		c := newCounted(conn, s.t, maxRequest)
-		s.admit(c)
-		s.done.Go(func() {
+		c := newCountedConn(conn, s.t, maxRequest)
+		s.addConn(c)
+		s.handlers.Go(func() {
 			s.rpc.ServeConn(c)
-			s.forget(c)
+			s.removeConn(c)
 		})
 	}
 	s.closeAll()
-	s.done.Wait()
+	s.handlers.Wait()
 }
 
 func (s *server) pause(ctx context.Context) {
 	select {
-	case <-time.After(acceptPause):
+	case <-time.After(acceptRetryDelay):
 	case <-ctx.Done():
 	}
 }
 
-// admit takes a connection in, and closes the one that was not used for the longest time where there are too many, so
-// that a broken or hostile host can't exhaust this one's memory.
+// addConn registers a connection. At maxServerConns it closes the least recently used one, so that a broken or hostile
+// host can't exhaust memory.
 //
-// It guards against a large fleet that starts: each host turns to the three that the settings name, by two connections
-// that it then hardly uses. Where newcomers were refused, those three would be out of reach for hosts that have work for
-// them until the old connections end, and parts of queries fail with them.
-func (s *server) admit(c *counted) {
+// New connections are not refused instead: when a large fleet starts, each host opens two connections to each of the
+// three seeds and then hardly uses them. Hosts with subqueries for the seeds could not connect until those idle
+// connections end, and their queries would miss parts.
+func (s *server) addConn(c *countedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= maxServed {
-		oldest := s.oldest()
+	if len(s.conns) >= maxServerConns {
+		oldest := s.leastRecentlyUsed()
 		delete(s.conns, oldest)
 		_ = oldest.Close()
 	}
 	s.conns[c] = true
 }
 
-// oldest returns the connection that was not used for the longest time.
-func (s *server) oldest() *counted {
-	var oldest *counted
+// leastRecentlyUsed returns the connection that has been idle for the longest time.
+func (s *server) leastRecentlyUsed() *countedConn {
+	var oldest *countedConn
 	for c := range s.conns {
-		if oldest == nil || c.used.Load() < oldest.used.Load() {
+		if oldest == nil || c.lastUsed.Load() < oldest.lastUsed.Load() {
 			oldest = c
 		}
 	}
 	return oldest
 }
 
-func (s *server) forget(c *counted) {
+func (s *server) removeConn(c *countedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
--- a/entry/internal/peers/watch_test.go
+++ b/entry/internal/peers/watch_test.go
@@ -10,8 +10,8 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// nextFour lets each of some hosts look after the next four of them.
-func nextFour(hosts []*testHost) func(h *testHost) []member.Host {
+// watchNextFour makes each of hosts watch the next four of them.
+func watchNextFour(hosts []*testHost) func(h *testHost) []member.Host {
 	return func(h *testHost) []member.Host {
 		at := slices.Index(hosts, h)
 		if at < 0 {
@@ -25,14 +25,14 @@
 	}
 }
 
-// knowing counts the hosts, of those that have power, that hold another one to be in a state.
-func knowing(f *fleet, hosts []*testHost, other *testHost, state member.State) int {
+// countState returns the number of hosts with power whose member list has other in state.
+func countState(f *fleet, hosts []*testHost, other *testHost, state member.State) int {
 	n := 0
 	for _, h := range hosts {
 		f.mu.Lock()
-		dark := f.dark[h.addr]
+		off := f.poweredOff[h.addr]
 		f.mu.Unlock()
-		if dark {
+		if off {
 			continue
 		}
 		for _, row := range h.list.Hosts() {
@@ -44,56 +44,55 @@
 	return n
 }
 
-// Story: a zone of three loses power, with two of the six hosts that callers are sent to. Any host may be asked where
-// to connect, and each connection to one of the two costs a caller a second. All that are left must know of both within
-// two seconds.
+// Guards against hosts that direct clients to serving hosts of a lost zone, where each connection attempt costs a
+// client a second. One of three zones loses power, with two of the six serving hosts; since clients may ask any host
+// for addresses, all that are left must suspect both within two seconds.
 func TestLostZoneIsKnownEverywhereWithinTwoSeconds(t *testing.T) {
-	play(t, 60, func(f *fleet, hosts []*testHost) {
-		f.watch(nextFour(hosts[:6]))
+	runFleet(t, 60, func(f *fleet, hosts []*testHost) {
+		f.setWatched(watchNextFour(hosts[:6]))
 		time.Sleep(2 * time.Second)
 		lost := 0
 		for _, h := range hosts {
 			if h.list.Self().Zone == "zone-1" {
-				f.lose(h)
+				f.powerOff(h)
 				lost++
 			}
 		}
 		time.Sleep(2 * time.Second)
 		for _, h := range hosts[:6] {
 			if h.list.Self().Zone == "zone-1" {
-				qt.Check(t, knowing(f, hosts, h, member.StateSuspect), qt.Equals, len(hosts)-lost)
+				qt.Check(t, countState(f, hosts, h, member.StateSuspect), qt.Equals, len(hosts)-lost)
 			}
 		}
 	})
 }
 
-// Story: a host that callers are sent to is taken for lost though it lives, as its connections had fallen silent.
-// Callers are kept from it until it has shown that it is alive, which must be known everywhere within a second and a
-// half.
+// Guards against a serving host that stays suspect though it is alive, as after its connections became silent. Clients
+// are directed away from it until it has refuted, which must reach all hosts within a second and a half.
 func TestWronglySuspectedHostIsBackAtOnce(t *testing.T) {
-	play(t, 60, func(f *fleet, hosts []*testHost) {
-		f.watch(nextFour(hosts[:6]))
+	runFleet(t, 60, func(f *fleet, hosts []*testHost) {
+		f.setWatched(watchNextFour(hosts[:6]))
 		time.Sleep(2 * time.Second)
-		accused := hosts[2].list.Self()
-		row, ok := hosts[0].list.Unreachable(time.Now(), accused, time.Now())
+		suspected := hosts[2].list.Self()
+		row, ok := hosts[0].list.Unreachable(time.Now(), suspected, time.Now())
 		qt.Assert(t, ok, qt.IsTrue)
-		hosts[0].peers.news.Push(item{host: row})
+		hosts[0].peers.newsQueue.Push(newsItem{host: row})
 		time.Sleep(1500 * time.Millisecond)
-		qt.Assert(t, knowing(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
+		qt.Assert(t, countState(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
 	})
 }
 
-// Guards against a host that finds out by a comparison of tables that it is accused, and tells nobody that it lives.
+// Guards against a host that receives the suspicion of itself by a repair and does not announce its refutation.
 func TestAccusedHostThatLearnsByRepairIsBackAtOnce(t *testing.T) {
-	play(t, 60, func(f *fleet, hosts []*testHost) {
-		f.watch(nextFour(hosts[:6]))
+	runFleet(t, 60, func(f *fleet, hosts []*testHost) {
+		f.setWatched(watchNextFour(hosts[:6]))
 		time.Sleep(2 * time.Second)
-		accused := hosts[2].list.Self()
-		row, ok := hosts[0].list.Unreachable(time.Now(), accused, time.Now())
+		suspected := hosts[2].list.Self()
+		row, ok := hosts[0].list.Unreachable(time.Now(), suspected, time.Now())
 		qt.Assert(t, ok, qt.IsTrue)
-		hosts[2].peers.take(hosts[0].addr, Rows{Members: []member.Host{row}})
-		hosts[0].peers.news.Push(item{host: row})
+		hosts[2].peers.mergeRows(hosts[0].addr, Rows{Members: []member.Host{row}})
+		hosts[0].peers.newsQueue.Push(newsItem{host: row})
 		time.Sleep(1500 * time.Millisecond)
-		qt.Assert(t, knowing(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
+		qt.Assert(t, countState(f, hosts, hosts[2], member.StateAlive), qt.Equals, len(hosts))
 	})
 }
