--- a/entry/internal/admission/adapt/limit.go
+++ b/entry/internal/admission/adapt/limit.go
@@ -9,11 +9,11 @@
 const (
 	// window is the minimum time between two adjustments, long enough for some requests to run under the last one.
 	window = 100 * time.Millisecond
-	// minWindowTries is the minimum number of tries in a window; the median of fewer is not significant.
-	minWindowTries = 32
+	// minWindowAttempts is the minimum number of attempts in a window; the median of fewer is not significant.
+	minWindowAttempts = 32
 	// maxWindowSamples is the maximum number of latencies kept per window; later ones are ignored.
 	maxWindowSamples = 256
-	// shedPercent is the percentage of shed tries above which the upstream counts as overloaded.
+	// shedPercent is the percentage of shed attempts above which the upstream counts as overloaded.
 	shedPercent = 2
 	// floorDivisor is the divisor of the cap that gives the minimum of the limit.
 	floorDivisor = 16
@@ -34,7 +34,7 @@
 // there, where callers are not served fairly and requests are not refused in time.
 //
 // The limit increases while the median latency stays near the lowest one observed, first by doubling, then by additive
-// steps. It decreases by a factor when the median rises or when tries are shed. Additive increase and multiplicative
+// steps. It decreases by a factor when the median rises or when attempts are shed. Additive increase and multiplicative
 // decrease let hosts that use the same upstream converge to equal limits without coordination. The median is taken over
 // the replies of shards, not over whole queries, so that one failed or slow shard does not look like an overloaded
 // upstream.
@@ -50,9 +50,9 @@
 	// doubling is set until the limit decreases for the first time, and again after the cap is raised.
 	doubling bool
 
-	windowStart time.Time
-	latencies   []time.Duration
-	tries, shed int
+	windowStart    time.Time
+	latencies      []time.Duration
+	attempts, shed int
 	// peakRunning is the maximum number of concurrently running requests in the window.
 	peakRunning int
 }
@@ -79,34 +79,34 @@
 // Base returns the median latency of an upstream that is not overloaded, or zero before the end of the first window.
 func (l *Limit) Base() time.Duration { return l.baseLatency }
 
-// RecordReply records the time from the start of a query to the answer of a shard, or the time after which a try was
-// canceled. running is the number of running requests. It reports whether the limit changed.
+// RecordReply records the time from the start of a query to the reply of a shard, or the time after which an attempt
+// was canceled. running is the number of running requests. It reports whether the limit changed.
 func (l *Limit) RecordReply(now time.Time, took time.Duration, running int) bool {
 	if len(l.latencies) < maxWindowSamples {
 		l.latencies = append(l.latencies, took)
 	}
-	return l.recordTry(now, running)
+	return l.recordAttempt(now, running)
 }
 
-// RecordShed records that a replica without free capacity rejected a try; it reports whether the limit changed.
+// RecordShed records that a replica without free capacity rejected an attempt; it reports whether the limit changed.
 func (l *Limit) RecordShed(now time.Time, running int) bool {
 	l.shed++
-	return l.recordTry(now, running)
+	return l.recordAttempt(now, running)
 }
 
-// recordTry counts a try and adjusts the limit at the end of a window; it reports whether the limit changed.
-func (l *Limit) recordTry(now time.Time, running int) bool {
-	if l.tries == 0 {
+// recordAttempt counts an attempt and adjusts the limit at the end of a window; it reports whether the limit changed.
+func (l *Limit) recordAttempt(now time.Time, running int) bool {
+	if l.attempts == 0 {
 		l.windowStart = now
 	}
-	l.tries++
+	l.attempts++
 	l.peakRunning = max(l.peakRunning, running)
-	if l.tries < minWindowTries || now.Sub(l.windowStart) < window {
+	if l.attempts < minWindowAttempts || now.Sub(l.windowStart) < window {
 		return false
 	}
 	old := l.Current()
 	l.adjust()
-	l.latencies, l.tries, l.shed, l.peakRunning = l.latencies[:0], 0, 0, 0
+	l.latencies, l.attempts, l.shed, l.peakRunning = l.latencies[:0], 0, 0, 0
 	return l.Current() != old
 }
 
@@ -118,7 +118,7 @@
 		median = l.latencies[len(l.latencies)/2]
 	}
 	l.updateBase(median)
-	overloaded := l.shed*100 > l.tries*shedPercent || float64(median) > latencyTolerance*float64(l.baseLatency)
+	overloaded := l.shed*100 > l.attempts*shedPercent || float64(median) > latencyTolerance*float64(l.baseLatency)
 	switch {
 	case overloaded && l.usedAtLeast(0.5):
 		l.decrease(median)
--- a/entry/internal/admission/adapt/limit_test.go
+++ b/entry/internal/admission/adapt/limit_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards against a limit that decreases because of one failed shard: every third try hangs until the deadline, but
+// Guards against a limit that decreases because of one failed shard: every third attempt hangs until the deadline, but
 // fewer concurrent queries would not make any of them faster.
 func TestLimitIgnoresADeadShard(t *testing.T) {
 	c := qt.New(t)
@@ -80,9 +80,9 @@
 	c.Check(l.Current(), qt.Equals, 64)
 }
 
-// Guards against a limit that ignores shed tries: replicas shed one try in ten, while the latency of the other replies
-// does not rise.
-func TestLimitDecreasesWhenTriesAreShed(t *testing.T) {
+// Guards against a limit that ignores shed attempts: replicas shed one attempt in ten, while the latency of the other
+// replies does not rise.
+func TestLimitDecreasesWhenAttemptsAreShed(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
 	feedReplies(l, 50, queueingLatency(1000))
--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -170,13 +170,13 @@
 	g.queue.SetLimits(g.clock.Now(), g.effectiveLimits())
 }
 
-// Replied records the time from the start of a query to the answer of a shard, or the time after which a try was
+// Replied records the time from the start of a query to the reply of a shard, or the time after which an attempt was
 // canceled.
 func (g *Gate) Replied(took time.Duration) {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
 
-// Shed records that a replica without free capacity rejected a try.
+// Shed records that a replica without free capacity rejected an attempt.
 func (g *Gate) Shed() {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordShed(now, g.queue.Running()) })
 }
--- a/entry/internal/budget/budget.go
+++ b/entry/internal/budget/budget.go
@@ -12,12 +12,12 @@
 	unitsPerPercent = unitsPerToken / 100
 )
 
-// Budget is a token bucket to which first tries add tokens and from which each retry or hedge takes one.
+// Budget is a token bucket to which first attempts add tokens and from which each retry or hedge takes one.
 //
-// It handles a fault or an overload that makes many tries fail or be late at once. Without it each of them is sent
+// It handles a fault or an overload that makes many attempts fail or be late at once. Without it each of them is sent
 // again, which doubles the load on the upstream when it has the least capacity, and the load stays doubled after the
-// cause has gone. Tokens are added per first try rather than per unit of time, so that the extra load stays a constant
-// share of the load.
+// cause has gone. Tokens are added per first attempt rather than per unit of time, so that the extra load stays a
+// constant share of the load.
 type Budget struct {
 	tokens atomic.Int64
 }
@@ -29,7 +29,7 @@
 	return b
 }
 
-// Earn adds the tokens for n first tries, each percent hundredths of a token.
+// Earn adds the tokens for n first attempts, each percent hundredths of a token.
 func (b *Budget) Earn(n int, percent float64) {
 	earned := int64(float64(n) * percent * unitsPerPercent)
 	if balance := b.tokens.Add(earned); balance > burstTokens*unitsPerToken {
--- a/entry/internal/budget/doc.go
+++ b/entry/internal/budget/doc.go
@@ -1,2 +1,2 @@
-// Package budget bounds the retries and hedges of a service, which are sent beyond the first try for each shard.
+// Package budget bounds the retries and hedges of a service, which are sent beyond the first attempt for each shard.
 package budget
--- a/entry/internal/choice/choice.go
+++ b/entry/internal/choice/choice.go
@@ -8,12 +8,12 @@
 
 const (
 	// unknownLatency is the assumed latency of a replica that has not answered yet. It is low enough that the replica
-	// is tried and high enough that it is not flooded.
+	// is selected and high enough that it is not flooded.
 	unknownLatency = 5 * time.Millisecond
 	// costMarginDivisor sets the smallest cost difference that counts: 1/costMarginDivisor of the higher cost. That is
-	// more than the smoothed means of equal replicas differ by chance, and less than the effect of one more try in
-	// flight. The availability zone decides only below it, since the measured latency already includes the delay between
-	// zones.
+	// more than the smoothed means of equal replicas differ by chance, and less than the effect of one more attempt in
+	// flight. The availability zone decides only below it, since the measured latency already includes the delay
+	// between zones.
 	costMarginDivisor = 4
 	// maxCandidates is the number of replicas considered. For a shard with more, they are taken from a random start.
 	maxCandidates = 8
@@ -36,7 +36,7 @@
 //
 // It balances uneven load and replicas of unequal speed. Selecting the cheapest of all replicas would send the queries
 // of every host to the same replica at once; two random candidates avoid this herd effect. The cost of a replica is
-// its mean latency or the age of its tries in flight, whichever is larger, times the number of tries in flight
+// its mean latency or the age of its attempts in flight, whichever is larger, times the number of attempts in flight
 // including the new one. Only measurements of this host count: the load that a replica reports lags or misleads.
 // Ejected replicas are selected only if no other replica holds the shard, replicas at their limit never.
 func Pick(intN func(n int) int, now time.Time, replicas, tried []*replica.Replica) (*replica.Replica, Outcome) {
@@ -59,7 +59,7 @@
 	return better(list[i], list[j], now), Found
 }
 
-// Trial returns an ejected replica that is due for a single probing try, or nil.
+// Trial returns an ejected replica that is due for a probe, or nil.
 func Trial(now time.Time, replicas []*replica.Replica) *replica.Replica {
 	for _, r := range replicas {
 		if !r.Eject.In() && !r.Draining() && r.Running() == 0 && r.Eject.Trial(now) {
@@ -100,8 +100,8 @@
 }
 
 // better returns a unless b is clearly cheaper, or about as cheap and in the own zone. The candidates come in random
-// order, so equal replicas share the load. If any difference decided, the replica whose last answers happened to be
-// quickest would get two thirds of the shard's tries from this host, and the one with the slowest last answers none.
+// order, so equal replicas share the load. If any difference decided, the replica whose last replies happened to be
+// quickest would get two thirds of the shard's attempts from this host, and the one with the slowest last replies none.
 func better(a, b *replica.Replica, now time.Time) *replica.Replica {
 	ca, cb := cost(a, now), cost(b, now)
 	switch {
@@ -116,7 +116,7 @@
 	}
 }
 
-// cost returns the expected latency of one more try, scaled by the tries in flight.
+// cost returns the expected latency of one more attempt, scaled by the attempts in flight.
 func cost(r *replica.Replica, now time.Time) time.Duration {
 	est, running := r.Estimate(now)
 	if est == 0 {
--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -34,8 +34,8 @@
 
 func newIntN() func(n int) int { return rand.New(rand.NewPCG(1, 1)).IntN }
 
-// Guards against sending more tries to a replica that has stopped answering, for example since its machine swaps. It
-// returns no answer that would raise its mean latency, so the age of its tries in flight has to count.
+// Guards against sending more attempts to a replica that has stopped answering, for example since its machine swaps. It
+// returns no reply that would raise its mean latency, so the age of its attempts in flight has to count.
 func TestStuckReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hs := newReplicas(1)
@@ -55,8 +55,8 @@
 	})
 }
 
-// Guards against avoiding a replica forever after a short slowdown. It gets no tries that would lower its mean latency,
-// so the estimate has to decay with time.
+// Guards against avoiding a replica forever after a short slowdown. It gets no attempts that would lower its mean
+// latency, so the estimate has to decay with time.
 func TestRecoveredReplicaIsSelectedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hs := newReplicas(1)
@@ -79,7 +79,7 @@
 }
 
 // Guards against a zone preference that outweighs load or latency. Of three equally fast replicas, the one in the own
-// zone gets more tries but not all; if it is clearly slower than those in other zones, it gets few.
+// zone gets more attempts but not all; if it is clearly slower than those in other zones, it gets few.
 func TestOwnZoneIsPreferredOnlyIfNotSlower(t *testing.T) {
 	for _, test := range []struct {
 		near        time.Duration
@@ -97,7 +97,7 @@
 					near++
 				}
 			}
-			qt.Assert(t, near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d of 1000 tries went to the own zone", near))
+			qt.Assert(t, near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d of 1000 attempts went to the own zone", near))
 		})
 	}
 }
--- a/entry/internal/choice/doc.go
+++ b/entry/internal/choice/doc.go
@@ -1,2 +1,2 @@
-// Package choice selects the replica of a shard that receives a try.
+// Package choice selects the replica of a shard that an attempt is sent to.
 package choice
--- a/entry/internal/hedge/doc.go
+++ b/entry/internal/hedge/doc.go
@@ -1,2 +1,2 @@
-// Package hedge decides when a slow try is hedged by a second one.
+// Package hedge decides when a slow attempt is hedged by a second one.
 package hedge
--- a/entry/internal/hedge/hedge.go
+++ b/entry/internal/hedge/hedge.go
@@ -12,12 +12,13 @@
 	// halfWindow is the length of each of the two halves of the window: long enough for a few hundred samples at ten
 	// queries per second, short enough that the delay follows a change of load.
 	halfWindow = 2 * time.Second
-	// refreshInterval is the interval between updates of the quantiles; summing the buckets takes less than a microsecond.
+	// refreshInterval is the interval between updates of the quantiles; summing the buckets takes less than a
+	// microsecond.
 	refreshInterval = 50 * time.Millisecond
 	// minSamples is the smallest number of samples from which quantiles are computed.
 	minSamples = 50
-	// saturatedShare is the share of refused tries above which the upstream counts as saturated. One in fifty is well
-	// above what a replica sheds by chance, and far below what it sheds when every slot is taken.
+	// saturatedShare is the share of refused attempts above which the upstream counts as saturated. One in fifty is
+	// well above what a replica sheds by chance, and far below what it sheds when every slot is taken.
 	saturatedShare = 0.02
 	// lateFactor is the multiple of the expected number of late shards above which load is assumed to be the cause.
 	lateFactor = 4
@@ -30,9 +31,9 @@
 // Policy decides when hedges are sent, based on the recent replies of one service.
 //
 // A single slow replica delays the answer to a whole query, which without hedges takes as long as its slowest shard.
-// Hedges that are sent too early, or to a saturated upstream, add load that makes further tries late. So the delay is a
-// measured quantile, no hedge is sent while tries are being refused, and none at first where many shards of a query are
-// late at once, since load is the likely cause then.
+// Hedges that are sent too early, or to a saturated upstream, add load that makes further attempts late. So the delay
+// is a measured quantile, no hedge is sent while attempts are being refused, and none at first where many shards of a
+// query are late at once, since load is the likely cause then.
 type Policy struct {
 	mu          sync.Mutex
 	current     samples
@@ -56,13 +57,13 @@
 // SetQuantile sets the quantile of reply times after which a hedge is due, and the hedge budget in percent.
 //
 // The quantile is raised where needed so that normal operation uses at most half of the budget. With the 95th
-// percentile and a budget of 3 %, normal late tries would use all of it and leave none for a true straggler.
+// percentile and a budget of 3 %, normal late attempts would use all of it and leave none for a true straggler.
 func (p *Policy) SetQuantile(quantile, budgetPercent float64) {
 	p.quantile.Store(math.Float64bits(max(quantile, 1-budgetPercent/200)))
 }
 
-// Observe records the time of a reply. A try that is canceled after Delay is recorded with its age: without it, the
-// delay would shrink to the times of the faster tries.
+// Observe records the time of a reply. An attempt that is canceled after Delay is recorded with its age: without it,
+// the delay would shrink to the times of the faster attempts.
 func (p *Policy) Observe(now time.Time, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +72,7 @@
 	p.refresh(now)
 }
 
-// Refused records a try that a replica shed.
+// Refused records an attempt that a replica shed.
 func (p *Policy) Refused(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +81,7 @@
 	p.refresh(now)
 }
 
-// Delay returns the time after which a try is hedged, zero while there are too few samples.
+// Delay returns the time after which an attempt is hedged, zero while there are too few samples.
 func (p *Policy) Delay() time.Duration { return time.Duration(p.delay.Load()) }
 
 // Median returns the median reply time, zero while there are too few samples.
--- a/entry/internal/learned/route.go
+++ b/entry/internal/learned/route.go
@@ -15,7 +15,7 @@
 	Unloaded unloaded.Estimator
 	// Patience tracks the remaining time that clients state.
 	Patience patience.Tracker
-	// Arriving tracks it for all requests, including those that are refused before any try is sent.
+	// Arriving tracks it for all requests, including those that are refused before any attempt is sent.
 	Arriving patience.Tracker
 }
 
--- a/entry/internal/limit/doc.go
+++ b/entry/internal/limit/doc.go
@@ -1,2 +1,2 @@
-// Package limit limits the number of concurrent tries that this host sends to one replica.
+// Package limit limits the number of concurrent attempts that this host sends to one replica.
 package limit
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -10,9 +10,9 @@
 	"guavaspring.org/entry/internal/limit"
 )
 
-// Guards against tries that are shed for good when eight hosts share a replica with five slots and all have more work
-// than it can do: with a fixed try for each host, three in eight would be refused and their shards would be missing.
-// Most tries must run, the slots must be used, and no host may starve.
+// Guards against attempts that are shed for good when eight hosts share a replica with five slots and all have more
+// work than it can do: with a fixed attempt for each host, three in eight would be refused and their shards would be
+// missing. Most attempts must run, the slots must be used, and no host may starve.
 func TestHostsShareSlots(t *testing.T) {
 	for seed := range uint64(5) {
 		shareSlots(t, seed)
@@ -69,9 +69,9 @@
 	qt.Assert(t, float64(least)*hosts > 0.5*float64(sum), qt.IsTrue)
 }
 
-// Guards against a burst that floods a replica with cold caches: a new replica must get one try at first, and more only
-// as it replies.
-func TestStartsWithOneTry(t *testing.T) {
+// Guards against a burst that floods a replica with cold caches: a new replica must get one attempt at first, and more
+// only as it replies.
+func TestStartsWithOneAttempt(t *testing.T) {
 	var l limit.Limit
 	now := time.Unix(0, 0)
 	qt.Assert(t, l.Free(now, 0), qt.IsTrue)
--- a/entry/internal/overload/overload.go
+++ b/entry/internal/overload/overload.go
@@ -23,8 +23,8 @@
 
 // Load describes a request and the queues that it meets.
 type Load struct {
-	// Delays holds the expected wait of a try for each shard, at the host and at the replica. Least is the number of
-	// shards that have to answer.
+	// Delays holds the expected wait of an attempt for each shard, at the host and at the replica. Least is the number
+	// of shards that have to answer.
 	Delays []time.Duration
 	Least  int
 	// Spare is the time for which the request can wait and still be answered in time. LeastSpare is the lowest such
@@ -52,7 +52,7 @@
 // Decide decides whether a request is admitted.
 //
 // It handles load above the capacity of the replicas of some or all shards. Each shard has its own queue, and shards
-// that shed independently reject different requests: with one try in six shed at each of ten shards, half of the
+// that shed independently reject different requests: with one attempt in six shed at each of ten shards, half of the
 // requests lack two parts, and the work of the other eight shards is lost. If a few shards are overloaded, requests
 // wait for them until their deadline and fail. A request that is refused as a whole, before anything is sent, costs the
 // replicas no work and its client no time.
--- a/entry/internal/pick/pick.go
+++ b/entry/internal/pick/pick.go
@@ -12,20 +12,20 @@
 	// crossZoneRTT is the round-trip time to another availability zone.
 	crossZoneRTT = 2 * time.Millisecond
 	// nearMaxSlowdown and nearMaxTimeShare bound the estimate up to which a replica in the own zone ranks first,
-	// whatever the estimates of the others. nearMaxSlowdown is a multiple of the usual reply time: it excludes a replica
-	// that is slow or overdue, though not one after a single pause. nearMaxTimeShare is a share of the time in which the
-	// reply is of use: it leaves time for a second try. nearQueueLength is the number of requests of this host in flight
-	// that counts as a queue there.
+	// whatever the estimates of the others. nearMaxSlowdown is a multiple of the usual reply time: it excludes a
+	// replica that is slow or overdue, though not one after a single pause. nearMaxTimeShare is a share of the time in
+	// which the reply is of use: it leaves time for a second attempt. nearQueueLength is the number of requests of this
+	// host in flight that counts as a queue there.
 	nearMaxSlowdown  = 2.5
 	nearMaxTimeShare = 0.4
 	nearQueueLength  = 3
 	// Forget is the time after which measurements of a replica's speed have lost two thirds of their weight. A
-	// disruption lasts for seconds; a replica that was slow is tried again about as long after it.
+	// disruption lasts for seconds; a replica that was slow is selected again about as long after it.
 	Forget = 3 * time.Second
 	// jitter is the largest random addition to an estimate, as a share of it, so that hosts with the same measurements
 	// don't all select the same replica.
 	jitter = 0.2
-	// failureCost is the cost of a failed try, as a multiple of the usual reply time: it has to be retried, from a
+	// failureCost is the cost of a failed attempt, as a multiple of the usual reply time: it has to be retried, from a
 	// bounded budget.
 	failureCost = 4
 )
@@ -43,7 +43,7 @@
 	// Queued is the number of requests of all hosts that wait there, as a multiple of its slots, zero if it does not
 	// report it.
 	Queued float64
-	// Failures is the share of recent tries, 0 to 1, that failed.
+	// Failures is the share of recent attempts, 0 to 1, that failed.
 	Failures float64
 	// Near reports whether it is in the host's own availability zone.
 	Near bool
--- a/entry/internal/quarantine/model_test.go
+++ b/entry/internal/quarantine/model_test.go
@@ -106,15 +106,15 @@
 	first := s.draw(3)
 	for k := range 3 {
 		r := (first + k) % 3
-		try, err := q.Admit(ctx, fp, s.shard, fmt.Sprint("r", r, ".", s.shard))
+		attempt, err := q.Admit(ctx, fp, s.shard, fmt.Sprint("r", r, ".", s.shard))
 		if err != nil {
 			continue
 		}
 		if s.send(r, fp) {
-			try.Answered()
+			attempt.Answered()
 			return
 		}
-		try.Broke()
+		attempt.Broke()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,8 +164,8 @@
 }
 
 // Guards against a crashing request that its caller sends to another host each time. Until a host gets the rumor, it
-// tries the request itself: two more crashes for each host that is used within the delay of a rumor, and none after
-// that.
+// sends the request to replicas itself: two more crashes for each host that is used within the delay of a rumor, and
+// none after that.
 func TestCrashingRequestSentToOtherHosts(t *testing.T) {
 	for _, test := range []struct {
 		every      time.Duration
@@ -182,8 +182,8 @@
 }
 
 // Guards against suspicions that aren't published. A request crashes a replica and its host has no time left to retry.
-// The caller sends it to another host, which would try it twice without the rumor: three crashes in all. With it, the
-// first break at the other host counts as the second.
+// The caller sends it to another host, which would send it to two replicas without the rumor: three crashes in all.
+// With it, the first break at the other host counts as the second.
 func TestSuspicionReachesOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newShardModel(2, 1)
--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -139,17 +139,17 @@
 // Guard calls send for an attempt of shard n on a replica, and records the outcome. It returns an error without calling
 // send if the request is quarantined or may not be sent to that replica now.
 func (q *Quarantine) Guard(ctx context.Context, fp string, n int, replica string, send func() Outcome) error {
-	try, err := q.Admit(ctx, fp, n, replica)
+	attempt, err := q.Admit(ctx, fp, n, replica)
 	if err != nil {
 		return err
 	}
 	switch send() {
 	case Broke:
-		try.Broke()
+		attempt.Broke()
 	case Answered:
-		try.Answered()
+		attempt.Answered()
 	default:
-		try.Left()
+		attempt.Left()
 	}
 	return nil
 }
@@ -167,16 +167,16 @@
 // Admit admits an attempt of shard n on a replica. It waits while the replica runs another suspect or the request's
 // probe at another shard has no outcome yet.
 func (q *Quarantine) Admit(ctx context.Context, fp string, n int, replica string) (*Attempt, error) {
-	try := &Attempt{q: q, fp: fp, n: n, replica: replica}
+	attempt := &Attempt{q: q, fp: fp, n: n, replica: replica}
 	for {
 		q.mu.Lock()
-		wait, err := q.admit(try)
+		wait, err := q.admit(attempt)
 		q.mu.Unlock()
 		if err != nil {
 			return nil, err
 		}
 		if wait == nil {
-			return try, nil
+			return attempt, nil
 		}
 		select {
 		case <-wait:
@@ -188,15 +188,15 @@
 
 // admit admits the attempt, or returns a channel to wait on where the replica runs another suspect or the request has a
 // probe at another shard. q.mu must be held.
-func (q *Quarantine) admit(try *Attempt) (wait <-chan struct{}, err error) {
-	r := q.records[try.fp]
+func (q *Quarantine) admit(attempt *Attempt) (wait <-chan struct{}, err error) {
+	r := q.records[attempt.fp]
 	if r == nil || !q.opts.Clock.Now().Before(r.expires) {
 		return nil, nil
 	}
 	if r.quarantined {
 		return nil, fmt.Errorf("the request is quarantined: it broke connections to two replicas")
 	}
-	s := r.shards[try.n]
+	s := r.shards[attempt.n]
 	if s == nil {
 		return nil, nil
 	}
@@ -204,18 +204,18 @@
 		return nil, fmt.Errorf("the request is a suspect and its one more try runs already")
 	}
 	// A second break on the same replica would prove nothing about the request and cost the replica another crash.
-	if s.failedReplica == try.replica {
+	if s.failedReplica == attempt.replica {
 		return nil, fmt.Errorf("the request is a suspect since its connection to this replica broke; another one has to be tried")
 	}
-	if r.probe != nil || q.retries[try.replica] != nil {
+	if r.probe != nil || q.retries[attempt.replica] != nil {
 		return q.changed, nil
 	}
-	s.retrying, try.retry = true, true
+	s.retrying, attempt.retry = true, true
 	if !r.proceed {
-		r.probe = try
-		q.opts.Clock.AfterFunc(probeTimeout, func() { q.expireProbe(r, try) })
+		r.probe = attempt
+		q.opts.Clock.AfterFunc(probeTimeout, func() { q.expireProbe(r, attempt) })
 	}
-	q.retries[try.replica] = try
+	q.retries[attempt.replica] = attempt
 	return nil, nil
 }
 
--- a/entry/internal/quarantine/shards_test.go
+++ b/entry/internal/quarantine/shards_test.go
@@ -70,9 +70,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := newShardModel(1, 1).hosts[0]
 		for n := range 2 {
-			try, err := q.Admit(t.Context(), "q", n, fmt.Sprint("a", n))
+			attempt, err := q.Admit(t.Context(), "q", n, fmt.Sprint("a", n))
 			qt.Assert(t, err, qt.IsNil)
-			try.Broke()
+			attempt.Broke()
 		}
 		silent, err := q.Admit(t.Context(), "q", 0, "b0")
 		qt.Assert(t, err, qt.IsNil)
@@ -130,9 +130,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := newShardModel(1, 1).hosts[0]
 		admit := func(n int, replica string) *Attempt {
-			try, err := q.Admit(t.Context(), poison, n, replica)
+			attempt, err := q.Admit(t.Context(), poison, n, replica)
 			qt.Assert(t, err, qt.IsNil)
-			return try
+			return attempt
 		}
 		late := admit(1, "a1")
 		admit(0, "a0").Broke()
--- a/entry/internal/spend/spend.go
+++ b/entry/internal/spend/spend.go
@@ -17,33 +17,33 @@
 	retryReserve = 0.25
 )
 
-// Options configures the limit on extra tries, of all hosts together.
+// Options configures the limit on extra attempts, of all hosts together.
 type Options struct {
-	// Ratio is the number of extra tries per request in each Window, Slack a number allowed in addition to it.
+	// Ratio is the number of extra attempts per request in each Window, Slack a number allowed in addition to it.
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
 // Budget is one host's share of the limit for one service.
 //
-// A fault may make many tries fail or be late at once; retrying all of them doubles the load on replicas that are
+// A fault may make many attempts fail or be late at once; retrying all of them doubles the load on replicas that are
 // already overloaded. A token bucket allows a full burst on top of the full rate within one window, so Budget counts
-// the tries in the window itself.
+// the attempts in the window itself.
 type Budget struct {
 	opts Options
 
 	mu sync.Mutex
 	// epoch is the time of first use. Slots are counted from it, since the wall clock may jump.
-	epoch      time.Time
-	current    int64
-	requests   [2 * windowSlots]float64
-	extraTries [2 * windowSlots]float64
+	epoch         time.Time
+	current       int64
+	requests      [2 * windowSlots]float64
+	extraAttempts [2 * windowSlots]float64
 }
 
 // New returns an unused budget.
 func New(opts Options) *Budget { return &Budget{opts: opts} }
 
-// Request counts a request, on its first try.
+// Request counts a request, on its first attempt.
 func (b *Budget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,16 +58,16 @@
 // sent.
 func (b *Budget) Hedge(now time.Time, share float64) bool { return b.take(now, share, 1-retryReserve) }
 
-// Unsend refunds an extra try that was not sent.
+// Unsend refunds an extra attempt that was not sent.
 func (b *Budget) Unsend(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if i := b.advance(now); b.extraTries[i] > 0 {
-		b.extraTries[i]--
+	if i := b.advance(now); b.extraAttempts[i] > 0 {
+		b.extraAttempts[i]--
 	}
 }
 
-// take takes one extra try from a share of the budget, usable, and reports whether it may be sent.
+// take takes one extra attempt from a share of the budget, usable, and reports whether it may be sent.
 func (b *Budget) take(now time.Time, share, usable float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,7 +76,7 @@
 	if b.extraCount()+1 > usable*allowed {
 		return false
 	}
-	b.extraTries[i]++
+	b.extraAttempts[i]++
 	return true
 }
 
@@ -91,11 +91,11 @@
 	return max(last, before)
 }
 
-// extraCount returns the number of extra tries in the current slot and the whole window before it.
+// extraCount returns the number of extra attempts in the current slot and the whole window before it.
 func (b *Budget) extraCount() float64 {
 	sum := 0.0
 	for i := range int64(windowSlots + 1) {
-		sum += b.extraTries[slotIndex(b.current-i)]
+		sum += b.extraAttempts[slotIndex(b.current-i)]
 	}
 	return sum
 }
@@ -108,7 +108,7 @@
 	at := int64(now.Sub(b.epoch) / (b.opts.Window / windowSlots))
 	for b.current < at {
 		b.current = max(b.current+1, at-2*windowSlots)
-		b.requests[slotIndex(b.current)], b.extraTries[slotIndex(b.current)] = 0, 0
+		b.requests[slotIndex(b.current)], b.extraAttempts[slotIndex(b.current)] = 0, 0
 	}
 	return slotIndex(b.current)
 }
--- a/entry/internal/spend/spend_test.go
+++ b/entry/internal/spend/spend_test.go
@@ -12,8 +12,8 @@
 
 const window = 10 * time.Second
 
-// Guards against more extra tries than the limit allows in any ten seconds, wherever they begin. Six hosts, with load
-// that changes, retry at random moments.
+// Guards against more extra attempts than the limit allows in any ten seconds, wherever they begin. Six hosts, with
+// load that changes, retry at random moments.
 func TestNoWindowExceedsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 6
@@ -39,7 +39,7 @@
 		for _, end := range events {
 			extra, requests := windowCounts(events, end.at)
 			if allowed := opts.Ratio*requests + opts.Slack; extra > allowed {
-				t.Fatalf("%v extra tries in the window that ends at %v, %v allowed", extra, end.at, allowed)
+				t.Fatalf("%v extra attempts in the window that ends at %v, %v allowed", extra, end.at, allowed)
 			}
 		}
 	})
@@ -50,8 +50,8 @@
 	extra bool
 }
 
-// windowCounts returns the number of extra tries in the window that ends at end, and the largest number of requests in
-// that window, the one before it, or the one that ends half a window earlier.
+// windowCounts returns the number of extra attempts in the window that ends at end, and the largest number of requests
+// in that window, the one before it, or the one that ends half a window earlier.
 func windowCounts(events []event, end time.Duration) (extra, requests float64) {
 	count := func(end time.Duration, extra bool) float64 {
 		n := 0.0
@@ -84,7 +84,7 @@
 	qt.Assert(t, b.Retry(now.Add(window+window/20), 1), qt.IsTrue)
 }
 
-// Guards against charging the budget for a try that was not sent.
+// Guards against charging the budget for an attempt that was not sent.
 func TestUnsend(t *testing.T) {
 	b := spend.New(spend.Options{Ratio: 0, Slack: 2, Window: window})
 	now := time.Unix(0, 0)
