--- a/entry/internal/allowance/account.go
+++ b/entry/internal/allowance/account.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// loanFor is how long what a keeper granted beyond one request is good for.
+	// loanFor is the lifetime of the tokens that a keeper grants in advance of the requests that use them.
 	loanFor = 200 * time.Millisecond
-	// refusedFor is how long the keeper's refusal is taken as its answer to the requests that follow.
+	// refusedFor is how long a keeper's refusal also applies to later requests of the customer.
 	refusedFor = 50 * time.Millisecond
-	// demandOver is over how long the requests of a customer are averaged.
+	// demandOver is the time constant of the moving average of a customer's request rate.
 	demandOver = time.Second
-	// advanceAgain is how long a bucket gets no more tokens in advance after it got some.
+	// advanceAgain is the least time between two advances of tokens to a bucket.
 	advanceAgain = 10 * time.Second
-	// unsurePart is the part of what a deputy or a new keeper gives out of the parts that nobody brought to it. Most of
-	// them are unused, as the keeper before it is gone; where it is only cut off, few hosts reach it.
+	// unsurePart is the fraction of the unclaimed shares that a deputy or a new keeper grants from. Most of them are
+	// unused because the previous keeper is gone; if it is only partitioned, few hosts still reach it.
 	unsurePart = 0.35
-	// mostLoan is the most tokens of one loan.
+	// mostLoan is the maximum number of tokens in one grant.
 	mostLoan = 1 << 16
 )
 
-// account is what one host knows of a customer's limit.
+// account is one host's state of one customer's limit.
 type account struct {
-	// pool is the bucket that this host keeps as the customer's keeper or deputy, as of pooledAt, and parts are the hosts
-	// whose parts are in it.
+	// pool is the bucket that this host holds as the customer's keeper or deputy, last updated at pooledAt. parts are the
+	// hosts whose shares of the limit may be in it.
 	pool     *bucket.Bucket
 	pooledAt time.Time
 	parts    partners
-	// keeperSince is when this host became the customer's keeper; zero means that it isn't.
+	// keeperSince is when this host became the customer's keeper, or zero if it isn't the keeper.
 	keeperSince time.Time
-	// advancedAt is when the pool last got tokens in advance.
+	// advancedAt is when the pool last received an advance of tokens.
 	advancedAt time.Time
-	// own is the bucket of this host's own part, for the time in which it reaches nobody.
+	// own is the bucket of this host's own share, used while it can reach neither the keeper nor a deputy.
 	own reserve
-	// lender has this host's part until lentUntil.
+	// lender is the ID of the host that uses this host's share until lentUntil.
 	lender    string
 	lentUntil time.Time
-	// loan tokens are good until loanEnd.
+	// loan is the number of unused tokens granted in advance. They expire at loanEnd.
 	loan    int
 	loanEnd time.Time
-	// refusedUntil is how long the lender's refusal counts, comeBack when a client that it concerns should come back,
-	// and refused counts those since.
+	// refusedUntil is when the last refusal by another host expires, comeBack is when the refused clients should retry,
+	// and refused counts the requests that were refused locally since the last report.
 	refusedUntil, comeBack time.Time
 	refused                int
-	// asking counts the requests that wait for an answer of another host.
+	// asking is the number of requests that wait for a reply of another host.
 	asking int
-	// demand is how many requests a second came lately, as of demandAt.
+	// demand is the average request rate per second as of demandAt.
 	demand   float64
 	demandAt time.Time
 }
 
-// count notes a request.
+// count adds a request to the average request rate.
 func (a *account) count(now time.Time) {
 	if !a.demandAt.IsZero() {
 		a.demand *= math.Exp(-now.Sub(a.demandAt).Seconds() / demandOver.Seconds())
@@ -63,8 +63,8 @@
 	a.demandAt = now
 }
 
-// want returns how many tokens to ask for: one, and what will be used before a loan ends, unless another request asks
-// for that.
+// want returns the number of tokens to ask for: enough for the requests expected within the lifetime of a grant, or one
+// if another request in flight already asks for those.
 func (a *account) want() int {
 	if a.asking > 0 {
 		return 1
@@ -72,7 +72,7 @@
 	return min(mostLoan, max(1, int(a.demand*loanFor.Seconds())))
 }
 
-// borrow takes a token of a loan.
+// borrow takes one of the tokens granted in advance and reports whether there was one.
 func (a *account) borrow(now time.Time) bool {
 	if a.loan == 0 || !now.Before(a.loanEnd) {
 		return false
@@ -81,7 +81,7 @@
 	return true
 }
 
-// free returns how long this host's part still belongs to another lender than one with an id.
+// free returns the time until a host with the given ID may use this host's share, zero if it already does.
 func (a *account) free(now time.Time, lender string) time.Duration {
 	if a.lender == lender {
 		return 0
@@ -89,13 +89,13 @@
 	return max(0, a.lentUntil.Sub(now))
 }
 
-// lend notes that a lender has this host's part from now on, for as long as it is asked.
+// lend records that another host uses this host's share from now on, and stops this host's own bucket.
 func (a *account) lend(now time.Time, lender string) {
 	a.lender, a.lentUntil = lender, now.Add(partFor)
 	a.own.pause(now)
 }
 
-// granted takes over what a lender granted for a request and those that follow it.
+// granted stores the tokens that are left of a grant after the request that asked for it.
 func (a *account) granted(now time.Time, tokens int) {
 	if !now.Before(a.loanEnd) {
 		a.loan = 0
@@ -104,21 +104,21 @@
 	a.loanEnd = now.Add(loanFor)
 }
 
-// refusal takes over a lender's refusal.
+// refusal stores the refusal of another host.
 func (a *account) refusal(now time.Time, after time.Duration) {
 	a.refusedUntil = now.Add(min(after, refusedFor))
 	a.comeBack = now.Add(after)
 }
 
-// unreported returns how many requests were refused since the last report to the lender.
+// unreported returns the number of locally refused requests since the last report and resets it.
 func (a *account) unreported() int {
 	n := a.refused
 	a.refused = 0
 	return n
 }
 
-// keep brings the bucket up to date that this host keeps as the customer's keeper, with the parts of all serving hosts
-// but of those that seem to have gone elsewhere.
+// keep updates the pool of this host as the customer's keeper. The pool holds the shares of all serving hosts except those
+// that seem to be in use elsewhere.
 func (a *account) keep(now time.Time, c *route.Customer, f *fleet, slack float64) *bucket.Bucket {
 	if now.Sub(a.keeperSince) <= provenFor {
 		return a.stand(now, c, f, slack)
@@ -133,9 +133,9 @@
 	return a.pool
 }
 
-// stand brings the bucket up to date that this host keeps as the customer's deputy, or as its keeper since a moment ago.
-// It has the parts that were brought to it, as those of other hosts may be with another one, and so much besides that
-// the customer stays within what may run over its limit until all hosts know who its keeper is.
+// stand updates the pool of this host as the customer's deputy or its new keeper. The pool holds the shares of the hosts
+// that asked this one, as the other shares may be in use at another keeper, plus as much of the others as keeps the
+// customer within the tolerated excess until all hosts agree on its keeper.
 func (a *account) stand(now time.Time, c *route.Customer, f *fleet, slack float64) *bucket.Bucket {
 	if a.pool == nil {
 		a.pool = bucket.New(now, 0, 0, 0)
@@ -155,13 +155,13 @@
 	return a.pool
 }
 
-// assign notes whether this host is the customer's keeper from now on.
+// assign sets whether this host is the customer's keeper.
 func (a *account) assign(now time.Time, keeper bool) {
 	switch {
 	case !keeper && !a.keeperSince.IsZero():
 		a.keeperSince = time.Time{}
 		if a.pool != nil {
-			// What comes from now on is given out by another host.
+			// From now on another host grants the tokens of this rate.
 			a.pool.Set(now, 0, math.Inf(1))
 		}
 	case keeper && a.keeperSince.IsZero():
@@ -169,7 +169,7 @@
 	}
 }
 
-// alone brings the bucket of this host's own part up to date, which it has once no lender has it any more.
+// alone updates the bucket of this host's own share. Its rate is zero while another host uses that share.
 func (a *account) alone(now time.Time, c *route.Customer, share, advance float64) *bucket.Bucket {
 	if now.Before(a.lentUntil) {
 		share = 0
--- a/entry/internal/allowance/doc.go
+++ b/entry/internal/allowance/doc.go
@@ -1,2 +1,3 @@
-// Package allowance decides whether a customer's request is within the number that may run on all hosts together.
+// Package allowance enforces a customer's request rate limit across all hosts. One host, the customer's keeper, holds the
+// token bucket that the others take tokens from; deputies stand in for a keeper that can't be reached.
 package allowance
--- a/entry/internal/allowance/fleet.go
+++ b/entry/internal/allowance/fleet.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// rememberFor is how long a host that has vanished keeps its part of every limit: it may be cut off and go on. Hosts
+	// rememberFor is how long a missing host keeps its share of every limit, as it may be partitioned and still run. Hosts
 	// that are gone for good are replaced within a minute.
 	rememberFor = time.Minute
-	// noteEvery is how often it is noted which hosts serve.
+	// noteEvery is the interval at which the serving hosts are recorded.
 	noteEvery = time.Second
-	// provenFor is how long a host is known before it keeps buckets: one that has just started doesn't know the others,
-	// and what it would keep is in good hands.
+	// provenFor is how long a host must be known before it can be a keeper. A host that has just started doesn't have the
+	// member list yet, and the buckets that it would hold already have a keeper.
 	provenFor = 2 * time.Second
-	// mostKeepers is how many hosts keep buckets, so that each host has connections to few.
+	// mostKeepers is the maximum number of hosts that are keepers. It bounds the connections of each host.
 	mostKeepers = 16
-	// mostDeputies is how many hosts are asked in a keeper's place.
+	// mostDeputies is the maximum number of deputies of a customer.
 	mostDeputies = 3
-	// keepers is the purpose by which the hosts are ranked that keep buckets.
+	// keepers is the key by which hosts are ranked to choose the keepers.
 	keepers = "allowance keepers"
 )
 
-// fleet is what follows from the serving hosts: who keeps which customer's bucket, and how many parts a limit has.
+// fleet derives each customer's keeper and the number of shares of a limit from the serving hosts.
 type fleet struct {
-	// serving are the hosts of the newest view, and since is when the keepers became what they are.
+	// serving lists the serving hosts of the latest view, and since is when the keepers last changed.
 	serving []member.Host
 	since   time.Time
-	// self is this host.
+	// self is the ID of this host.
 	self string
-	// keepers are those that keep buckets, and ranked what was worked out for each customer.
+	// keepers lists the hosts that can be keepers, and ranked caches the ranking of each customer.
 	keepers []member.Host
 	ranked  map[string]ranking
-	// proven are the serving hosts that are known for long enough, met holds when each serving host was first seen, by
-	// id, and provenAt when the next of them is proven; zero means that all are.
+	// proven lists the serving hosts that have been known for at least provenFor. met holds when each serving host was
+	// first seen, by ID. provenAt is when the next host becomes proven, or zero if all are.
 	proven   []member.Host
 	met      map[string]time.Time
 	provenAt time.Time
-	// seen holds when each serving host was seen last, by address, as of noted.
+	// seen holds when each serving host was last seen, by address, as of noted.
 	seen  map[netip.AddrPort]time.Time
 	noted time.Time
-	// reported is into how many parts other hosts cut a limit, as of reportedAt.
+	// reported is the number of shares that other hosts divide a limit into, as of reportedAt.
 	reported   int
 	reportedAt time.Time
-	// settledAt is when this host had met the others; zero where it had when it looked first, has not yet, or knows that
-	// another one had long before.
+	// settledAt is when this host had discovered the others. It is zero if it had done so before the first update, has not
+	// done so yet, or another host reported to have done so long ago.
 	settledAt time.Time
 	unsettled bool
 }
 
-// ranking is what follows from the serving hosts for one customer.
+// ranking holds the keeper and deputies of one customer.
 type ranking struct {
-	// keeper keeps the customer's bucket, and deputies are asked in turn by those that don't reach it.
+	// keeper is the ID of the customer's keeper. Hosts that can't reach it ask the deputies in this order.
 	keeper   string
 	deputies []string
-	// place is that of this host among the serving ones, or their number where it isn't one of them.
+	// place is the rank of this host among the serving hosts, or their number if it doesn't serve.
 	place int
 }
 
@@ -65,7 +65,7 @@
 	return fleet{met: map[string]time.Time{}, seen: map[netip.AddrPort]time.Time{}}
 }
 
-// update takes over a view and reports whether the keepers may have changed.
+// update applies a view and reports whether the keepers may have changed.
 func (f *fleet) update(now time.Time, v View) bool {
 	if f.unsettled && v.Settled {
 		f.settledAt = now
@@ -86,7 +86,7 @@
 	return true
 }
 
-// same reports whether two lists name the same hosts.
+// same reports whether two lists contain the same hosts in the same order.
 func same(a, b []member.Host) bool {
 	if len(a) != len(b) || len(a) == 0 || &a[0] == &b[0] {
 		return len(a) == len(b)
@@ -99,12 +99,12 @@
 	return true
 }
 
-// note records which hosts serve now, and drops those that have not for a while, and those that live and don't serve any
-// more, which use no part.
+// note records which hosts serve now. It drops hosts that have not served for rememberFor, and hosts that are alive but
+// don't serve any more, as these use no share.
 func (f *fleet) note(now time.Time, v View) {
 	f.noted = now
 	if !v.Settled {
-		// Of the few hosts that it knows the weak ones serve, too.
+		// Until the others are discovered, hosts that are too weak to serve count as serving, too.
 		clear(f.seen)
 	}
 	for _, h := range v.Hosts {
@@ -122,8 +122,8 @@
 	}
 }
 
-// meet notes when the hosts were first seen. A host that has just started itself, or looks for the first time, can't
-// distinguish them, and assumes that all are proven.
+// meet records when the hosts were first seen. On a host that has just started, or on the first update, all hosts are new,
+// so that all count as proven.
 func (f *fleet) meet(now time.Time, v View) {
 	before := f.met
 	f.met = make(map[string]time.Time, len(f.serving))
@@ -140,7 +140,7 @@
 	}
 }
 
-// prove finds the serving hosts that are known for long enough.
+// prove collects the serving hosts that have been known for at least provenFor.
 func (f *fleet) prove(now time.Time) {
 	f.proven, f.provenAt = nil, time.Time{}
 	for _, h := range f.serving {
@@ -155,7 +155,7 @@
 	}
 }
 
-// of returns what follows for a customer.
+// of returns the ranking of a customer.
 func (f *fleet) of(customer string) ranking {
 	r, ok := f.ranked[customer]
 	if ok {
@@ -178,7 +178,7 @@
 	return r
 }
 
-// serves reports whether clients are sent to this host.
+// serves reports whether this host is a serving host.
 func (f *fleet) serves() bool {
 	return slices.ContainsFunc(f.serving, func(h member.Host) bool { return h.ID == f.self })
 }
@@ -186,7 +186,7 @@
 // keeps reports whether this host is a customer's keeper.
 func (f *fleet) keeps(customer string) bool { return f.self != "" && f.of(customer).keeper == f.self }
 
-// host returns the serving host with an id.
+// host returns the keeper candidate with the given ID.
 func (f *fleet) host(id string) member.Host {
 	for _, h := range f.keepers {
 		if h.ID == id {
@@ -196,18 +196,18 @@
 	return member.Host{}
 }
 
-// parts returns into how many parts a limit is cut: one for each host that serves, or did a moment ago, as far as this
-// host or one that has asked it knows.
+// parts returns the number of shares that a limit is divided into: one for each host that serves or served recently,
+// according to this host or one that has asked it.
 func (f *fleet) parts() float64 { return float64(max(f.known(), f.reported)) }
 
-// share returns which share of a limit some parts are.
+// share returns the given number of shares as a fraction of the limit.
 func (f *fleet) share(parts int) float64 { return min(1, float64(parts)/f.parts()) }
 
-// known returns the same as far as this host knows.
+// known returns the number of shares according to this host alone.
 func (f *fleet) known() int { return max(1, len(f.seen)) }
 
-// hear takes over what a host reports with its question. It counts for a moment: that host may have met others which this
-// one learns of a little later.
+// hear applies the report in a request of another host. The report expires after provenFor: that host may have discovered
+// hosts that this one discovers a little later.
 func (f *fleet) hear(now time.Time, args *Args) {
 	if args.Parts >= f.reported || now.Sub(f.reportedAt) > provenFor {
 		f.reported, f.reportedAt = args.Parts, now
@@ -217,8 +217,8 @@
 	}
 }
 
-// young reports whether this host, and perhaps all others, have met a moment ago.
+// young reports whether this host, and possibly the whole fleet, has discovered the others only recently.
 func (f *fleet) young(now time.Time) bool { return f.unsettled || now.Sub(f.settledAt) < youngFor }
 
-// first reports whether this host is the first that is asked in a keeper's place.
+// first reports whether this host is the first deputy.
 func (r *ranking) first(self string) bool { return len(r.deputies) > 0 && r.deputies[0] == self }
--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -12,65 +12,66 @@
 )
 
 const (
-	// askFor bounds the wait for a keeper, which is in the same region.
+	// askFor is the timeout of a request to a keeper, which is in the same region.
 	askFor = 60 * time.Millisecond
-	// askPart is the part of the time that a request has left which the wait for a keeper may take.
+	// askPart is the fraction of a request's remaining time that the wait for a keeper may take.
 	askPart = 0.25
-	// keeperRest is how long a keeper that did not answer is not asked again, and declinedRest one that declined.
+	// keeperRest is the backoff after a host failed to reply, and declinedRest the backoff after it declined.
 	keeperRest, declinedRest = time.Second, 200 * time.Millisecond
-	// spare, bridge and advance are the parts of what may run over a limit that a bucket holds beyond the burst, that a
-	// deputy or a new keeper gives out in place of parts that may be with another one, and that hosts without either
-	// may use in advance. The rest is for requests that were let in before others knew it.
+	// These are fractions of Options.Slack: spare is what a bucket holds beyond the burst, bridge is what a deputy or a
+	// new keeper grants in place of shares that may be in use elsewhere, and advance is what hosts that reach neither
+	// keeper nor deputy may use in advance. The rest covers requests that were admitted before they were reported to
+	// other hosts.
 	spare, bridge, advance = 0.2, 0.3, 0.3
-	// faster is the part of what may run over a limit for each request within it by which tokens come faster than the
-	// limit says: the hosts' clocks and ways differ, and a customer just within its limit is to be refused nothing.
+	// faster is the fraction of Options.Excess by which buckets are refilled faster than the limit. Clocks and latencies
+	// differ between hosts, and a customer just within its limit must not be refused.
 	faster = 0.4
-	// youngFor is how long after it has met the others a host gives out youngPart of a limit and of what may run over
-	// it: where all start at once each may know half of the others, and takes the parts for twice what they are.
+	// youngFor is how long a host that has just discovered the others grants only youngPart of a limit and of its slack.
+	// If all hosts start at once, each may know only half of the others and compute shares twice too large.
 	youngFor, youngPart = 2 * time.Second, 0.5
-	// mostAsks is how many hosts are asked for one request: the keeper that this host knows, the one that that host
-	// knows, and a deputy.
+	// mostAsks is the maximum number of hosts asked for one request: the keeper in this host's view, the keeper that it
+	// refers to, and a deputy.
 	mostAsks = 3
-	// forgetEvery is how often accounts are dropped whose customers are gone from the configuration.
+	// forgetEvery is the interval at which the accounts of customers that left the configuration are dropped.
 	forgetEvery = 10 * time.Second
 )
 
 // Options configures a Ledger.
 type Options struct {
 	Clock clock.Clock
-	// View returns what the host knows of the others.
+	// View returns the host's current view of the member list.
 	View func() View
-	// Customer returns the customer with a name in the configuration in force, or nil.
+	// Customer returns the customer with the given name in the configuration in force, or nil.
 	Customer func(name string) *route.Customer
-	// Ask asks another host for tokens.
+	// Ask requests tokens from another host.
 	Ask func(ctx context.Context, keeper member.Host, args Args) (Reply, error)
-	// Failed is called with a keeper that did not answer; it may be nil.
+	// Failed is called with a keeper that did not reply. It may be nil.
 	Failed func(keeper member.Host, err error)
-	// Slack is how many requests of a customer over its limit may run in a window, on all hosts together.
+	// Slack is the number of requests over a customer's limit that may run in a window on all hosts together.
 	Slack int
-	// Excess is the share of a limit that may run over it besides.
+	// Excess is the fraction of a limit that may run over it in addition to Slack.
 	Excess float64
 }
 
-// Ledger holds one host's accounts of all customers.
+// Ledger enforces the limits of all customers on one host.
 //
-// It answers customers whose requests come to any host while their limit holds for all hosts together. A limit is cut
-// into equal parts, one for each host that clients are sent to. The hosts that see each other put their parts together
-// in one bucket, kept by the one of them that ranks first for the customer, which grants each request where it comes.
-// Hosts that don't reach that one bring their parts to those that rank next, and a host that reaches none of them has
-// its own part left. Who has brought its part does not use it elsewhere for a while, and who was brought it does not
-// use it for longer. What may run over a limit covers the moments in which a keeper counts parts of hosts that have
-// nothing to ask for.
+// Requests of a customer may arrive at any host, while the limit applies to all hosts together. A limit is divided into
+// equal shares, one per serving host. Hosts that reach each other pool their shares in one token bucket, held by the
+// customer's keeper, which is the host that ranks first for the customer. Every host asks the keeper for tokens. Hosts
+// that can't reach the keeper pool their shares at its deputies, which rank next, and a host that reaches none of them
+// uses only its own share. A host doesn't use its share for partFor after it asked for tokens, and the host that it asked
+// doesn't use that share for longer than that. Options.Slack and Options.Excess cover the moments in which a keeper counts
+// the shares of hosts that don't ask for tokens.
 //
-// With fixed parts alone, a customer of one request a second whose clients come to some of fifty hosts finds none that
-// has a whole token for it.
+// Fixed shares alone fail small customers: with a limit of one request a second and clients spread over fifty hosts, no
+// host has a whole token.
 type Ledger struct {
 	opts Options
 
 	mu       sync.Mutex
 	fleet    fleet
 	accounts map[string]*account
-	// resting holds the keepers that are not asked, until when.
+	// resting holds the end of the backoff of each host that failed or declined, by ID.
 	resting  map[string]time.Time
 	forgotAt time.Time
 }
@@ -83,7 +84,7 @@
 	return &Ledger{opts: opts, fleet: newFleet(), accounts: map[string]*account{}, resting: map[string]time.Time{}}
 }
 
-// Take decides about one request.
+// Take decides whether one request is within its customer's limit.
 func (l *Ledger) Take(ctx context.Context, req Request) Decision {
 	c := req.Customer
 	if !c.Limited() {
@@ -108,13 +109,13 @@
 	return l.own(c)
 }
 
-// referral is what a host said that was asked and doesn't decide.
+// referral names the keeper that a host referred to in place of a decision.
 type referral struct {
 	by string
 	to member.Host
 }
 
-// Look takes note of the hosts that serve, so that it is known how long each has served when a request comes.
+// Look records the serving hosts. Called regularly, it keeps the times since which each has served accurate.
 func (l *Ledger) Look() {
 	now, v := l.opts.Clock.Now(), l.opts.View()
 	l.mu.Lock()
@@ -128,22 +129,22 @@
 	return l.opts.Ask(ctx, q.host, q.args)
 }
 
-// question is what another host is asked.
+// question is a request for tokens to another host.
 type question struct {
 	host member.Host
 	args Args
-	// from is what its answer counts as.
+	// from is the source of a decision by the reply.
 	from Source
 }
 
-// count notes a request of a customer.
+// count adds a request to the customer's average request rate.
 func (l *Ledger) count(c *route.Customer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.account(c.Name).count(l.opts.Clock.Now())
 }
 
-// decide decides by what this host and one that has referred it to another know, or returns what to ask.
+// decide decides from local state, or returns the request to send to another host.
 func (l *Ledger) decide(now time.Time, req *Request, from referral) (Decision, *question) {
 	c, v := req.Customer, l.opts.View()
 	l.mu.Lock()
@@ -163,7 +164,7 @@
 		return Decision{}, l.question(now, v, req, a, from.to)
 	case l.reachable(now, v, r.keeper):
 		q := l.question(now, v, req, a, l.fleet.host(r.keeper))
-		// The one that it has named doesn't answer.
+		// The host that the keeper referred to doesn't reply.
 		q.args.Deputy = from.by == r.keeper
 		return Decision{}, q
 	case r.first(v.Self) && v.Settled:
@@ -179,7 +180,7 @@
 	return l.alone(now, v, c, a), nil
 }
 
-// reachable reports whether another host with an id can be asked.
+// reachable reports whether the given ID is that of another host that is not in backoff.
 func (l *Ledger) reachable(now time.Time, v View, id string) bool {
 	return id != "" && id != v.Self && !now.Before(l.resting[id])
 }
@@ -193,10 +194,10 @@
 	return q
 }
 
-// take takes tokens of a bucket.
+// take takes up to want tokens from a bucket.
 //
-// It answers a customer far over its limit, whose refused clients come back. Served in the order in which they came
-// first, all of them would be late; so one that comes back is served from what those that come first leave over.
+// Retries of refused clients get tokens only while the bucket is more than half full. If the refused requests of a customer
+// far over its limit were served before new ones, all of its responses would be late.
 func take(now time.Time, b *bucket.Bucket, again bool, want int) int {
 	if again {
 		return b.TakeSpare(now, 1)
@@ -204,7 +205,7 @@
 	return b.Take(now, want)
 }
 
-// taken takes a token of a bucket for one request.
+// taken decides one request by taking a token from a bucket.
 func taken(now time.Time, b *bucket.Bucket, again bool, from Source) Decision {
 	if take(now, b, again, 1) == 1 {
 		return Decision{Admitted: true, Source: from}
@@ -212,7 +213,7 @@
 	return Decision{Source: from, RetryAfter: b.Refuse(now)}
 }
 
-// update takes over a view of the hosts, and drops what is not needed any more.
+// update applies a view of the member list and drops expired state.
 func (l *Ledger) update(now time.Time, v View) {
 	if l.fleet.update(now, v) {
 		for name, a := range l.accounts {
@@ -245,20 +246,20 @@
 	return a
 }
 
-// asker is a host that asks for tokens; its part, where clients are sent to it, is free in a while.
+// asker is a host that asks for tokens. If it serves, its share may be used after the duration free.
 type asker struct {
 	id     string
 	serves bool
 	free   time.Duration
 }
 
-// self returns this host as one that asks itself.
+// self returns the asker for requests that arrive at this host.
 func (l *Ledger) self(now time.Time, a *account) asker {
 	return asker{id: l.fleet.self, serves: l.fleet.serves(), free: a.free(now, l.fleet.self)}
 }
 
-// pool returns the bucket that this host keeps for hosts that ask it, one of which asks now. A host that is asked though
-// it is neither the keeper nor the first in its place has the parts that are brought to it and no more.
+// pool records a request for tokens by asker and returns the updated pool. On a host that is neither the keeper nor the
+// first deputy, the pool gets no slack.
 func (l *Ledger) pool(now time.Time, c *route.Customer, a *account, asker asker) *bucket.Bucket {
 	if asker.serves {
 		a.parts.ask(now, asker.id, asker.free)
@@ -278,14 +279,14 @@
 	return a.stand(now, c, &l.fleet, 0)
 }
 
-// generous returns a customer's limit with what its bucket gives beyond it.
+// generous returns a copy of the customer with the rate at which its buckets are refilled.
 func (l *Ledger) generous(c *route.Customer) *route.Customer {
 	more := *c
 	more.PerSecond *= 1 + faster*l.opts.Excess
 	return &more
 }
 
-// own decides by this host's own part of the limit, after nobody could be asked.
+// own decides by this host's own share of the limit, once no other host could decide.
 func (l *Ledger) own(c *route.Customer) Decision {
 	now, v := l.opts.Clock.Now(), l.opts.View()
 	l.mu.Lock()
@@ -294,8 +295,8 @@
 	return l.alone(now, v, c, l.account(c.Name))
 }
 
-// alone decides by this host's own part of the limit. A host that has just started doesn't know how large its part is,
-// and may use a token in advance once it knows others, and that few of them come before it.
+// alone decides by this host's own share of the limit. A host that has just started can't compute its share yet. It may
+// use one token in advance once it has discovered other hosts and only a few of them rank before it.
 func (l *Ledger) alone(now time.Time, v View, c *route.Customer, a *account) Decision {
 	share, tokens := 0.0, 0.0
 	place := l.fleet.of(c.Name).place
@@ -307,12 +308,12 @@
 		tokens = 1
 	}
 	d := taken(now, a.alone(now, c, share, tokens), false, SourcePart)
-	// Somebody can be asked again by then.
+	// The backoff of another host is over by then.
 	d.RetryAfter = min(d.RetryAfter, keeperRest)
 	return d
 }
 
-// answered decides by the reply of a host that was asked; it reports false where that host doesn't decide.
+// answered decides by the reply of another host. It returns false if that host failed or doesn't decide.
 func (l *Ledger) answered(c *route.Customer, q *question, rep Reply, err error) (Decision, bool) {
 	if err != nil {
 		l.opts.Failed(q.host, err)
@@ -343,7 +344,7 @@
 	return Decision{Source: q.from, RetryAfter: rep.RetryAfter}, true
 }
 
-// Lend grants tokens to another host, or declines where this host doesn't decide about the customer, and says who does.
+// Lend grants tokens to another host. If this host isn't the customer's keeper, it declines and refers to the keeper.
 func (l *Ledger) Lend(args *Args, rep *Reply) error {
 	now, v, c := l.opts.Clock.Now(), l.opts.View(), l.opts.Customer(args.Customer)
 	l.mu.Lock()
@@ -368,7 +369,7 @@
 	return nil
 }
 
-// declines returns why a host with a view doesn't decide about a customer for another one, or nothing.
+// declines returns the reason why this host can't decide for other hosts, or the empty string.
 func declines(v View, c *route.Customer) string {
 	switch {
 	case !v.Settled:
--- a/entry/internal/allowance/messages.go
+++ b/entry/internal/allowance/messages.go
@@ -9,78 +9,80 @@
 
 // Request is one request of a customer.
 type Request struct {
-	// Customer may be nil, which has no limit.
+	// Customer may be nil, which means no limit.
 	Customer *route.Customer
-	// Deadline is when the client gives up.
+	// Deadline is when the client times out.
 	Deadline time.Time
-	// Again says that its client was refused before and comes back.
+	// Again marks a retry by a client that was refused before.
 	Again bool
 }
 
-// Args asks the host that keeps a customer's bucket for tokens.
+// Args is a request for tokens to a customer's keeper or deputy.
 type Args struct {
 	Customer string
-	// From is the id of the asking host.
+	// From is the ID of the asking host.
 	From string
-	// Deputy says that the asking host doesn't reach the keeper, and asks this one in its place.
+	// Deputy marks a request to a deputy because the keeper can't be reached.
 	Deputy bool
-	// Again says that it is for a client that comes back.
+	// Again marks a request for a retry by a refused client.
 	Again bool
-	// Want is how many requests may run if all of it is granted.
+	// Want is the maximum number of tokens to grant.
 	Want int
-	// Refused counts the requests that the asking host has refused without asking since it asked last.
+	// Refused is the number of requests that the asking host has refused locally since its last request.
 	Refused int
-	// Parts is into how many parts the asking host cuts a limit, and Old says that it has met the others long ago.
+	// Parts is the number of shares that the asking host divides a limit into, and Old reports that it discovered the
+	// other hosts long ago.
 	Parts int
 	Old   bool
-	// Serves says that clients are sent to the asking host, so that it has a part of the limit, and Free how long that
-	// still belongs to another host.
+	// Serves reports that the asking host is a serving host, so that it has a share of the limit. Free is how long that
+	// share still belongs to another host.
 	Serves bool
 	Free   time.Duration
 }
 
-// Reply is what the keeper grants.
+// Reply is the reply of a keeper or deputy.
 type Reply struct {
+	// Granted is the number of tokens.
 	Granted int
-	// Declined says why the host doesn't decide about the customer, empty where it does.
+	// Declined is the reason why the host doesn't decide, empty if it does.
 	Declined string
-	// Keeper is the host that decides, where this one knows it.
+	// Keeper is the customer's keeper in the view of the declining host, if any.
 	Keeper member.Host
-	// RetryAfter is when to come back where nothing was granted.
+	// RetryAfter is the time until the refused client should retry if nothing was granted.
 	RetryAfter time.Duration
 }
 
-// Source says where the decision about a request was made.
+// Source identifies the state that a decision was based on.
 type Source string
 
 // The sources of decisions.
 const (
 	// SourceUnlimited means that the customer has no limit.
 	SourceUnlimited Source = "unlimited"
-	// SourceKept means that this host keeps the customer's bucket.
+	// SourceKept means that this host is the customer's keeper.
 	SourceKept Source = "kept"
-	// SourceLoan means that the keeper had granted more than was asked for.
+	// SourceLoan means that a token was used that had been granted in advance.
 	SourceLoan Source = "loan"
-	// SourceKeeper means that the keeper was asked.
+	// SourceKeeper means that the keeper decided.
 	SourceKeeper Source = "keeper"
-	// SourceDeputy means that the keeper was out of reach, and the host that ranks second decided.
+	// SourceDeputy means that the keeper could not be reached and a deputy decided.
 	SourceDeputy Source = "deputy"
-	// SourceRefused means that the keeper had refused a moment ago.
+	// SourceRefused means that a recent refusal by another host still applies.
 	SourceRefused Source = "refused_before"
-	// SourcePart means that nobody could be asked, and this host has only its own part of the limit.
+	// SourcePart means that no other host could decide, and this host decided by its own share of the limit.
 	SourcePart Source = "own_part"
 )
 
-// Decision says whether a request is within its customer's limit.
+// Decision is the result of checking a request against its customer's limit.
 type Decision struct {
 	Admitted bool
 	Source   Source
-	// RetryAfter is when a client that was not admitted should come back.
+	// RetryAfter is the time until a client that was not admitted should retry.
 	RetryAfter time.Duration
 }
 
-// Over reports whether the customer is known to be over its limit; where it isn't and the request was not admitted, that
-// is not known.
+// Over reports whether the customer is known to be over its limit. A request may be refused without that, by a host that
+// can't reach the keeper.
 func (d Decision) Over() bool {
 	return !d.Admitted && d.Source != SourcePart && d.Source != SourceDeputy
 }
--- a/entry/internal/allowance/model_test.go
+++ b/entry/internal/allowance/model_test.go
@@ -20,14 +20,14 @@
 	"guavaspring.org/entry/internal/member"
 )
 
-// The promise to customers: in any window no more than the rate times the window and the burst, a tenth and slack more.
+// In any window, at most the rate times the window plus the burst may run, exceeded by a tenth of that and slack.
 const (
 	window = 5 * time.Second
 	excess = 0.1
 	slack  = 20
 )
 
-// model is a fleet whose hosts hear of each other's losses late, and customers whose clients come to any serving host.
+// model simulates hosts that detect each other's failures late, and customers that send requests to any running host.
 type model struct {
 	t         *testing.T
 	rnd       *rand.Rand
@@ -35,7 +35,7 @@
 	customers []*modelCustomer
 	byName    map[string]*modelCustomer
 	byID      map[string]*modelHost
-	// changed is when a host changed last, and up holds those that run.
+	// changed is when the state of a host last changed, and up lists the running hosts.
 	changed time.Time
 	up      []*modelHost
 }
@@ -45,29 +45,29 @@
 	n      int
 	row    member.Host
 	ledger *allowance.Ledger
-	// weak says that clients are not sent to the host, though some still come.
+	// weak marks a host that doesn't serve but still receives some requests.
 	weak bool
-	// down and cut say that the host doesn't run, or that it and the others don't reach each other.
+	// down marks a host that doesn't run, and cut one that is partitioned from all others.
 	down, cut bool
 	began     time.Time
-	// changed is when down or cut changed last, and delay how long this host needs to hear of a change.
+	// changed is when down or cut last changed, and delay is how long this host takes to detect a change.
 	changed time.Time
 	delay   time.Duration
 	known   []bool
 	serving []member.Host
-	// listed is when the serving hosts became what they are, and meets how long after its start the host meets each.
+	// listed is when the serving hosts last changed, and meets is the time from the start until each host is discovered.
 	listed time.Time
 	meets  []time.Duration
 }
 
 type modelCustomer struct {
 	route.Customer
-	// usual is how many requests a second come, and times by how much more now.
+	// usual is the normal request rate per second, and times the current multiple of it.
 	usual, times float64
-	// fair is what the limit allows on one host that gets all requests.
+	// fair is the limit enforced by a single host that receives all requests.
 	fair *bucket.Bucket
 	ran  []time.Time
-	// allowed counts the requests that fair lets in, and refused those of them that the fleet did not.
+	// allowed counts the requests that fair admits, and refused those of them that the model refused.
 	allowed, refused int
 }
 
@@ -83,7 +83,7 @@
 	}
 	for n := range customers {
 		usual := perHost * float64(serving) * math.Pow(float64(n+1), -skew) / sum
-		// A limit is one and a half times the usual, in whole numbers.
+		// A limit is one and a half times the normal rate, rounded up.
 		limit := math.Ceil(1.5 * usual)
 		c := &modelCustomer{Customer: route.Customer{Name: fmt.Sprint("customer-", n), PerSecond: limit, Burst: limit}, usual: usual, times: 1}
 		c.fair = bucket.New(time.Now(), limit, limit, limit)
@@ -91,7 +91,7 @@
 		m.byName[c.Name] = c
 	}
 	m.look()
-	// All have known each other for a while.
+	// All hosts are proven from here on.
 	time.Sleep(10 * time.Second)
 	return m
 }
@@ -103,7 +103,7 @@
 	return h
 }
 
-// start begins a new process on the host, which meets the last of the others after a while.
+// start starts a new process on the host, which discovers each other host within slowest.
 func (h *modelHost) start(incarnation string, slowest time.Duration) {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(h.n >> 16), byte(h.n >> 8), byte(h.n)}), 7000)
 	delete(h.m.byID, h.row.ID)
@@ -128,12 +128,12 @@
 }
 
 const (
-	// settled is how long after its start a host counts as having met the others, and met how long that takes where it
-	// meets nobody new.
+	// settled is the time after its start at which a host is settled, and met is the time without a new host after which
+	// it is settled earlier.
 	settled = 1500 * time.Millisecond
 	met     = 400 * time.Millisecond
-	// slowestMeeting is how long after its start a host meets the last of the others that start with it, and welcome how
-	// long that takes where one of those that run already tells it of all.
+	// slowestMeeting bounds the discovery time among hosts that start together, and welcome that of a host which gets the
+	// member list from a running one.
 	slowestMeeting = 2 * time.Second
 	welcome        = 300 * time.Millisecond
 )
@@ -155,7 +155,7 @@
 	return rep, err
 }
 
-// look lets every host hear of the changes that are old enough for it.
+// look updates the view of every host with the changes that its delay allows it to detect.
 func (m *model) look() {
 	m.up = nil
 	for _, h := range m.hosts {
@@ -176,9 +176,9 @@
 }
 
 const (
-	// slowestNews is how long the last host needs to hear of a change.
+	// slowestNews is the time after which all hosts have detected a change.
 	slowestNews = 2500 * time.Millisecond
-	// lookEvery is how often hosts hear of changes.
+	// lookEvery is the interval between updates of the views.
 	lookEvery = 100 * time.Millisecond
 )
 
@@ -197,8 +197,8 @@
 	}
 }
 
-// believes reports whether the host holds another one for alive. It meets the others one after the other once it has
-// started, and hears of what becomes of them later.
+// believes reports whether the host's view contains another host as alive. A host discovers the others one by one after
+// its start, and detects their changes after its delay.
 func (h *modelHost) believes(i int, other *modelHost) bool {
 	reached := !other.down && !other.cut && !h.cut
 	late := time.Since(other.changed) < h.delay || time.Since(h.changed) < h.delay && h.began.Before(h.changed)
@@ -225,7 +225,7 @@
 	return true
 }
 
-// run plays requests for a while.
+// run simulates requests for the duration d.
 func (m *model) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	looked := time.Time{}
@@ -264,7 +264,7 @@
 	}
 }
 
-// refused returns the share of the requests within the limits that were refused since the last call.
+// refused returns the fraction of the requests within the limits that were refused since the last call.
 func (m *model) refused() float64 {
 	allowed, refused := 0, 0
 	for _, c := range m.customers {
@@ -274,7 +274,7 @@
 	return float64(refused) / float64(max(1, allowed))
 }
 
-// check holds every window of every customer against its limit.
+// check compares every window of every customer with its limit.
 func (m *model) check() {
 	m.t.Helper()
 	worst := 0.0
@@ -287,10 +287,10 @@
 			m.t.Errorf("%s: %d requests ran in a window of %v; at most %.0f may", c.Name, most, window, limit+room)
 		}
 	}
-	m.t.Logf("of what may run over a limit, %.2f was used at most", worst)
+	m.t.Logf("at most %.2f of the tolerated excess over a limit was used", worst)
 }
 
-// most returns the most requests that ran in any window.
+// most returns the maximum number of requests that ran in any window.
 func (c *modelCustomer) most() int {
 	first, most := 0, 0
 	for i, at := range c.ran {
@@ -302,7 +302,7 @@
 	return most
 }
 
-// few returns a share of the hosts, at least one.
+// few returns a random subset of the hosts: the given fraction, but at least one.
 func (m *model) few(share float64) []*modelHost {
 	list := make([]*modelHost, 0, len(m.hosts))
 	for _, i := range m.rnd.Perm(len(m.hosts))[:max(1, int(share*float64(len(m.hosts))))] {
@@ -312,11 +312,11 @@
 }
 
 var sizes = []struct {
-	// serving is how many hosts clients are sent to, of fleets of 6, 73, 295, 985 and 5,600.
+	// serving is the number of serving hosts in fleets of 6, 73, 295, 985 and 5,600 hosts.
 	serving, customers int
 }{{6, 82}, {15, 82}, {50, 300}}
 
-// sized runs a scene on fleets of several sizes.
+// sized runs a scenario for each size.
 func sized(t *testing.T, scene func(t *testing.T, m *model)) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.serving, "_hosts"), func(t *testing.T) {
@@ -327,7 +327,7 @@
 	}
 }
 
-// Guards against customers within their limits that are refused since their clients come to different hosts.
+// Guards against refusing customers within their limits because their requests are spread over many hosts.
 func TestWithinTheLimitIsServed(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		m.run(10 * time.Second)
@@ -338,7 +338,7 @@
 	})
 }
 
-// Guards against a customer that sends many times its limit to all hosts and gets more than its limit.
+// Guards against a customer that exceeds its limit by sending many times as much to all hosts.
 func TestFarBeyondTheLimit(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		for _, times := range []float64{7, 25} {
@@ -353,8 +353,8 @@
 	})
 }
 
-// Guards against hosts that have no part of the limit, as clients with old addresses alone come to them, and bring one
-// all the same.
+// Guards against hosts that don't serve but still add a share of the limit. They receive requests from clients with stale
+// addresses.
 func TestWeakHostsBringNoPart(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		for n := range len(m.hosts) {
@@ -373,7 +373,7 @@
 	})
 }
 
-// Guards against hosts that are cut off from each other and give out the limit on both sides of the cut.
+// Guards against hosts that grant the whole limit on both sides of a network partition.
 func TestCutHostsKeepToTheirParts(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		for _, c := range m.customers[:3] {
@@ -391,7 +391,7 @@
 	})
 }
 
-// Guards against buckets that are full again whenever another host takes them over.
+// Guards against buckets that are full again whenever another host becomes the keeper.
 func TestReplacedHosts(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		m.run(5 * time.Second)
@@ -415,7 +415,7 @@
 	})
 }
 
-// Guards against a fleet whose hosts all start at once, know nobody, and each give out the limit.
+// Guards against hosts that start all at once and each grant the whole limit before they discover the others.
 func TestAllHostsStartAtOnce(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		for _, c := range m.customers {
@@ -433,7 +433,7 @@
 	})
 }
 
-// Guards against a lower limit that takes longer than its window to bind.
+// Guards against a lowered limit that takes more than one window to take effect.
 func TestLowerLimit(t *testing.T) {
 	sized(t, func(t *testing.T, m *model) {
 		hot := m.customers[0]
--- a/entry/internal/allowance/partners.go
+++ b/entry/internal/allowance/partners.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// partFor is how long the part of a host that asked for tokens belongs to the one that was asked. Both go by it: the
-	// one does not use its part elsewhere meanwhile, the other not for longer.
+	// partFor is how long the share of a host that asked for tokens belongs to the host that it asked. Both apply it: the
+	// former doesn't use its share elsewhere meanwhile, the latter doesn't use it for longer.
 	partFor = 500 * time.Millisecond
-	// regularGap and regularCalls are within which time, and after how many times, a host asks as it does with requests
-	// that come all the time.
+	// regularGap and regularCalls define a host with steady traffic: the mean interval between its requests for tokens is
+	// below regularGap, and it has sent at least regularCalls of them.
 	regularGap, regularCalls = partFor / 2, 4
-	// silentGaps is how many times its usual gap such a host is silent before it counts as gone.
+	// silentGaps is the number of mean intervals without a request after which such a host counts as gone.
 	silentGaps = 3
-	// forgetPartner is how long after its last word it is remembered that a host asked regularly.
+	// forgetPartner is how long the request history of a host is kept after its last request.
 	forgetPartner = 10 * time.Second
 )
 
-// partners are the hosts that brought their parts of a customer's limit to this one, by id.
+// partners are the hosts that asked this one for a customer's tokens, and so gave it their shares, by ID.
 type partners map[string]*partner
 
-// partner is one of them.
+// partner is the request history of one host.
 type partner struct {
-	// from is when its part is free to be used here, and last when it asked last.
+	// from is when its share becomes usable here, and last is the time of its last request.
 	from, last time.Time
-	// gap is the usual time between what it asks, over calls requests.
+	// gap is the moving average of the interval between its requests, and calls is their number.
 	gap   time.Duration
 	calls int
 }
 
-// ask notes that a host asks, whose part is free in a while.
+// ask records a request of a host whose share becomes usable after the duration free.
 func (p partners) ask(now time.Time, id string, free time.Duration) {
 	h := p[id]
 	if h == nil || now.Sub(h.last) > forgetPartner {
@@ -47,7 +47,7 @@
 	h.last = now
 }
 
-// brought returns how many parts were brought and may be used now.
+// brought returns the number of shares that are usable here, and drops expired histories.
 func (p partners) brought(now time.Time) int {
 	n := 0
 	for id, h := range p {
@@ -61,8 +61,8 @@
 	return n
 }
 
-// idle returns how many of the serving hosts have nothing to ask for, so that their parts are unused. One that asked
-// all the time and fell silent is not idle: it may be cut off, and use its part for the requests that still come to it.
+// idle returns the number of serving hosts that have no requests for the customer, so that their shares are unused. A host
+// with steady traffic that went silent is not idle: it may be partitioned and use its share for its own requests.
 func (p partners) idle(now time.Time, serving []member.Host) int {
 	n := 0
 	for i := range serving {
@@ -74,12 +74,12 @@
 	return n
 }
 
-// here reports whether a part may be used here.
+// here reports whether the share of the host is usable here.
 func (h *partner) here(now time.Time) bool {
 	return !now.Before(h.from) && now.Sub(h.last) <= partFor
 }
 
-// gone reports whether the host asked all the time and fell silent.
+// gone reports whether the host had steady traffic and went silent.
 func (h *partner) gone(now time.Time) bool {
 	return h.calls >= regularCalls && h.gap < regularGap && now.Sub(h.last) > silentGaps*h.gap
 }
--- a/entry/internal/allowance/reserve.go
+++ b/entry/internal/allowance/reserve.go
@@ -6,14 +6,14 @@
 	"guavaspring.org/entry/internal/bucket"
 )
 
-// reserve is a bucket that is used at times, and gets tokens only while it is.
+// reserve is a bucket that is refilled only while it is in use.
 type reserve struct {
 	bucket *bucket.Bucket
-	// usedAt is when it was used last, and advancedAt when it last got tokens in advance.
+	// usedAt is when the bucket was last used, and advancedAt is when it last received an advance of tokens.
 	usedAt, advancedAt time.Time
 }
 
-// at brings the bucket up to date. What came while it was not used was given out by somebody else.
+// at updates the bucket. It gets no tokens for the time out of use, as another host granted those.
 func (r *reserve) at(now time.Time, rate, depth, advance float64) *bucket.Bucket {
 	switch {
 	case r.bucket == nil:
@@ -30,7 +30,7 @@
 	return r.bucket
 }
 
-// pause stops the bucket until it is used again.
+// pause stops the refill until the bucket is used again.
 func (r *reserve) pause(now time.Time) {
 	if r.bucket != nil {
 		r.bucket.Fill(now)
--- a/entry/internal/allowance/view.go
+++ b/entry/internal/allowance/view.go
@@ -2,17 +2,16 @@
 
 import "guavaspring.org/entry/internal/member"
 
-// View is what a host knows of the others.
+// View is a host's view of the member list.
 type View struct {
-	// Self is the id of the host itself.
+	// Self is the ID of the host itself.
 	Self string
-	// Serving are the hosts that clients are sent to and that are not suspected; the slice is replaced as a whole when
-	// one of them changes.
+	// Serving lists the serving hosts that are not suspected. The slice is replaced as a whole when one of them changes.
 	Serving []member.Host
-	// Hosts are all that are known, with their states.
+	// Hosts lists all known hosts with their states.
 	Hosts []member.Host
-	// Settled says that the host has had the time to meet the others.
+	// Settled reports that the host has had time to discover the others.
 	Settled bool
-	// Leaving says that the host stops, and that others take over what it keeps.
+	// Leaving reports that the host is shutting down and other hosts take over its buckets.
 	Leaving bool
 }
