--- a/entry/internal/relay/copy.go
+++ b/entry/internal/relay/copy.go
@@ -9,81 +9,82 @@
 	"guavaspring.org/core/feed"
 )
 
-// keptBatches is how many of the newest changes are kept for hosts that are a little behind; one that lacks more gets
-// everything.
+// keptBatches is the number of latest batches of changes kept for hosts that are slightly behind. A host that lacks
+// more gets a full list.
 const keptBatches = 64
 
-// Options says how the objects of one kind are taken over.
+// Options configures how a Copy handles the objects of one kind.
 type Options[T any] struct {
-	// LastGood keeps what an object was while it can't be read. It is for objects that stay in force until a newer one is
-	// known: a host that starts meanwhile hears the last one from here, where the store has nothing for it.
+	// LastGood keeps the last readable version of an object while the stored one is unreadable, for objects that stay
+	// in force until they are replaced. A host that starts meanwhile gets that version from here, as the store has
+	// none.
 	LastGood bool
-	// Older reports, by what two objects of one name say of themselves, whether got was written before held; nil means
-	// that they say nothing.
+	// Older reports whether got was written before held, by values in the objects themselves. It is nil if they have no
+	// such values.
 	Older func(got, held T) bool
-	// KeepAbsent keeps objects that the store lacks when it comes back from an older copy; they are gone otherwise, until
-	// they are written again.
+	// KeepAbsent retains objects that are missing after the store was restored from a backup. Otherwise they are
+	// dropped until they are written again.
 	KeepAbsent bool
-	// KeepFor bounds how long what is known from an earlier era goes before what the store holds; zero means until the
-	// object is written again.
+	// KeepFor is how long a version retained from an earlier era overrides the stored one; zero means until the object
+	// is written again.
 	KeepFor time.Duration
 }
 
-// Copy is one host's copy of all objects of one kind, with how fresh it is.
+// Copy is one host's copy of all objects of one kind and its freshness.
 type Copy[T any] struct {
 	opts Options[T]
 
 	mu      sync.Mutex
 	entries map[string]feed.Entry[T]
 	reached feed.Position
-	// base is the revision up to which objects may be as the store's copy had them when the present era began, and began
-	// the moment of that era at which this copy entered it.
+	// base is the revision up to which objects may be as restored from the backup that the current era began with, and
+	// began is the position at which this copy entered the era.
 	base     int64
 	began    feed.Position
 	retained retained[T]
-	// log holds the newest changes; a host at from or later can be served from it.
+	// log holds the latest changes. A host at position from or later can be served from it.
 	log  []feed.Batch[T]
 	from feed.Position
-	// ends holds the revision that was reached in each earlier era.
+	// ends holds the last revision reached in each earlier era.
 	ends map[int64]int64
-	// confirmed is when the store was known to hold nothing newer.
+	// confirmed is when the copy was last known to be up to date with the store.
 	confirmed time.Time
 	returned  bool
 	changed   chan struct{}
-	// packed holds all objects as of packedAt.
+	// packed caches the compressed list of all objects as of packedAt.
 	packed   []byte
 	packedAt feed.Position
 }
 
-// NewCopy returns an empty copy that was never confirmed.
+// NewCopy returns an empty, unconfirmed copy.
 func NewCopy[T any](opts Options[T]) *Copy[T] {
 	return &Copy[T]{opts: opts, entries: map[string]feed.Entry[T]{}, retained: newRetained[T](), ends: map[int64]int64{}, changed: make(chan struct{})}
 }
 
-// State is what a copy is as of one moment.
+// State is a snapshot of the freshness of a Copy.
 type State struct {
-	// Position is the moment of the store's history that the copy has reached; its revision is zero where the copy never
-	// held anything.
+	// Position is the position in the store's history that the copy has reached. Its revision is zero if the copy has
+	// never been filled.
 	feed.Position
-	// Confirmed is when the store was known to hold nothing newer.
+	// Confirmed is when the copy was last known to be up to date with the store.
 	Confirmed time.Time
-	// Kept is a checksum of what the copy keeps from earlier eras, zero where that is nothing.
+	// Kept is a checksum of the objects retained from earlier eras, zero if there are none.
 	Kept uint64
 }
 
-// State returns how fresh the copy is, and a channel that is closed with the next change of that.
+// State returns the state of the copy, and a channel that is closed when it next changes.
 func (c *Copy[T]) State() (State, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return State{Position: c.reached, Confirmed: c.confirmed, Kept: c.retained.sum}, c.changed
 }
 
-// Replace takes over a list of all objects as of at, and reports whether it is at least as new as the copy. A list of a
-// new era doesn't undo what is known from the one before.
+// Replace replaces the objects by a list of all of them read at time at, and reports whether that list is at least as
+// new as the copy. A list of a new era doesn't override newer versions known from the previous era.
 //
-// Hosts that were in step with the copy get what the list changes, and not all of it: a host that watches the store has
-// to list all objects whenever the store forgets its history, and thousands of replicas passed on to each of a thousand
-// hosts take longer than what these know stays fresh.
+// Hosts that are up to date with the copy get only the differences. A watching host has to list all objects whenever
+// the store drops its history, and sending thousands of replicas to each of a thousand hosts takes longer than their
+// copies stay fresh.
 func (c *Copy[T]) Replace(batch feed.Batch[T], at time.Time, returned bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +114,8 @@
 	return true
 }
 
-// follows returns the position of a batch, and whether it is at least as new as the copy. Where the store doesn't say
-// its era, it is taken for the one that is known.
+// follows returns the position of a batch, and whether it is at least as new as the copy. If the store doesn't send its
+// era, the batch counts as of the current one.
 func (c *Copy[T]) follows(batch feed.Batch[T]) (feed.Position, bool) {
 	to := batch.Position()
 	if to.Era == 0 {
@@ -128,7 +129,7 @@
 	return to, !to.Before(c.reached)
 }
 
-// enter notes the era of a batch, and reports whether the store has come back from a copy since what is known here.
+// enter records the era of a batch, and reports whether the store was restored from a backup since the last one.
 func (c *Copy[T]) enter(to feed.Position, base int64) bool {
 	if base == 0 {
 		base = to.Revision
@@ -145,7 +146,7 @@
 	return known
 }
 
-// keepAbsent decides on the objects that a list lacks.
+// keepAbsent retains or drops the objects that are missing in a list.
 func (c *Copy[T]) keepAbsent(before map[string]feed.Entry[T], listed map[string]bool, restored bool, at time.Time) {
 	for name, held := range before {
 		switch kept := c.retained.holds(name); {
@@ -167,8 +168,8 @@
 	}
 }
 
-// since returns what has changed of the objects that the copy held before, and what it kept before in place of the
-// store's word: hosts in the same era may lack that.
+// since returns the differences to the objects held before. It includes objects that were retained before and no longer
+// are, as other hosts in the same era may lack their stored versions.
 func (c *Copy[T]) since(before map[string]feed.Entry[T], kept []string, to feed.Position) []feed.Entry[T] {
 	changed := map[string]bool{}
 	for name, e := range c.entries {
@@ -197,7 +198,7 @@
 	return list
 }
 
-// differ reports whether an object has changed. A revision may stand for something else in another era.
+// differ reports whether an object has changed. The same revision may be a different version in another era.
 func differ[T any](old, e feed.Entry[T]) bool {
 	if old.Revision != e.Revision || old.Unreadable != e.Unreadable {
 		return true
@@ -205,7 +206,7 @@
 	return old.Era != e.Era && !reflect.DeepEqual(old.Value, e.Value)
 }
 
-// keep adds changes to the log, of which the oldest go.
+// keep appends changes to the log and drops the oldest if it is full.
 func (c *Copy[T]) keep(news feed.Batch[T]) {
 	if len(news.Entries) == 0 {
 		return
@@ -218,11 +219,11 @@
 	}
 }
 
-// Change takes over what changed up to the batch's revision as of at. It returns what of it is news, and reports
-// whether the batch is at least as new as the copy.
+// Change applies the changes up to the batch's revision, read at time at. It returns those that took effect, and
+// reports whether the batch is at least as new as the copy.
 //
-// A list is read page by page, and the changes since its first page are told again: one that is older than what a later
-// page showed is no news.
+// A list is read in pages and followed by the changes since its first page. A change that is older than the version on
+// a later page has no effect.
 func (c *Copy[T]) Change(batch feed.Batch[T], at time.Time, returned bool) (feed.Batch[T], bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,7 +249,7 @@
 	return news, true
 }
 
-// put takes over one entry.
+// put stores an entry, or removes its object if the entry is deleted.
 func (c *Copy[T]) put(e feed.Entry[T]) {
 	if e.Deleted {
 		delete(c.entries, e.Name)
@@ -257,6 +258,7 @@
 	c.entries[e.Name] = e
 }
 
+// confirm records that the copy was up to date with the store at time at, and notifies waiting callers.
 func (c *Copy[T]) confirm(to feed.Position, at time.Time, returned bool) {
 	c.reached, c.returned = to, returned
 	if at.After(c.confirmed) {
@@ -265,12 +267,13 @@
 	c.wake()
 }
 
+// wake notifies the callers that wait for a change of the state.
 func (c *Copy[T]) wake() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Since returns what a host at a position lacks, and whether that is everything there is.
+// Since returns the entries that a host at a position lacks, and whether these are all objects.
 func (c *Copy[T]) Since(position feed.Position) (batch feed.Batch[T], full, returned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,8 +292,8 @@
 	return batch, false, c.returned
 }
 
-// logged reports whether the log holds all that a host at a position lacks. In an earlier era that host may have seen
-// what this copy never did.
+// logged reports whether the log holds all changes that a host at a position lacks. A host in an earlier era may have
+// changes of that era that this copy never received.
 func (c *Copy[T]) logged(position feed.Position) bool {
 	if position.Revision == 0 || position.Before(c.from) {
 		return false
@@ -302,8 +305,8 @@
 	return ok && position.Revision <= end && !c.opts.KeepAbsent
 }
 
-// pack returns all objects in packed form. It is kept until the next change: when a fleet starts, a hundred hosts ask
-// for the same.
+// pack returns all objects in compressed form. The result is cached until the next change, as a hundred hosts request
+// it when a fleet starts.
 func (c *Copy[T]) pack(all feed.Batch[T]) ([]byte, error) {
 	c.mu.Lock()
 	packed, at := c.packed, c.packedAt
--- a/entry/internal/relay/copy_test.go
+++ b/entry/internal/relay/copy_test.go
@@ -14,8 +14,8 @@
 	return feed.Batch[int64]{Revision: revision, Entries: []feed.Entry[int64]{e}}
 }
 
-// The configuration is overwritten with nonsense, and a host starts. It hears the last good one from its neighbours;
-// where their copies had dropped it, it would refuse every request until the operator writes again.
+// Guards against dropping the last readable configuration when an unreadable one is written. A host that starts then
+// would get no configuration and refuse every request until the operator writes a valid one.
 func TestLastGoodIsKept(t *testing.T) {
 	now := time.Unix(100, 0)
 	broken := feed.Entry[int64]{Name: "main", Revision: 9, Unreadable: true}
@@ -36,8 +36,8 @@
 	}
 }
 
-// A list is read page by page while a replica starts again: the page shows the new process, and the changes since the
-// first page still tell of the old one. That must not come back on this host, nor on those that hear from it.
+// Guards against a replica that reverts to its old process. A list is read in pages while the replica restarts: a page
+// contains the new process, and the changes since the first page still contain the old one.
 func TestOlderChangeAfterANewerPage(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := relay.NewCopy(relay.Options[int64]{})
--- a/entry/internal/relay/doc.go
+++ b/entry/internal/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay passes what a few hosts read from the platform's store on to all others.
+// Package relay distributes the objects of the platform's store from the few hosts that watch it to all others.
 package relay
--- a/entry/internal/relay/empty_test.go
+++ b/entry/internal/relay/empty_test.go
@@ -13,8 +13,8 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// No zone is evacuated, as on most days, and a fleet starts. Whoever asks another host must be told that there is
-// nothing, and take it: otherwise each host asks the store for the same.
+// Guards against hosts that don't accept an empty list from another host, as is usual for evacuations. Each of them
+// would read the store itself when a fleet starts.
 func TestNothingIsHeardToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := relay.NewCopy(relay.Options[platform.Evacuation]{})
--- a/entry/internal/relay/era_bench_test.go
+++ b/entry/internal/relay/era_bench_test.go
@@ -10,8 +10,8 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// BenchmarkNewEra takes over a list of a new era, of which one row in a hundred has changed, and works out what a host in
-// step with the copy lacks.
+// BenchmarkNewEra applies a list of a new era, in which one row in a hundred has changed, and computes the changes for
+// a host that is up to date with the copy.
 func BenchmarkNewEra(b *testing.B) {
 	for _, n := range []int{282, 4228, 24000} {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
--- a/entry/internal/relay/pack.go
+++ b/entry/internal/relay/pack.go
@@ -10,11 +10,10 @@
 	"guavaspring.org/core/feed"
 )
 
-// mostUnpacked bounds what a reply of another host may unpack to: 24,000 replicas take 4 MB.
+// mostUnpacked is the maximum unpacked size of a reply in bytes. 24,000 replicas take 4 MB.
 const mostUnpacked = 64 << 20
 
-// pack writes entries in as few bytes as the library's compression gets them into; the names and addresses of replicas
-// are much alike.
+// pack encodes and compresses entries. The names and addresses of replicas have much in common and compress well.
 func pack[T any](entries []feed.Entry[T]) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.DefaultCompression)
@@ -30,7 +29,7 @@
 	return b.Bytes(), nil
 }
 
-// Unpack puts what the reply holds packed into Entries.
+// Unpack decodes Packed into Entries.
 func (r *Reply[T]) Unpack() error {
 	if len(r.Packed) == 0 {
 		return nil
--- a/entry/internal/relay/pack_test.go
+++ b/entry/internal/relay/pack_test.go
@@ -14,7 +14,7 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// listOf returns the rows of replicas as a large deployment has them.
+// listOf returns n replicas with IDs, names and addresses like those of a large deployment.
 func listOf(n int) feed.Batch[platform.Replica] {
 	b := feed.Batch[platform.Replica]{Revision: int64(n)}
 	for i := range n {
@@ -27,8 +27,8 @@
 	return b
 }
 
-// Hundreds of hosts start at once and fetch the list of replicas from the hosts that their settings name, whose links
-// are those of small machines. Each must get the whole list as it is, in a third of the bytes that the rows take.
+// Guards against full lists that saturate the links of small machines when hundreds of hosts start at once and fetch
+// from the same few. Each must get the complete list in a third of its unpacked size.
 func TestAllObjectsTravelPacked(t *testing.T) {
 	c := relay.NewCopy(relay.Options[platform.Replica]{})
 	all := listOf(282)
@@ -50,7 +50,7 @@
 		}
 		qt.Assert(t, got, qt.HasLen, len(all.Entries))
 	}
-	// What changes later is told, too.
+	// Later changes must be in the next list.
 	gone := feed.Batch[platform.Replica]{Revision: 283, Entries: []feed.Entry[platform.Replica]{{Name: all.Entries[0].Name, Revision: 283, Deleted: true}}}
 	c.Change(gone, time.Now(), false)
 	var rep relay.Reply[platform.Replica]
@@ -59,7 +59,7 @@
 	qt.Assert(t, rep.Entries, qt.HasLen, 281)
 }
 
-// A broken host sends bytes that are no list. They must not be taken for an empty one: all replicas would be gone.
+// Guards against invalid bytes of a faulty host that are taken for an empty list, which would remove all replicas.
 func TestUnreadablePackIsAnError(t *testing.T) {
 	rep := relay.Reply[platform.Replica]{Full: true, Revision: 9, Packed: []byte("no list")}
 	qt.Assert(t, rep.Unpack(), qt.ErrorMatches, "relay: unpack 7 bytes: .*")
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -13,8 +13,8 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// Objects are written and removed at random; a copy follows in batches, is now and then replaced whole, and another
-// host fetches from it at random moments, sometimes long behind. Whatever it missed, it must hold what the copy holds.
+// Guards against changes that a host misses when it fetches from a copy, whether it is a little or far behind. Objects
+// are written and removed at random, and the copy is updated by changes and by full lists.
 func TestFetchesBringTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := map[string]int64{}
@@ -52,14 +52,14 @@
 				}
 				reached = b.Revision
 				if st, _ := from.State(); st.Revision > 0 && fmt.Sprint(to) != fmt.Sprint(truth) {
-					t.Fatalf("the other host holds %v, the copy %v", to, truth)
+					t.Fatalf("the fetching host holds %v, the copy %v", to, truth)
 				}
 			}
 		}
 	})
 }
 
-// A host that was cut off brings an old list. What is known already must not go back.
+// Guards against a copy that reverts to the older list of a host that was partitioned.
 func TestOldListIsRefused(t *testing.T) {
 	c := relay.NewCopy(relay.Options[int64]{})
 	now := time.Unix(100, 0)
@@ -71,8 +71,8 @@
 	qt.Assert(t, st.Revision, qt.Equals, int64(9))
 }
 
-// Every host but the two that watch has a parent ahead of it, so that news from the store reach all, in few steps, and
-// no host passes on to more than its share.
+// Guards against hosts that changes of the store don't reach, or reach in too many steps, and against hosts with too
+// many children. Every host but the two that watch must have a parent of higher rank.
 func TestTree(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 90, 5600} {
 		hosts := make([]member.Host, n)
@@ -103,7 +103,7 @@
 		if sample == 1 {
 			qt.Check(t, watching, qt.Equals, min(n, 2))
 			for id, c := range children {
-				qt.Check(t, c <= 8, qt.IsTrue, qt.Commentf("%s has %d", id, c))
+				qt.Check(t, c <= 8, qt.IsTrue, qt.Commentf("%s has %d children", id, c))
 			}
 			for i := range depth {
 				qt.Check(t, depth[i] <= 3, qt.IsTrue)
@@ -112,8 +112,8 @@
 	}
 }
 
-// A host is told to stop while one other is left. It is no longer ranked, and must go on hearing of changes while it
-// finishes its work; the process once ended here with a panic in the middle of its grace.
+// Guards against a panic in a leaving host, which is not ranked any more. It must receive changes until it stops, also
+// if only one other host is left.
 func TestLeavingHostHasParents(t *testing.T) {
 	for others := range 4 {
 		hosts := []member.Host{{ID: "leaving", State: member.StateLeaving}}
@@ -126,8 +126,8 @@
 	}
 }
 
-// A fleet of five zones hears of a new replica. What crosses a zone's border is paid for and has a longer way, so that
-// it must cross once for each zone, whoever watches; no host may hear from one that hears from itself.
+// Guards against changes that cross a zone boundary more than once per zone, whichever hosts watch, as traffic between
+// zones is slower and paid for. Also guards against cycles of parents.
 func TestNewsCrossEachBorderOnce(t *testing.T) {
 	for _, n := range []int{6, 84, 295} {
 		zones := []string{"a", "b", "c", "d", "e"}
@@ -153,18 +153,19 @@
 				if !watches {
 					at = parents[0]
 				}
-				qt.Assert(t, steps < 8, qt.IsTrue, qt.Commentf("%s of %d hosts hears from itself", h.ID, n))
+				qt.Assert(t, steps < 8, qt.IsTrue, qt.Commentf("%s of %d hosts is its own ancestor", h.ID, n))
 			}
 			qt.Check(t, len(parents) > 0, qt.IsTrue)
 		}
 		qt.Check(t, crossing <= len(zones), qt.IsTrue, qt.Commentf("%d of %d hosts", crossing, n))
 		for id, c := range children {
-			qt.Check(t, c <= 8+len(zones), qt.IsTrue, qt.Commentf("%s of %s passes on to %d", id, byID[id].Zone, c))
+			qt.Check(t, c <= 8+len(zones), qt.IsTrue, qt.Commentf("%s in zone %s has %d children", id, byID[id].Zone, c))
 		}
 	}
 }
 
-// Guards against a list that is passed on whole to hosts that are in step: of thousands of replicas a few have changed.
+// Guards against sending a full list to hosts that are up to date, when only a few of thousands of replicas have
+// changed.
 func TestListIsPassedOnAsChanges(t *testing.T) {
 	now := time.Unix(100, 0)
 	list := func(revision int64, values ...int64) feed.Batch[int64] {
@@ -192,7 +193,7 @@
 	qt.Check(t, got["1"].Value, qt.Equals, int64(12))
 	qt.Check(t, got["2"].Deleted, qt.IsTrue)
 	qt.Check(t, got["3"].Value, qt.Equals, int64(14))
-	// One that heard nothing before the first list gets all.
+	// A host that is behind the first list gets all objects.
 	all, full, _ := c.Since(feed.Position{Revision: 5})
 	qt.Assert(t, full, qt.IsTrue)
 	qt.Assert(t, len(all.Entries), qt.Equals, 3)
--- a/entry/internal/relay/retained.go
+++ b/entry/internal/relay/retained.go
@@ -11,26 +11,26 @@
 	"guavaspring.org/core/feed"
 )
 
-// goneFor is how long deleted objects are remembered: the copy that the store comes back from is some seconds old, and
-// may hold them again.
+// goneFor is how long tombstones of deleted objects are kept. A backup that the store is restored from is some seconds
+// old and may still contain them.
 const goneFor = 5 * time.Minute
 
-// retained is what a copy keeps from the store's earlier eras.
+// retained holds the state that a copy retains from earlier eras of the store.
 type retained[T any] struct {
-	// gone holds the last entries of objects that were deleted a short while ago.
+	// gone holds the last entries of recently deleted objects, by name.
 	gone   map[string]timed[T]
 	pruned time.Time
-	// kept holds what goes before the store's word, by name; a deleted entry says that the object is left out.
+	// kept holds the entries that override the stored ones, by name. A deleted entry hides a stored object.
 	kept map[string]timed[T]
 	// sum is a checksum of kept.
 	sum uint64
 }
 
-// timed is an entry that counts until a moment; the zero value of that means always.
+// timed is an entry that expires at until; zero means never.
 type timed[T any] struct {
 	feed.Entry[T]
 	until time.Time
-	// stored is what the store holds in its place, where it holds anything.
+	// stored is the entry that the store holds for this object, if any.
 	stored *feed.Entry[T]
 }
 
@@ -40,17 +40,20 @@
 	return retained[T]{gone: map[string]timed[T]{}, kept: map[string]timed[T]{}}
 }
 
+// holds reports whether an entry overrides the stored one.
 func (r *retained[T]) holds(name string) bool {
 	_, ok := r.kept[name]
 	return ok
 }
 
+// keep makes an entry override the stored one.
 func (r *retained[T]) keep(e feed.Entry[T], until time.Time, stored *feed.Entry[T]) {
 	r.forget(e.Name)
 	r.kept[e.Name] = timed[T]{Entry: e, until: until, stored: stored}
 	r.sum ^= checksum(e)
 }
 
+// forget removes the entry that overrides the stored one, if any.
 func (r *retained[T]) forget(name string) {
 	if old, ok := r.kept[name]; ok {
 		r.sum ^= checksum(old.Entry)
@@ -58,10 +61,10 @@
 	}
 }
 
-// names returns the names of all that is kept.
+// names returns the names of all overridden objects.
 func (r *retained[T]) names() []string { return slices.Collect(maps.Keys(r.kept)) }
 
-// omitted returns the names of the objects that are left out.
+// omitted returns the names of the hidden objects.
 func (r *retained[T]) omitted() []string {
 	var names []string
 	for name, k := range r.kept {
@@ -72,7 +75,7 @@
 	return names
 }
 
-// ended remembers an object that was deleted, and now and then forgets those that are too old.
+// ended adds a tombstone for a deleted object, and periodically drops expired tombstones.
 func (r *retained[T]) ended(held feed.Entry[T], now time.Time) {
 	if now.Sub(r.pruned) >= goneFor {
 		r.pruned = now
@@ -85,6 +88,7 @@
 	r.gone[held.Name] = timed[T]{Entry: held, until: now.Add(goneFor)}
 }
 
+// checksum returns a checksum of the name, position and deletion of an entry.
 func checksum[T any](e feed.Entry[T]) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -95,18 +99,18 @@
 	return d.Sum64()
 }
 
-// merge returns what an entry that is newer by its position makes of its object: the entry itself, what is known from an
-// earlier era, or a deleted entry.
+// merge returns the entry to use for an object after an entry with a later position was received: that entry, a newer
+// one known from an earlier era, or a deleted one.
 //
-// What an operator or a replica wrote, and the store acknowledged, holds on while the store has only an older copy of
-// it. It is written again; until then its copy must not undo it on any host. All that was written in the present era
-// counts as it is.
+// A write that the store acknowledged stays in force while a restored store has only an older version from its backup.
+// The write will be repeated; until then no host may revert to the older version. Entries written in the current era
+// are used as they are.
 func (c *Copy[T]) merge(e feed.Entry[T], before map[string]feed.Entry[T], restored bool, at time.Time) feed.Entry[T] {
 	held, known := before[e.Name]
 	if known && e.Unreadable && c.opts.LastGood {
 		return held
 	}
-	// What is deleted on the way to a new era was settled by the host above.
+	// The parent has already decided about deletions on entering a new era.
 	if settled := e.Deleted && restored; !settled && !c.written(e) {
 		if newer, ok := c.newerThan(e, held, known, restored, at); ok {
 			return newer
@@ -119,19 +123,19 @@
 	return e
 }
 
-// written reports whether an entry was written in the present era: neither may it be as the store's copy had it, nor does
-// another host keep it from an earlier one.
+// written reports whether an entry was written in the current era, rather than restored from a backup or retained from
+// an earlier era by another host.
 func (c *Copy[T]) written(e feed.Entry[T]) bool { return e.Era == c.began.Era && e.Revision > c.base }
 
-// newerThan returns what is known from an earlier era in place of an entry that was not written in the present one, and
-// whether that is newer.
+// newerThan returns the entry known from an earlier era for an object whose received entry was not written in the
+// current era, and whether it is newer than that one.
 func (c *Copy[T]) newerThan(e, held feed.Entry[T], known, restored bool, at time.Time) (feed.Entry[T], bool) {
 	kept, keeps := c.retained.kept[e.Name]
 	var newer feed.Entry[T]
 	ok := false
 	switch {
 	case e.Era < c.began.Era && known:
-		// Another host keeps it.
+		// Another host retains it.
 		newer, ok = held, c.newer(held, e)
 	case !restored:
 		return kept.Entry, keeps
@@ -146,7 +150,7 @@
 	return newer, ok
 }
 
-// storedFor returns what the store holds of an object of which an entry was received, nil where that is not known.
+// storedFor returns the store's entry for the object of a received entry, or nil if it is not known.
 func (c *Copy[T]) storedFor(e feed.Entry[T]) *feed.Entry[T] {
 	if e.Era == c.began.Era {
 		return &e
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// omits reports whether the store's copy has an object that was deleted since, and returns what stands for that.
+// omits reports whether an object restored from a backup had been deleted since, and returns a deleted entry for it.
 func (c *Copy[T]) omits(e feed.Entry[T], at time.Time) (feed.Entry[T], bool) {
 	gone, ok := c.retained.gone[e.Name]
 	if !ok {
@@ -169,13 +173,13 @@
 	return feed.Entry[T]{Name: e.Name, Era: gone.Era, Revision: gone.Revision, Deleted: true}, true
 }
 
-// outdates reports whether an entry of the store's copy was written before what is known.
+// outdates reports whether an entry restored from a backup was written before the held one.
 func (c *Copy[T]) outdates(e, held feed.Entry[T]) bool {
 	return !e.Unreadable && !held.Unreadable && c.opts.Older != nil && c.opts.Older(e.Value, held.Value)
 }
 
-// newer reports whether one entry of an object was written after another. The era of an entry is that in which it was
-// read, which may be later than the one in which it was written: what objects say of themselves goes first.
+// newer reports whether one entry of an object was written after another. The era of an entry is the one in which it
+// was read, which may be later than the one in which it was written. Options.Older therefore takes precedence.
 func (c *Copy[T]) newer(e, than feed.Entry[T]) bool {
 	if readable := !e.Unreadable && !than.Unreadable && !e.Deleted && !than.Deleted; readable && c.opts.Older != nil {
 		return c.opts.Older(than.Value, e.Value)
@@ -183,8 +187,8 @@
 	return than.Position().Before(e.Position())
 }
 
-// revives reports whether an entry was written after its object was deleted. The store's copy holds no write of an
-// object that is later than the last one seen, so that where objects don't say which is newer their revisions do.
+// revives reports whether an entry was written after its object was deleted. A backup holds no write of an object that
+// is later than the last one seen, so revisions can be compared if Options.Older can't.
 func (c *Copy[T]) revives(e, gone feed.Entry[T]) bool {
 	if e.Unreadable || gone.Unreadable || gone.Deleted || c.opts.Older == nil {
 		return e.Revision > gone.Revision
@@ -192,7 +196,7 @@
 	return c.opts.Older(gone.Value, e.Value)
 }
 
-// until returns the moment up to which an object is kept; keeping it again doesn't move that.
+// until returns the time at which a retained entry expires. Retaining an object again doesn't extend it.
 func (c *Copy[T]) until(at time.Time, name string) time.Time {
 	if k, ok := c.retained.kept[name]; ok {
 		return k.until
@@ -203,7 +207,7 @@
 	return at.Add(c.opts.KeepFor)
 }
 
-// expire lets the store's word count for what was kept for long enough, and returns what changes by it.
+// expire replaces expired entries by those of the store, and returns the resulting changes.
 func (c *Copy[T]) expire(now time.Time) []feed.Entry[T] {
 	var news []feed.Entry[T]
 	for name, k := range c.retained.kept {
@@ -212,7 +216,7 @@
 		}
 		c.retained.forget(name)
 		if k.stored == nil && !k.Deleted && !c.opts.KeepAbsent {
-			// Another host had it older, which doesn't say that the store lacks it.
+			// Another host had an older version, so that the store may still hold the object.
 			continue
 		}
 		e := feed.Entry[T]{Name: name, Era: c.reached.Era, Revision: c.reached.Revision, Deleted: true}
@@ -225,7 +229,7 @@
 	return news
 }
 
-// Kept returns what the copy keeps from earlier eras, and its checksum.
+// Kept returns the entries retained from earlier eras, and their checksum.
 func (c *Copy[T]) Kept() ([]feed.Entry[T], uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,8 +240,8 @@
 	return list, c.retained.sum
 }
 
-// Merge takes over what another host in the same era keeps from earlier ones, and returns what changes by it. A host that
-// started after the store came back knows only the store's copy.
+// Merge applies the entries that another host in the same era retains from earlier ones, and returns the resulting
+// changes. A host that started after the store was restored has only the objects of the backup.
 func (c *Copy[T]) Merge(kept []feed.Entry[T], at time.Time) feed.Batch[T] {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -268,8 +272,8 @@
 	return news
 }
 
-// yields reports whether what is known of an object is no more than the store's copy of it, and older than what another
-// host keeps.
+// yields reports whether the local version of an object is older than the entry k retained by another host, and was not
+// written in the current era.
 func (c *Copy[T]) yields(held feed.Entry[T], known bool, k feed.Entry[T]) bool {
 	own, kept := c.retained.kept[k.Name]
 	gone, ended := c.retained.gone[k.Name]
--- a/entry/internal/relay/retained_test.go
+++ b/entry/internal/relay/retained_test.go
@@ -27,7 +27,7 @@
 	return relay.NewCopy(relay.Options[platform.Evacuation]{KeepAbsent: true, KeepFor: keepFor})
 }
 
-// at returns a batch of an era.
+// at returns a batch of the given era.
 func at[T any](era, revision int64, entries ...feed.Entry[T]) feed.Batch[T] {
 	return feed.Batch[T]{Era: era, Revision: revision, Entries: entries}
 }
@@ -44,7 +44,7 @@
 	return feed.Entry[T]{Name: name, Revision: revision, Deleted: true}
 }
 
-// holds describes what a copy holds, in order.
+// holds returns the sorted descriptions of the entries of a copy.
 func holds[T any](c *relay.Copy[T], show func(feed.Entry[T]) string) []string {
 	all, _, _ := c.Since(feed.Position{})
 	list := []string{}
@@ -61,7 +61,7 @@
 
 func showName[T any](e feed.Entry[T]) string { return e.Name }
 
-// Guards against replicas that the store's copy brings back: those that are gone, and those that have begun to drain.
+// Guards against replicas that a restore from a backup brings back: deleted ones, and draining ones as live.
 func TestCopyBringsNoReplicaBack(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := replicasCopy()
@@ -71,7 +71,7 @@
 	list := at(2, 12, row("gone", 3, 4, platform.StateLive), row("drains", 4, 4, platform.StateLive), row("stays", 11, 9, platform.StateLive), row("again", 12, 5, platform.StateLive))
 	for range 2 {
 		qt.Assert(t, c.Replace(list, now, false), qt.IsTrue)
-		// The one that is new is found once it writes again, and the one that has written again is there.
+		// The new replica is missing until it writes again, and the deleted one that has written again is present.
 		qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 9", "stays live 9"})
 	}
 	c.Change(at(2, 15, row("new", 13, 2, platform.StateLive), deleted[platform.Replica]("gone", 14), row("drains", 15, 10, platform.StateLeaving)), now, false)
@@ -82,8 +82,8 @@
 	qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"again live 5", "gone live 20", "new live 2", "stays live 9"})
 }
 
-// Guards against a replica that lives and is left out for good: its row expired in the lost seconds, the store's copy has
-// it, and the replica's next write changes nothing that the store counts as a change.
+// Guards against a live replica that stays hidden forever. Its row expired in the seconds that the restore lost, the
+// backup contains it, and its next write doesn't count as a change in the store.
 func TestLivingReplicaIsLeftOutForAWhile(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := replicasCopy()
@@ -96,7 +96,7 @@
 	qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"a live 4"})
 }
 
-// Guards against an order to evacuate a zone, or its end, that the store's copy undoes.
+// Guards against evacuations and releases of zones that a restore from a backup reverts.
 func TestCopyUndoesNoEvacuation(t *testing.T) {
 	now := time.Unix(100, 0)
 	newCopy := func() *relay.Copy[platform.Evacuation] {
@@ -111,21 +111,21 @@
 		then func(c *relay.Copy[platform.Evacuation])
 		want []string
 	}{
-		{"nothing is written", func(*relay.Copy[platform.Evacuation]) {}, []string{"ordered"}},
-		{"all is listed again", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(2, 11, order("released", 5)), now, false) }, []string{"ordered"}},
-		{"both are written again", func(c *relay.Copy[platform.Evacuation]) {
+		{"no write after the restore", func(*relay.Copy[platform.Evacuation]) {}, []string{"ordered"}},
+		{"objects listed again", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(2, 11, order("released", 5)), now, false) }, []string{"ordered"}},
+		{"order and release written again", func(c *relay.Copy[platform.Evacuation]) {
 			c.Change(at(2, 12, order("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
 		}, []string{"ordered"}},
-		{"the order is written again, and its end", func(c *relay.Copy[platform.Evacuation]) {
+		{"order written again, then released", func(c *relay.Copy[platform.Evacuation]) {
 			c.Change(at(2, 12, order("ordered", 11), deleted[platform.Evacuation]("ordered", 12)), now, false)
 		}, []string{}},
-		{"the zone is evacuated anew", func(c *relay.Copy[platform.Evacuation]) { c.Change(at(2, 12, order("released", 12)), now, false) }, []string{"ordered", "released"}},
-		{"a list shows it anew", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(2, 12, order("released", 12)), now, false) }, []string{"ordered", "released"}},
-		{"nobody writes for long", func(c *relay.Copy[platform.Evacuation]) {
+		{"zone evacuated again by a change", func(c *relay.Copy[platform.Evacuation]) { c.Change(at(2, 12, order("released", 12)), now, false) }, []string{"ordered", "released"}},
+		{"zone evacuated again in a list", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(2, 12, order("released", 12)), now, false) }, []string{"ordered", "released"}},
+		{"no write until expiry", func(c *relay.Copy[platform.Evacuation]) {
 			c.Change(at[platform.Evacuation](2, 12), now.Add(keepFor), false)
 		}, []string{"released"}},
-		{"a second drill", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(3, 10, order("released", 5)), now, false) }, []string{"ordered"}},
-		{"an answer of the old era", func(c *relay.Copy[platform.Evacuation]) {
+		{"second restore", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(3, 10, order("released", 5)), now, false) }, []string{"ordered"}},
+		{"reply of the old era", func(c *relay.Copy[platform.Evacuation]) {
 			qt.Check(t, c.Replace(at(1, 99, order("released", 5)), now, false), qt.IsFalse)
 			_, ok := c.Change(at(1, 99, deleted[platform.Evacuation]("ordered", 98)), now, false)
 			qt.Check(t, ok, qt.IsFalse)
@@ -137,7 +137,7 @@
 	}
 }
 
-// Guards against a host that starts after the store came back and learns less than the others know.
+// Guards against a host that starts after a restore and doesn't receive the entries that other hosts retain.
 func TestKeptIsPassedOn(t *testing.T) {
 	now := time.Unix(100, 0)
 	old := evacuationsCopy()
@@ -154,17 +154,18 @@
 	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{"ordered"})
 	_, same := started.Kept()
 	qt.Check(t, same, qt.Equals, sum)
-	// A second drill changes nothing of that.
+	// A second restore makes no difference.
 	started.Replace(at(3, 10, order("released", 5)), now, false)
 	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{"ordered"})
 	started.Replace(at(3, 11, order("released", 5)), now, false)
-	// What was written since counts, whatever a host that lags still keeps.
+	// Later writes take precedence over entries that a lagging host still retains.
 	started.Change(at(3, 13, order("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
 	started.Merge(kept, now)
 	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{})
 }
 
-// Guards against a host of the old era that is served from changes it can't be: it had seen what its parent never did.
+// Guards against a host that gets too few changes in a new era because it has seen revisions of the old era that its
+// parent never had.
 func TestHostAheadOfItsParentGetsAll(t *testing.T) {
 	now := time.Unix(100, 0)
 	parent := replicasCopy()
@@ -185,13 +186,14 @@
 	}
 }
 
-// eraModel is a store that comes back from older copies, and three hosts: two read it, and each hears from the others.
+// eraModel simulates a store that is restored from backups, and three hosts. Two read the store, and all read from each
+// other.
 type eraModel struct {
 	era, revision, version int64
-	// store is what the store holds, truth what the operator wrote.
+	// store is the content of the store, and truth the latest versions that the operator wrote.
 	store map[string]feed.Entry[int64]
 	truth map[string]int64
-	// copies are what the store may come back from.
+	// copies lists the backups that the store may be restored from.
 	copies []eraCopy
 	hosts  [3]*relay.Copy[int64]
 	newest [3]map[string]int64
@@ -211,7 +213,7 @@
 	return m
 }
 
-// start lets a host begin anew.
+// start restarts a host with an empty copy.
 func (m *eraModel) start(i int) {
 	opts := relay.Options[int64]{KeepAbsent: true, Older: func(got, held int64) bool { return got < held }}
 	m.hosts[i], m.newest[i] = relay.NewCopy(opts), map[string]int64{}
@@ -232,7 +234,7 @@
 	m.truth[name] = version
 }
 
-// writeLost lets the operator write again what the store has lost.
+// writeLost repeats the writes that the store has lost.
 func (m *eraModel) writeLost() {
 	for _, name := range slices.Sorted(maps.Keys(m.truth)) {
 		if m.store[name].Value != m.truth[name] {
@@ -241,7 +243,7 @@
 	}
 }
 
-// read lets a host list all objects.
+// read updates a host with a list of all objects of the store.
 func (m *eraModel) read(t *rapid.T, i int) {
 	list := at[int64](m.era, m.revision)
 	for _, name := range slices.Sorted(maps.Keys(m.store)) {
@@ -252,7 +254,7 @@
 	}
 }
 
-// hear lets one host hear from another.
+// hear updates one host from another.
 func (m *eraModel) hear(to, from int) {
 	st, _ := m.hosts[to].State()
 	batch, full, _ := m.hosts[from].Since(st.Position)
@@ -268,7 +270,7 @@
 	m.hosts[to].Merge(kept, m.now())
 }
 
-// check holds that no version went back on a host.
+// check fails if a version went back on a host.
 func (m *eraModel) check(t *rapid.T) {
 	for i, h := range m.hosts {
 		all, _, _ := h.Since(feed.Position{})
@@ -285,9 +287,9 @@
 	}
 }
 
-// A store writes versions of objects at random and comes back from older copies; the operator writes again what was lost,
-// later. Two hosts list, all hear from each other, and start anew now and then. No version may be undone on a host that
-// knew it, and all must hold what the store holds once all is written again.
+// Guards against hosts that revert to an older version of an object, or stay different from the store, after the store
+// was restored from a backup. Objects are written at random, lost writes are repeated later, two hosts list the store,
+// all hosts read from each other, and some restart.
 func TestCopiesAgreeThroughEras(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newEraModel()
@@ -326,7 +328,7 @@
 	})
 }
 
-// Guards against a host of an earlier version, which says no era, being sent all objects without end.
+// Guards against a host of an earlier version, which sends no era, that is sent full lists in a loop.
 func TestAskerWithoutAnEraWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := replicasCopy()
@@ -340,8 +342,8 @@
 	})
 }
 
-// Guards against a host that goes back to what its parent keeps: the parent had not seen the newest version before the
-// drill, whose revision is above those of the new era.
+// Guards against a host that reverts to an older version retained by its parent. The parent had not received the latest
+// version before the restore, and its revision is higher than those of the new era.
 func TestParentKeepsLessThanItsChild(t *testing.T) {
 	now := time.Unix(100, 0)
 	version := func(revision, v int64) feed.Entry[int64] {
@@ -364,11 +366,12 @@
 		kept, _ := parent.Kept()
 		child.Merge(kept, now)
 		held, _, _ := child.Since(feed.Position{})
-		qt.Check(t, held.Entries[0].Value, qt.Equals, int64(81), qt.Commentf("crossed before: %v", crossed))
+		qt.Check(t, held.Entries[0].Value, qt.Equals, int64(81), qt.Commentf("child entered the era first: %v", crossed))
 	}
 }
 
-// Guards against a replica that vanishes on one host, some seconds after that one knew a newer row of it than its parent.
+// Guards against a replica that disappears on one host some time after a restore, because the host had a newer row of
+// it than its parent.
 func TestRowNewerThanTheParentsStays(t *testing.T) {
 	now := time.Unix(100, 0)
 	parent, child := replicasCopy(), replicasCopy()
--- a/entry/internal/relay/server.go
+++ b/entry/internal/relay/server.go
@@ -9,46 +9,47 @@
 	"guavaspring.org/core/route"
 )
 
-// mostWait bounds how long a call of another host waits here.
+// mostWait is the maximum time that a call of another host waits for changes.
 const mostWait = 30 * time.Second
 
-// Args asks for what is newer than a moment of the store's history.
+// Args is a request for the changes since a position in the store's history.
 type Args struct {
-	// Since is the revision that the asker has reached, and Era the era that it belongs to.
+	// Since is the revision that the caller has reached, and Era the restart era of that revision.
 	Since, Era int64
-	// Kept is the checksum of what the asker was told last of what the other host keeps from earlier eras.
+	// Kept is the checksum of the objects retained from earlier eras that the caller last received from this host.
 	Kept uint64
-	// Wait is how long to wait for something newer, or for the news that there is nothing.
+	// Wait is how long to wait for a change, or for the confirmation that there is none.
 	Wait time.Duration
 }
 
-// Reply holds what is newer.
+// Reply holds the changes since the position of the caller.
 type Reply[T any] struct {
-	// Full says that Entries holds all objects, not only those that changed.
+	// Full reports that Entries holds all objects, not only the changed ones.
 	Full    bool
 	Entries []feed.Entry[T]
-	// Packed holds all objects in place of Entries, until Unpack: they are most of what hosts tell each other where a
-	// fleet starts at once.
+	// Packed holds all objects in compressed form in place of Entries, until Unpack is called. Full lists make up most
+	// of the traffic between hosts when a whole fleet starts at once.
 	Packed []byte
-	// Revision is the store's revision that this brings the asker to, and Era the era that it belongs to.
+	// Revision is the store's revision that the caller reaches with this reply, and Era its restart era.
 	Revision, Era int64
-	// Base is the revision up to which objects may be as the store's copy had them when the era began.
+	// Base is the revision up to which objects may be as restored from the backup that the era began with.
 	Base int64
-	// Kept holds what the host keeps from earlier eras, where the asker was told otherwise, and KeptSum its checksum.
+	// Kept holds the objects retained from earlier eras, unless the caller already has them, and KeptSum their
+	// checksum.
 	Kept    []feed.Entry[T]
 	KeptSum uint64
-	// Age is how long before the reply the store was known to hold nothing newer; negative where it never was.
+	// Age is the time since the copy was last confirmed to be up to date with the store, negative if it never was.
 	Age time.Duration
-	// Held is how long the question was held before it was answered.
+	// Held is how long the call waited before it was served.
 	Held time.Duration
-	// Returned says that the store was away until a moment ago.
+	// Returned reports that the store has just become reachable again.
 	Returned bool
 }
 
-// Position returns the moment of the store's history that the asker has reached.
+// Position returns the position in the store's history that the caller has reached.
 func (a Args) Position() feed.Position { return feed.Position{Era: a.Era, Revision: a.Since} }
 
-// Batch returns what is newer as a batch.
+// Batch returns the changes as a batch.
 func (r Reply[T]) Batch() feed.Batch[T] {
 	return feed.Batch[T]{Entries: r.Entries, Era: r.Era, Revision: r.Revision, Base: r.Base}
 }
@@ -61,27 +62,27 @@
 	EvacuationCopy *Copy[platform.Evacuation]
 }
 
-// Configs returns configurations that are newer than the asker's.
+// Configs returns the configurations that changed since the caller's revision.
 func (m *Methods) Configs(args *Args, reply *Reply[route.Config]) error {
 	return Serve(m.Clock, m.ConfigCopy, args, reply)
 }
 
-// Replicas returns replicas that changed since the asker's revision.
+// Replicas returns the replicas that changed since the caller's revision.
 func (m *Methods) Replicas(args *Args, reply *Reply[platform.Replica]) error {
 	return Serve(m.Clock, m.ReplicaCopy, args, reply)
 }
 
-// Evacuations returns evacuations that were ordered or taken back since the asker's revision.
+// Evacuations returns the evacuations that were ordered or released since the caller's revision.
 func (m *Methods) Evacuations(args *Args, reply *Reply[platform.Evacuation]) error {
 	return Serve(m.Clock, m.EvacuationCopy, args, reply)
 }
 
-// Serve waits until the copy is newer or fresher than it was, and answers with what the asker lacks.
+// Serve waits until the copy changes or is confirmed again, and replies with the changes that the caller lacks.
 func Serve[T any](clk clock.Clock, c *Copy[T], args *Args, reply *Reply[T]) error {
 	began := clk.Now()
 	st, changed := c.State()
 	if args.Era == 0 && args.Since > 0 {
-		// A host of an earlier version doesn't say its era.
+		// Hosts of earlier versions don't send their era.
 		args.Era = st.Era
 	}
 	if behind := st.Before(args.Position()); args.Wait > 0 && (behind || st.Position == args.Position() && st.Kept == args.Kept) {
@@ -103,7 +104,7 @@
 	if reply.KeptSum == args.Kept {
 		reply.Kept = nil
 	}
-	// A host that is itself behind the asker has nothing newer for it.
+	// This host is behind the caller and has no changes for it.
 	if batch.Position().Before(args.Position()) {
 		return nil
 	}
--- a/entry/internal/relay/tree.go
+++ b/entry/internal/relay/tree.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// watchers is how many hosts watch the store: one, and one that goes on while the first is cut off or restarted.
-	// Each waiting watch is a call that is paid for, so that it must not grow with the fleet.
+	// watchers is the number of hosts that watch the store: one, and a second for when the first is partitioned or
+	// restarted. Every open watch is a paid call, so their number must not grow with the fleet.
 	watchers = 2
-	// fanOut is how many hosts each host passes on to: 5,600 hosts are reached in five steps.
+	// fanOut is the maximum number of children of a host. With 8, changes reach 5,600 hosts in five steps.
 	fanOut = 8
 )
 
-// Parents returns the hosts that self hears from, the one to ask first in front; watches says that self watches the
+// Parents returns the hosts that self reads changes from, in order of preference. watches reports that self watches the
 // store.
 //
-// Each availability zone has a tree of its own. Its first host hears from those that watch, which may be elsewhere, and
-// passes on inside the zone, so that news and what a starting host needs cross a zone's border once and not once for
-// each host, also where all start at once.
+// Each availability zone has its own tree. The root of a tree reads from the watching hosts, which may be in other
+// zones, and the other hosts of the zone read from within it. Changes and the full lists for starting hosts thus cross
+// a zone boundary once per zone instead of once per host, even if all hosts start at once.
 //
-// Hosts that disagree on who is a member may ask each other in a ring. None of them then hears anything fresh, and each
-// asks the store itself.
+// Hosts with different member lists may become each other's parents in a cycle. None of them then receives changes, and
+// each falls back to reading the store itself.
 func Parents(hosts []member.Host, self string) (parents []member.Host, watches bool) {
 	order := ranked(hosts, self)
 	watching := order[:min(watchers, len(order))]
@@ -32,7 +32,7 @@
 	own := order[slices.IndexFunc(order, func(h member.Host) bool { return h.ID == self })]
 	zone := inZone(order, own)
 	at := slices.IndexFunc(zone, func(h member.Host) bool { return h.ID == self })
-	// Those that watch are the first of all, and so of their zones.
+	// The watching hosts rank first of all hosts, and so first in their zones.
 	roots := len(inZone(watching, own))
 	if at == 0 {
 		return watching, false
@@ -43,14 +43,14 @@
 		parents = append(parents, zone[second])
 	}
 	if len(parents) < 2 && roots == 0 {
-		// The one host above this one may be gone, and the store is not the next to be asked.
+		// The only parent may be gone. Another parent keeps this host from falling back to the store.
 		parents = append(parents, watching[0])
 	}
 	return parents, false
 }
 
-// ranked returns the hosts that may be heard from in their order, with self in it: a host that is leaving is not ranked
-// any more, and comes last.
+// ranked returns the alive hosts in order of rank, and self. A leaving host is not ranked any more, so that self comes
+// last if it is leaving.
 func ranked(hosts []member.Host, self string) []member.Host {
 	var order []member.Host
 	for _, h := range member.Ranked(hosts, "watch") {
@@ -65,7 +65,7 @@
 	return order
 }
 
-// inZone returns the hosts of a host's availability zone in their order.
+// inZone returns the hosts in the availability zone of own, in the same order.
 func inZone(order []member.Host, own member.Host) []member.Host {
 	var list []member.Host
 	for _, h := range order {
@@ -76,6 +76,7 @@
 	return list
 }
 
+// without returns a copy of hosts without the host of the given ID.
 func without(hosts []member.Host, id string) []member.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return h.ID == id })
 }
