--- a/entry/internal/allowance/fleet.go
+++ b/entry/internal/allowance/fleet.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// rememberFor is how long a missing host keeps its share of every limit, as it may be partitioned and still run. Hosts
-	// that are gone for good are replaced within a minute.
-	rememberFor = time.Minute
-	// noteEvery is the interval at which the serving hosts are recorded.
-	noteEvery = time.Second
-	// provenFor is how long a host must be known before it can be a keeper. A host that has just started doesn't have the
-	// member list yet, and the buckets that it would hold already have a keeper.
-	provenFor = 2 * time.Second
-	// mostKeepers is the maximum number of hosts that are keepers. It bounds the connections of each host.
-	mostKeepers = 16
-	// mostDeputies is the maximum number of deputies of a customer.
-	mostDeputies = 3
-	// keepers is the key by which hosts are ranked to choose the keepers.
-	keepers = "allowance keepers"
+	// missingShareTTL is how long a missing host keeps its share of every limit, as it may be partitioned and still
+	// run. Hosts that are gone for good are replaced within a minute.
+	missingShareTTL = time.Minute
+	// recordInterval is the interval at which the serving hosts are recorded.
+	recordInterval = time.Second
+	// provenAfter is how long a host must be known before it can be a keeper. A host that has just started doesn't have
+	// the member list yet, and the buckets that it would hold already have a keeper.
+	provenAfter = 2 * time.Second
+	// maxKeepers is the maximum number of hosts that are keepers. It bounds the connections of each host.
+	maxKeepers = 16
+	// maxDeputies is the maximum number of deputies of a customer.
+	maxDeputies = 3
+	// keeperRankKey is the key by which hosts are ranked to choose the keepers.
+	keeperRankKey = "allowance keepers"
 )
 
 // fleet derives each customer's keeper and the number of shares of a limit from the serving hosts.
 type fleet struct {
-	// serving lists the serving hosts of the latest view, and since is when the keepers last changed.
-	serving []member.Host
-	since   time.Time
+	// serving lists the serving hosts of the latest view, and keepersSince is when the keepers last changed.
+	serving      []member.Host
+	keepersSince time.Time
 	// self is the ID of this host.
 	self string
 	// keepers lists the hosts that can be keepers, and ranked caches the ranking of each customer.
 	keepers []member.Host
 	ranked  map[string]ranking
-	// proven lists the serving hosts that have been known for at least provenFor. met holds when each serving host was
-	// first seen, by ID. provenAt is when the next host becomes proven, or zero if all are.
-	proven   []member.Host
-	met      map[string]time.Time
-	provenAt time.Time
-	// seen holds when each serving host was last seen, by address, as of noted.
-	seen  map[netip.AddrPort]time.Time
-	noted time.Time
-	// reported is the number of shares that other hosts divide a limit into, as of reportedAt.
-	reported   int
-	reportedAt time.Time
-	// settledAt is when this host had discovered the others. It is zero if it had done so before the first update, has not
-	// done so yet, or another host reported to have done so long ago.
+	// proven lists the serving hosts that have been known for at least provenAfter. firstSeen holds when each serving
+	// host was first seen, by ID. nextProvenAt is when the next host becomes proven, or zero if all are.
+	proven       []member.Host
+	firstSeen    map[string]time.Time
+	nextProvenAt time.Time
+	// lastSeen holds when each serving host was last seen, by address, as of recordedAt.
+	lastSeen   map[netip.AddrPort]time.Time
+	recordedAt time.Time
+	// reportedShares is the number of shares that other hosts divide a limit into, as of reportedAt.
+	reportedShares int
+	reportedAt     time.Time
+	// settledAt is when this host had discovered the others. It is zero if it had done so before the first update, has
+	// not done so yet, or another host reported to have done so long ago.
 	settledAt time.Time
 	unsettled bool
 }
@@ -57,12 +57,12 @@
 	// keeper is the ID of the customer's keeper. Hosts that can't reach it ask the deputies in this order.
 	keeper   string
 	deputies []string
-	// place is the rank of this host among the serving hosts, or their number if it doesn't serve.
-	place int
+	// rank is the rank of this host among the serving hosts, or their number if it doesn't serve.
+	rank int
 }
 
 func newFleet() fleet {
-	return fleet{met: map[string]time.Time{}, seen: map[netip.AddrPort]time.Time{}}
+	return fleet{firstSeen: map[string]time.Time{}, lastSeen: map[netip.AddrPort]time.Time{}}
 }
 
 // update applies a view and reports whether the keepers may have changed.
@@ -71,23 +71,23 @@
 		f.settledAt = now
 	}
 	f.unsettled = !v.Settled
-	changed := !same(f.serving, v.Serving)
-	if changed || now.Sub(f.noted) > noteEvery {
-		f.note(now, v)
+	changed := !sameHosts(f.serving, v.Serving)
+	if changed || now.Sub(f.recordedAt) > recordInterval {
+		f.recordServing(now, v)
 	}
-	if !changed && (f.provenAt.IsZero() || now.Before(f.provenAt)) {
+	if !changed && (f.nextProvenAt.IsZero() || now.Before(f.nextProvenAt)) {
 		return false
 	}
-	f.self, f.serving, f.since, f.ranked = v.Self, v.Serving, now, map[string]ranking{}
-	f.meet(now, v)
-	f.prove(now)
-	f.keepers = member.Ranked(f.proven, keepers)
-	f.keepers = f.keepers[:min(mostKeepers, len(f.keepers))]
+	f.self, f.serving, f.keepersSince, f.ranked = v.Self, v.Serving, now, map[string]ranking{}
+	f.recordFirstSeen(now, v)
+	f.collectProven(now)
+	f.keepers = member.Ranked(f.proven, keeperRankKey)
+	f.keepers = f.keepers[:min(maxKeepers, len(f.keepers))]
 	return true
 }
 
-// same reports whether two lists contain the same hosts in the same order.
-func same(a, b []member.Host) bool {
+// sameHosts reports whether two lists contain the same hosts in the same order.
+func sameHosts(a, b []member.Host) bool {
 	if len(a) != len(b) || len(a) == 0 || &a[0] == &b[0] {
 		return len(a) == len(b)
 	}
@@ -99,95 +99,97 @@
 	return true
 }
 
-// note records which hosts serve now. It drops hosts that have not served for rememberFor, and hosts that are alive but
-// don't serve any more, as these use no share.
-func (f *fleet) note(now time.Time, v View) {
-	f.noted = now
+// recordServing records which hosts serve now. It drops hosts that have not served for missingShareTTL, and hosts that
+// are alive but don't serve any more, as these use no share.
+func (f *fleet) recordServing(now time.Time, v View) {
+	f.recordedAt = now
 	if !v.Settled {
 		// Until the others are discovered, hosts that are too weak to serve count as serving, too.
-		clear(f.seen)
+		clear(f.lastSeen)
 	}
 	for _, h := range v.Hosts {
 		if h.State == member.StateAlive {
-			delete(f.seen, h.Peer)
+			delete(f.lastSeen, h.Peer)
 		}
 	}
 	for _, h := range v.Serving {
-		f.seen[h.Peer] = now
+		f.lastSeen[h.Peer] = now
 	}
-	for addr, at := range f.seen {
-		if now.Sub(at) > rememberFor {
-			delete(f.seen, addr)
+	for addr, at := range f.lastSeen {
+		if now.Sub(at) > missingShareTTL {
+			delete(f.lastSeen, addr)
 		}
 	}
 }
 
-// meet records when the hosts were first seen. On a host that has just started, or on the first update, all hosts are new,
-// so that all count as proven.
-func (f *fleet) meet(now time.Time, v View) {
-	before := f.met
-	f.met = make(map[string]time.Time, len(f.serving))
+// recordFirstSeen records when the hosts were first seen. A host that has just started, or runs its first
+// update, can't distinguish new hosts from others and counts all as proven.
+func (f *fleet) recordFirstSeen(now time.Time, v View) {
+	before := f.firstSeen
+	f.firstSeen = make(map[string]time.Time, len(f.serving))
 	for _, h := range f.serving {
 		at, known := before[h.ID]
 		switch {
 		case known:
 		case !v.Settled, len(before) == 0:
-			at = now.Add(-provenFor)
+			at = now.Add(-provenAfter)
 		default:
 			at = now
 		}
-		f.met[h.ID] = at
+		f.firstSeen[h.ID] = at
 	}
 }
 
-// prove collects the serving hosts that have been known for at least provenFor.
-func (f *fleet) prove(now time.Time) {
-	f.proven, f.provenAt = nil, time.Time{}
+// collectProven collects the serving hosts that have been known for at least provenAfter.
+func (f *fleet) collectProven(now time.Time) {
+	f.proven, f.nextProvenAt = nil, time.Time{}
 	for _, h := range f.serving {
-		at := f.met[h.ID].Add(provenFor)
+		at := f.firstSeen[h.ID].Add(provenAfter)
 		if !now.Before(at) {
 			f.proven = append(f.proven, h)
 			continue
 		}
-		if f.provenAt.IsZero() || at.Before(f.provenAt) {
-			f.provenAt = at
+		if f.nextProvenAt.IsZero() || at.Before(f.nextProvenAt) {
+			f.nextProvenAt = at
 		}
 	}
 }
 
-// of returns the ranking of a customer.
-func (f *fleet) of(customer string) ranking {
+// rankingFor returns the ranking of a customer.
+func (f *fleet) rankingFor(customer string) ranking {
 	r, ok := f.ranked[customer]
 	if ok {
 		return r
 	}
-	r.place = len(f.serving)
+	r.rank = len(f.serving)
 	for i, h := range member.Ranked(f.serving, customer) {
 		if h.ID == f.self {
-			r.place = i
+			r.rank = i
 		}
 	}
 	list := member.Ranked(f.keepers, customer)
 	if len(list) > 0 {
 		r.keeper = list[0].ID
 	}
-	for n := 1; n < min(len(list), 1+mostDeputies); n++ {
+	for n := 1; n < min(len(list), 1+maxDeputies); n++ {
 		r.deputies = append(r.deputies, list[n].ID)
 	}
 	f.ranked[customer] = r
 	return r
 }
 
-// serves reports whether this host is a serving host.
-func (f *fleet) serves() bool {
+// selfServes reports whether this host is a serving host.
+func (f *fleet) selfServes() bool {
 	return slices.ContainsFunc(f.serving, func(h member.Host) bool { return h.ID == f.self })
 }
 
-// keeps reports whether this host is a customer's keeper.
-func (f *fleet) keeps(customer string) bool { return f.self != "" && f.of(customer).keeper == f.self }
+// isKeeper reports whether this host is a customer's keeper.
+func (f *fleet) isKeeper(customer string) bool {
+	return f.self != "" && f.rankingFor(customer).keeper == f.self
+}
 
-// host returns the keeper candidate with the given ID.
-func (f *fleet) host(id string) member.Host {
+// keeperHost returns the keeper candidate with the given ID.
+func (f *fleet) keeperHost(id string) member.Host {
 	for _, h := range f.keepers {
 		if h.ID == id {
 			return h
@@ -196,29 +198,33 @@
 	return member.Host{}
 }
 
-// parts returns the number of shares that a limit is divided into: one for each host that serves or served recently,
-// according to this host or one that has asked it.
-func (f *fleet) parts() float64 { return float64(max(f.known(), f.reported)) }
+// shareCount returns the number of shares that a limit is divided into: one for each host that serves or served
+// recently, according to this host or one that has asked it.
+func (f *fleet) shareCount() float64 { return float64(max(f.knownShares(), f.reportedShares)) }
 
-// share returns the given number of shares as a fraction of the limit.
-func (f *fleet) share(parts int) float64 { return min(1, float64(parts)/f.parts()) }
+// fraction returns the given number of shares as a fraction of the limit.
+func (f *fleet) fraction(parts int) float64 { return min(1, float64(parts)/f.shareCount()) }
 
-// known returns the number of shares according to this host alone.
-func (f *fleet) known() int { return max(1, len(f.seen)) }
+// knownShares returns the number of shares according to this host alone.
+func (f *fleet) knownShares() int { return max(1, len(f.lastSeen)) }
 
-// hear applies the report in a request of another host. The report expires after provenFor: that host may have discovered
-// hosts that this one discovers a little later.
-func (f *fleet) hear(now time.Time, args *Args) {
-	if args.Parts >= f.reported || now.Sub(f.reportedAt) > provenFor {
-		f.reported, f.reportedAt = args.Parts, now
+// applyReport applies the report in a request of another host. The report expires after provenAfter: that host may have
+// discovered hosts that this one discovers a little later.
+func (f *fleet) applyReport(now time.Time, args *Args) {
+	if args.Parts >= f.reportedShares || now.Sub(f.reportedAt) > provenAfter {
+		f.reportedShares, f.reportedAt = args.Parts, now
 	}
 	if args.Old {
 		f.settledAt = time.Time{}
 	}
 }
 
-// young reports whether this host, and possibly the whole fleet, has discovered the others only recently.
-func (f *fleet) young(now time.Time) bool { return f.unsettled || now.Sub(f.settledAt) < youngFor }
+// recentlySettled reports whether this host, and possibly the whole fleet, has discovered the others only recently.
+func (f *fleet) recentlySettled(now time.Time) bool {
+	return f.unsettled || now.Sub(f.settledAt) < settlingPeriod
+}
 
-// first reports whether this host is the first deputy.
-func (r *ranking) first(self string) bool { return len(r.deputies) > 0 && r.deputies[0] == self }
+// isFirstDeputy reports whether this host is the first deputy.
+func (r *ranking) isFirstDeputy(self string) bool {
+	return len(r.deputies) > 0 && r.deputies[0] == self
+}
--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// askFor is the timeout of a request to a keeper, which is in the same region.
-	askFor = 60 * time.Millisecond
-	// askPart is the fraction of a request's remaining time that the wait for a keeper may take.
-	askPart = 0.25
-	// keeperRest is the backoff after a host failed to reply, and declinedRest the backoff after it declined.
-	keeperRest, declinedRest = time.Second, 200 * time.Millisecond
-	// These are fractions of Options.Slack: spare is what a bucket holds beyond the burst, bridge is what a deputy or a
-	// new keeper grants in place of shares that may be in use elsewhere, and advance is what hosts that reach neither
-	// keeper nor deputy may use in advance. The rest covers requests that were admitted before they were reported to
-	// other hosts.
-	spare, bridge, advance = 0.2, 0.3, 0.3
-	// faster is the fraction of Options.Excess by which buckets are refilled faster than the limit. Clocks and latencies
-	// differ between hosts, and a customer just within its limit must not be refused.
-	faster = 0.4
-	// youngFor is how long a host that has just discovered the others grants only youngPart of a limit and of its slack.
-	// If all hosts start at once, each may know only half of the others and compute shares twice too large.
-	youngFor, youngPart = 2 * time.Second, 0.5
-	// mostAsks is the maximum number of hosts asked for one request: the keeper in this host's view, the keeper that it
+	// askTimeout is the timeout of a request to a keeper, which is in the same region.
+	askTimeout = 60 * time.Millisecond
+	// askDeadlineFraction is the fraction of a request's remaining time that the wait for a keeper may take.
+	askDeadlineFraction = 0.25
+	// failureBackoff is the backoff after a host failed to reply, and declineBackoff the backoff after it declined.
+	failureBackoff, declineBackoff = time.Second, 200 * time.Millisecond
+	// These are fractions of Options.Slack: spareFraction is what a bucket holds beyond the burst, bridgeFraction is
+	// what a deputy or a new keeper grants in place of shares that may be in use elsewhere, and advanceFraction is what
+	// hosts that reach neither keeper nor deputy may use in advance. The rest covers requests that were admitted before
+	// they were reported to other hosts.
+	spareFraction, bridgeFraction, advanceFraction = 0.2, 0.3, 0.3
+	// refillFraction is the fraction of Options.Excess by which buckets are refilled faster than the limit. Clocks and
+	// latencies differ between hosts, and a customer just within its limit must not be refused.
+	refillFraction = 0.4
+	// settlingPeriod is how long a host that has just discovered the others grants only settlingFraction of a limit and
+	// of its slack. If all hosts start at once, each may know only half of the others and compute shares twice too
+	// large.
+	settlingPeriod, settlingFraction = 2 * time.Second, 0.5
+	// maxAsks is the maximum number of hosts asked for one request: the keeper in this host's view, the keeper that it
 	// refers to, and a deputy.
-	mostAsks = 3
-	// forgetEvery is the interval at which the accounts of customers that left the configuration are dropped.
-	forgetEvery = 10 * time.Second
+	maxAsks = 3
+	// pruneInterval is the interval at which the accounts of customers that left the configuration are dropped.
+	pruneInterval = 10 * time.Second
 )
 
 // Options configures a Ledger.
@@ -59,9 +60,9 @@
 // equal shares, one per serving host. Hosts that reach each other pool their shares in one token bucket, held by the
 // customer's keeper, which is the host that ranks first for the customer. Every host asks the keeper for tokens. Hosts
 // that can't reach the keeper pool their shares at its deputies, which rank next, and a host that reaches none of them
-// uses only its own share. A host doesn't use its share for partFor after it asked for tokens, and the host that it asked
-// doesn't use that share for longer than that. Options.Slack and Options.Excess cover the moments in which a keeper counts
-// the shares of hosts that don't ask for tokens.
+// uses only its own share. A host doesn't use its share for shareHoldTime after it asked for tokens, and the host that
+// it asked doesn't use that share for longer than that. Options.Slack and Options.Excess cover the moments in which a
+// keeper counts the shares of hosts that don't ask for tokens.
 //
 // Fixed shares alone fail small customers: with a limit of one request a second and clients spread over fifty hosts, no
 // host has a whole token.
@@ -71,9 +72,9 @@
 	mu       sync.Mutex
 	fleet    fleet
 	accounts map[string]*account
-	// resting holds the end of the backoff of each host that failed or declined, by ID.
-	resting  map[string]time.Time
-	forgotAt time.Time
+	// backoffUntil holds the end of the backoff of each host that failed or declined, by ID.
+	backoffUntil map[string]time.Time
+	prunedAt     time.Time
 }
 
 // New returns a ledger without accounts.
@@ -81,7 +82,7 @@
 	if opts.Failed == nil {
 		opts.Failed = func(member.Host, error) {}
 	}
-	return &Ledger{opts: opts, fleet: newFleet(), accounts: map[string]*account{}, resting: map[string]time.Time{}}
+	return &Ledger{opts: opts, fleet: newFleet(), accounts: map[string]*account{}, backoffUntil: map[string]time.Time{}}
 }
 
 // Take decides whether one request is within its customer's limit.
@@ -90,23 +91,23 @@
 	if !c.Limited() {
 		return Decision{Admitted: true, Source: SourceUnlimited}
 	}
-	l.count(c)
+	l.recordRequest(c)
 	var from referral
-	for range mostAsks {
+	for range maxAsks {
 		now := l.opts.Clock.Now()
 		d, ask := l.decide(now, &req, from)
 		if ask == nil {
 			return d
 		}
 		rep, err := l.ask(ctx, ask, req.Deadline.Sub(now))
-		if d, ok := l.answered(c, ask, rep, err); ok {
+		if d, ok := l.handleReply(c, ask, rep, err); ok {
 			return d
 		}
 		if rep.Keeper.ID != "" {
 			from = referral{by: ask.host.ID, to: rep.Keeper}
 		}
 	}
-	return l.own(c)
+	return l.decideUnreachable(c)
 }
 
 // referral names the keeper that a host referred to in place of a decision.
@@ -123,115 +124,116 @@
 	l.update(now, v)
 }
 
-func (l *Ledger) ask(ctx context.Context, q *question, left time.Duration) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, min(askFor, time.Duration(askPart*float64(left))))
+func (l *Ledger) ask(ctx context.Context, q *tokenRequest, left time.Duration) (Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, min(askTimeout, time.Duration(askDeadlineFraction*float64(left))))
 	defer cancel()
 	return l.opts.Ask(ctx, q.host, q.args)
 }
 
-// question is a request for tokens to another host.
-type question struct {
+// tokenRequest is a request for tokens to another host.
+type tokenRequest struct {
 	host member.Host
 	args Args
-	// from is the source of a decision by the reply.
-	from Source
+	// source is the source of a decision by the reply.
+	source Source
 }
 
-// count adds a request to the customer's average request rate.
-func (l *Ledger) count(c *route.Customer) {
+// recordRequest adds a request to the customer's average request rate.
+func (l *Ledger) recordRequest(c *route.Customer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(c.Name).count(l.opts.Clock.Now())
+	l.account(c.Name).recordRequest(l.opts.Clock.Now())
 }
 
 // decide decides from local state, or returns the request to send to another host.
-func (l *Ledger) decide(now time.Time, req *Request, from referral) (Decision, *question) {
+func (l *Ledger) decide(now time.Time, req *Request, from referral) (Decision, *tokenRequest) {
 	c, v := req.Customer, l.opts.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(now, v)
 	a := l.account(c.Name)
-	r := l.fleet.of(c.Name)
+	r := l.fleet.rankingFor(c.Name)
 	switch {
 	case r.keeper == v.Self && v.Settled:
-		return taken(now, l.pool(now, c, a, l.self(now, a)), req.Again, SourceKept), nil
-	case !req.Again && a.borrow(now):
-		return Decision{Admitted: true, Source: SourceLoan}, nil
+		return decideFromBucket(now, l.updatePool(now, c, a, l.localRequester(now, a)), req.Again, SourceKept), nil
+	case !req.Again && a.takePrefetched(now):
+		return Decision{Admitted: true, Source: SourcePrefetched}, nil
 	case now.Before(a.refusedUntil):
 		a.refused++
-		return Decision{Source: SourceRefused, RetryAfter: a.comeBack.Sub(now)}, nil
+		return Decision{Source: SourceRefused, RetryAfter: a.retryAt.Sub(now)}, nil
 	case l.reachable(now, v, from.to.ID):
-		return Decision{}, l.question(now, v, req, a, from.to)
+		return Decision{}, l.newTokenRequest(now, v, req, a, from.to)
 	case l.reachable(now, v, r.keeper):
-		q := l.question(now, v, req, a, l.fleet.host(r.keeper))
+		q := l.newTokenRequest(now, v, req, a, l.fleet.keeperHost(r.keeper))
 		// The host that the keeper referred to doesn't reply.
 		q.args.Deputy = from.by == r.keeper
 		return Decision{}, q
-	case r.first(v.Self) && v.Settled:
-		return taken(now, l.pool(now, c, a, l.self(now, a)), req.Again, SourceDeputy), nil
+	case r.isFirstDeputy(v.Self) && v.Settled:
+		return decideFromBucket(now, l.updatePool(now, c, a, l.localRequester(now, a)), req.Again, SourceDeputy), nil
 	}
 	for _, id := range r.deputies {
 		if l.reachable(now, v, id) {
-			q := l.question(now, v, req, a, l.fleet.host(id))
-			q.from, q.args.Deputy = SourceDeputy, true
+			q := l.newTokenRequest(now, v, req, a, l.fleet.keeperHost(id))
+			q.source, q.args.Deputy = SourceDeputy, true
 			return Decision{}, q
 		}
 	}
-	return l.alone(now, v, c, a), nil
+	return l.decideByOwnShare(now, v, c, a), nil
 }
 
 // reachable reports whether the given ID is that of another host that is not in backoff.
 func (l *Ledger) reachable(now time.Time, v View, id string) bool {
-	return id != "" && id != v.Self && !now.Before(l.resting[id])
+	return id != "" && id != v.Self && !now.Before(l.backoffUntil[id])
 }
 
-func (l *Ledger) question(now time.Time, v View, req *Request, a *account, host member.Host) *question {
-	q := &question{host: host, from: SourceKeeper, args: Args{
-		Customer: req.Customer.Name, From: v.Self, Again: req.Again, Want: a.want(), Refused: a.unreported(),
-		Serves: l.fleet.serves(), Free: a.free(now, host.ID), Parts: l.fleet.known(), Old: !l.fleet.young(now),
+func (l *Ledger) newTokenRequest(now time.Time, v View, req *Request, a *account, host member.Host) *tokenRequest {
+	q := &tokenRequest{host: host, source: SourceKeeper, args: Args{
+		Customer: req.Customer.Name, From: v.Self, Again: req.Again, Want: a.want(), Refused: a.takeUnreported(),
+		Serves: l.fleet.selfServes(), Free: a.shareFreeIn(now, host.ID),
+		Parts: l.fleet.knownShares(), Old: !l.fleet.recentlySettled(now),
 	}}
-	a.asking++
+	a.inFlight++
 	return q
 }
 
-// take takes up to want tokens from a bucket.
+// takeTokens takes up to want tokens from a bucket.
 //
-// Retries of refused clients get tokens only while the bucket is more than half full. If the refused requests of a customer
-// far over its limit were served before new ones, all of its responses would be late.
-func take(now time.Time, b *bucket.Bucket, again bool, want int) int {
+// Retries of refused clients get tokens only while the bucket is more than half full. If the refused requests of a
+// customer far over its limit were served before new ones, all of its responses would be late.
+func takeTokens(now time.Time, b *bucket.Bucket, again bool, want int) int {
 	if again {
 		return b.TakeSpare(now, 1)
 	}
 	return b.Take(now, want)
 }
 
-// taken decides one request by taking a token from a bucket.
-func taken(now time.Time, b *bucket.Bucket, again bool, from Source) Decision {
-	if take(now, b, again, 1) == 1 {
-		return Decision{Admitted: true, Source: from}
+// decideFromBucket decides one request by taking a token from a bucket.
+func decideFromBucket(now time.Time, b *bucket.Bucket, again bool, source Source) Decision {
+	if takeTokens(now, b, again, 1) == 1 {
+		return Decision{Admitted: true, Source: source}
 	}
-	return Decision{Source: from, RetryAfter: b.Refuse(now)}
+	return Decision{Source: source, RetryAfter: b.Refuse(now)}
 }
 
 // update applies a view of the member list and drops expired state.
 func (l *Ledger) update(now time.Time, v View) {
 	if l.fleet.update(now, v) {
 		for name, a := range l.accounts {
-			a.assign(now, l.fleet.keeps(name))
+			a.setKeeper(now, l.fleet.isKeeper(name))
 		}
 	}
-	if now.Sub(l.forgotAt) < forgetEvery {
+	if now.Sub(l.prunedAt) < pruneInterval {
 		return
 	}
-	l.forgotAt = now
+	l.prunedAt = now
 	for name := range l.accounts {
 		if l.opts.Customer(name) == nil {
 			delete(l.accounts, name)
 		}
 	}
-	for id, until := range l.resting {
+	for id, until := range l.backoffUntil {
 		if !now.Before(until) {
-			delete(l.resting, id)
+			delete(l.backoffUntil, id)
 		}
 	}
 }
@@ -239,82 +241,82 @@
 func (l *Ledger) account(name string) *account {
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{parts: partners{}}
-		a.assign(l.fleet.since, l.fleet.keeps(name))
+		a = &account{contributors: contributors{}}
+		a.setKeeper(l.fleet.keepersSince, l.fleet.isKeeper(name))
 		l.accounts[name] = a
 	}
 	return a
 }
 
-// asker is a host that asks for tokens. If it serves, its share may be used after the duration free.
-type asker struct {
+// requester is a host that asks for tokens. If it serves, its share may be used after the duration free.
+type requester struct {
 	id     string
 	serves bool
 	free   time.Duration
 }
 
-// self returns the asker for requests that arrive at this host.
-func (l *Ledger) self(now time.Time, a *account) asker {
-	return asker{id: l.fleet.self, serves: l.fleet.serves(), free: a.free(now, l.fleet.self)}
+// localRequester returns the requester for requests that arrive at this host.
+func (l *Ledger) localRequester(now time.Time, a *account) requester {
+	return requester{id: l.fleet.self, serves: l.fleet.selfServes(), free: a.shareFreeIn(now, l.fleet.self)}
 }
 
-// pool records a request for tokens by asker and returns the updated pool. On a host that is neither the keeper nor the
+// updatePool records a request for tokens and returns the updated pool. On a host that is neither the keeper nor the
 // first deputy, the pool gets no slack.
-func (l *Ledger) pool(now time.Time, c *route.Customer, a *account, asker asker) *bucket.Bucket {
-	if asker.serves {
-		a.parts.ask(now, asker.id, asker.free)
+func (l *Ledger) updatePool(now time.Time, c *route.Customer, a *account, req requester) *bucket.Bucket {
+	if req.serves {
+		a.contributors.recordRequest(now, req.id, req.free)
 	}
 	slack := float64(l.opts.Slack)
-	c = l.generous(c)
-	if l.fleet.young(now) {
-		slack *= youngPart
-		c.PerSecond *= youngPart
+	c = l.withExcess(c)
+	if l.fleet.recentlySettled(now) {
+		slack *= settlingFraction
+		c.PerSecond *= settlingFraction
 	}
-	switch r := l.fleet.of(c.Name); {
+	switch r := l.fleet.rankingFor(c.Name); {
 	case r.keeper == l.fleet.self:
-		return a.keep(now, c, &l.fleet, slack)
-	case r.first(l.fleet.self):
-		return a.stand(now, c, &l.fleet, slack)
+		return a.updateKeeperPool(now, c, &l.fleet, slack)
+	case r.isFirstDeputy(l.fleet.self):
+		return a.updateDeputyPool(now, c, &l.fleet, slack)
 	}
-	return a.stand(now, c, &l.fleet, 0)
+	return a.updateDeputyPool(now, c, &l.fleet, 0)
 }
 
-// generous returns a copy of the customer with the rate at which its buckets are refilled.
-func (l *Ledger) generous(c *route.Customer) *route.Customer {
+// withExcess returns a copy of the customer with the rate at which its buckets are refilled.
+func (l *Ledger) withExcess(c *route.Customer) *route.Customer {
 	more := *c
-	more.PerSecond *= 1 + faster*l.opts.Excess
+	more.PerSecond *= 1 + refillFraction*l.opts.Excess
 	return &more
 }
 
-// own decides by this host's own share of the limit, once no other host could decide.
-func (l *Ledger) own(c *route.Customer) Decision {
+// decideUnreachable decides by this host's own share of the limit, once no other host could decide.
+func (l *Ledger) decideUnreachable(c *route.Customer) Decision {
 	now, v := l.opts.Clock.Now(), l.opts.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(now, v)
-	return l.alone(now, v, c, l.account(c.Name))
+	return l.decideByOwnShare(now, v, c, l.account(c.Name))
 }
 
-// alone decides by this host's own share of the limit. A host that has just started can't compute its share yet. It may
-// use one token in advance once it has discovered other hosts and only a few of them rank before it.
-func (l *Ledger) alone(now time.Time, v View, c *route.Customer, a *account) Decision {
+// decideByOwnShare decides by this host's own share of the limit. A host that has just started can't compute its share
+// yet. It may use one token in advance once it has discovered other hosts and only a few of them rank before it.
+func (l *Ledger) decideByOwnShare(now time.Time, v View, c *route.Customer, a *account) Decision {
 	share, tokens := 0.0, 0.0
-	place := l.fleet.of(c.Name).place
-	serves := l.fleet.serves()
+	place := l.fleet.rankingFor(c.Name).rank
+	serves := l.fleet.selfServes()
 	if serves && v.Settled {
-		share = 1 / l.fleet.parts()
+		share = 1 / l.fleet.shareCount()
 	}
-	if serves && (v.Settled || len(l.fleet.serving) > 1) && float64(place) < advance*float64(l.opts.Slack) {
+	if serves && (v.Settled || len(l.fleet.serving) > 1) && float64(place) < advanceFraction*float64(l.opts.Slack) {
 		tokens = 1
 	}
-	d := taken(now, a.alone(now, c, share, tokens), false, SourcePart)
+	d := decideFromBucket(now, a.updateOwnBucket(now, c, share, tokens), false, SourcePart)
 	// The backoff of another host is over by then.
-	d.RetryAfter = min(d.RetryAfter, keeperRest)
+	d.RetryAfter = min(d.RetryAfter, failureBackoff)
 	return d
 }
 
-// answered decides by the reply of another host. It returns false if that host failed or doesn't decide.
-func (l *Ledger) answered(c *route.Customer, q *question, rep Reply, err error) (Decision, bool) {
+// handleReply decides by the reply of another host. It returns false if that host failed or doesn't decide.
+func (l *Ledger) handleReply(c *route.Customer, q *tokenRequest, rep Reply, err error) (Decision, bool) {
 	if err != nil {
 		l.opts.Failed(q.host, err)
 	}
@@ -322,26 +324,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(c.Name)
-	a.asking = max(0, a.asking-1)
+	a.inFlight = max(0, a.inFlight-1)
 	switch {
 	case err != nil:
-		l.resting[q.host.ID] = now.Add(keeperRest)
+		l.backoffUntil[q.host.ID] = now.Add(failureBackoff)
 		return Decision{}, false
 	case rep.Keeper.ID != "":
 		return Decision{}, false
 	case rep.Declined != "":
-		l.resting[q.host.ID] = now.Add(declinedRest)
+		l.backoffUntil[q.host.ID] = now.Add(declineBackoff)
 		return Decision{}, false
 	}
-	a.lend(now, q.host.ID)
+	a.giveShare(now, q.host.ID)
 	if rep.Granted > 0 {
-		a.granted(now, rep.Granted)
-		return Decision{Admitted: true, Source: q.from}, true
+		a.storeGrant(now, rep.Granted)
+		return Decision{Admitted: true, Source: q.source}, true
 	}
 	if !q.args.Again {
-		a.refusal(now, rep.RetryAfter)
+		a.cacheRefusal(now, rep.RetryAfter)
 	}
-	return Decision{Source: q.from, RetryAfter: rep.RetryAfter}, true
+	return Decision{Source: q.source, RetryAfter: rep.RetryAfter}, true
 }
 
 // Lend grants tokens to another host. If this host isn't the customer's keeper, it declines and refers to the keeper.
@@ -350,27 +352,27 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(now, v)
-	l.fleet.hear(now, args)
-	if rep.Declined = declines(v, c); rep.Declined != "" {
+	l.fleet.applyReport(now, args)
+	if rep.Declined = declineReason(v, c); rep.Declined != "" {
 		return nil
 	}
-	if r := l.fleet.of(c.Name); !args.Deputy && r.keeper != v.Self && r.keeper != args.From && r.keeper != "" {
-		rep.Declined, rep.Keeper = "another host keeps the customer's bucket", l.fleet.host(r.keeper)
+	if r := l.fleet.rankingFor(c.Name); !args.Deputy && r.keeper != v.Self && r.keeper != args.From && r.keeper != "" {
+		rep.Declined, rep.Keeper = "another host keeps the customer's bucket", l.fleet.keeperHost(r.keeper)
 		return nil
 	}
 	a := l.account(c.Name)
-	b := l.pool(now, c, a, asker{id: args.From, serves: args.Serves, free: args.Free})
-	for range min(args.Refused, mostLoan) {
+	b := l.updatePool(now, c, a, requester{id: args.From, serves: args.Serves, free: args.Free})
+	for range min(args.Refused, maxGrantTokens) {
 		b.Refuse(now)
 	}
-	if rep.Granted = take(now, b, args.Again, min(args.Want, mostLoan)); rep.Granted == 0 {
+	if rep.Granted = takeTokens(now, b, args.Again, min(args.Want, maxGrantTokens)); rep.Granted == 0 {
 		rep.RetryAfter = b.Refuse(now)
 	}
 	return nil
 }
 
-// declines returns the reason why this host can't decide for other hosts, or the empty string.
-func declines(v View, c *route.Customer) string {
+// declineReason returns the reason why this host can't decide for other hosts, or the empty string.
+func declineReason(v View, c *route.Customer) string {
 	switch {
 	case !v.Settled:
 		return "the host has just started"
--- a/entry/internal/allowance/messages.go
+++ b/entry/internal/allowance/messages.go
@@ -61,8 +61,8 @@
 	SourceUnlimited Source = "unlimited"
 	// SourceKept means that this host is the customer's keeper.
 	SourceKept Source = "kept"
-	// SourceLoan means that a token was used that had been granted in advance.
-	SourceLoan Source = "loan"
+	// SourcePrefetched means that a token was used that had been granted in advance.
+	SourcePrefetched Source = "loan"
 	// SourceKeeper means that the keeper decided.
 	SourceKeeper Source = "keeper"
 	// SourceDeputy means that the keeper could not be reached and a deputy decided.
@@ -81,8 +81,8 @@
 	RetryAfter time.Duration
 }
 
-// Over reports whether the customer is known to be over its limit. A request may be refused without that, by a host that
-// can't reach the keeper.
+// Over reports whether the customer is known to be over its limit. A request may be refused without that, by a host
+// that can't reach the keeper.
 func (d Decision) Over() bool {
 	return !d.Admitted && d.Source != SourcePart && d.Source != SourceDeputy
 }
--- a/entry/internal/allowance/model_test.go
+++ b/entry/internal/allowance/model_test.go
@@ -47,27 +47,29 @@
 	ledger *allowance.Ledger
 	// weak marks a host that doesn't serve but still receives some requests.
 	weak bool
-	// down marks a host that doesn't run, and cut one that is partitioned from all others.
-	down, cut bool
-	began     time.Time
-	// changed is when down or cut last changed, and delay is how long this host takes to detect a change.
-	changed time.Time
-	delay   time.Duration
-	known   []bool
-	serving []member.Host
-	// listed is when the serving hosts last changed, and meets is the time from the start until each host is discovered.
-	listed time.Time
-	meets  []time.Duration
+	// down marks a host that doesn't run, and partitioned one that is cut off from all others.
+	down, partitioned bool
+	startedAt         time.Time
+	// changed is when down or partitioned last changed, and detectionDelay is how long this host takes to detect a
+	// change.
+	changed        time.Time
+	detectionDelay time.Duration
+	known          []bool
+	serving        []member.Host
+	// servingSince is when the serving hosts last changed, and discoveryDelays holds the time from the start
+	// until each host is discovered.
+	servingSince    time.Time
+	discoveryDelays []time.Duration
 }
 
 type modelCustomer struct {
 	route.Customer
-	// usual is the normal request rate per second, and times the current multiple of it.
-	usual, times float64
-	// fair is the limit enforced by a single host that receives all requests.
-	fair *bucket.Bucket
-	ran  []time.Time
-	// allowed counts the requests that fair admits, and refused those of them that the model refused.
+	// normalRate is the normal request rate per second, and multiplier the current multiple of it.
+	normalRate, multiplier float64
+	// singleHost is the limit enforced by a single host that receives all requests.
+	singleHost *bucket.Bucket
+	ranAt      []time.Time
+	// allowed counts the requests that singleHost admits, and refused those of them that the model refused.
 	allowed, refused int
 }
 
@@ -85,21 +87,21 @@
 		usual := perHost * float64(serving) * math.Pow(float64(n+1), -skew) / sum
 		// A limit is one and a half times the normal rate, rounded up.
 		limit := math.Ceil(1.5 * usual)
-		c := &modelCustomer{Customer: route.Customer{Name: fmt.Sprint("customer-", n), PerSecond: limit, Burst: limit}, usual: usual, times: 1}
-		c.fair = bucket.New(time.Now(), limit, limit, limit)
+		c := &modelCustomer{Customer: route.Customer{Name: fmt.Sprint("customer-", n), PerSecond: limit, Burst: limit}, normalRate: usual, multiplier: 1}
+		c.singleHost = bucket.New(time.Now(), limit, limit, limit)
 		m.customers = append(m.customers, c)
 		m.byName[c.Name] = c
 	}
-	m.look()
+	m.updateViews()
 	// All hosts are proven from here on.
 	time.Sleep(10 * time.Second)
 	return m
 }
 
 func (m *model) newHost(n int) *modelHost {
-	h := &modelHost{m: m, n: n, began: time.Now().Add(-time.Minute), delay: time.Duration(500+m.rnd.IntN(1500)) * time.Millisecond}
-	h.start("first", welcome)
-	h.began = time.Now().Add(-time.Minute)
+	h := &modelHost{m: m, n: n, startedAt: time.Now().Add(-time.Minute), detectionDelay: time.Duration(500+m.rnd.IntN(1500)) * time.Millisecond}
+	h.start("first", maxJoinTime)
+	h.startedAt = time.Now().Add(-time.Minute)
 	return h
 }
 
@@ -109,11 +111,11 @@
 	delete(h.m.byID, h.row.ID)
 	h.row = member.Host{ID: fmt.Sprint(h.n, "-", incarnation), Peer: addr, State: member.StateAlive}
 	h.m.byID[h.row.ID] = h
-	h.began = time.Now()
-	h.known, h.serving, h.listed = nil, nil, time.Now()
-	h.meets = make([]time.Duration, len(h.m.hosts))
-	for i := range h.meets {
-		h.meets[i] = time.Duration(h.m.rnd.Int64N(int64(slowest)))
+	h.startedAt = time.Now()
+	h.known, h.serving, h.servingSince = nil, nil, time.Now()
+	h.discoveryDelays = make([]time.Duration, len(h.m.hosts))
+	for i := range h.discoveryDelays {
+		h.discoveryDelays[i] = time.Duration(h.m.rnd.Int64N(int64(slowest)))
 	}
 	h.ledger = allowance.New(allowance.Options{
 		Clock: clock.System{}, Slack: slack, Excess: excess, View: h.view, Customer: h.m.customer,
@@ -128,35 +130,35 @@
 }
 
 const (
-	// settled is the time after its start at which a host is settled, and met is the time without a new host after which
-	// it is settled earlier.
-	settled = 1500 * time.Millisecond
-	met     = 400 * time.Millisecond
-	// slowestMeeting bounds the discovery time among hosts that start together, and welcome that of a host which gets the
-	// member list from a running one.
-	slowestMeeting = 2 * time.Second
-	welcome        = 300 * time.Millisecond
+	// settled is the time after its start at which a host is settled, and stableTime is the time without a new host
+	// after which it is settled earlier.
+	settled    = 1500 * time.Millisecond
+	stableTime = 400 * time.Millisecond
+	// maxDiscoveryTime bounds the discovery time among hosts that start together, and maxJoinTime that of a host which
+	// gets the member list from a running one.
+	maxDiscoveryTime = 2 * time.Second
+	maxJoinTime      = 300 * time.Millisecond
 )
 
 func (h *modelHost) view() allowance.View {
-	known := len(h.serving) > 1 && time.Since(h.listed) >= met
-	return allowance.View{Self: h.row.ID, Serving: h.serving, Hosts: h.serving, Settled: known || time.Since(h.began) >= settled}
+	known := len(h.serving) > 1 && time.Since(h.servingSince) >= stableTime
+	return allowance.View{Self: h.row.ID, Serving: h.serving, Hosts: h.serving, Settled: known || time.Since(h.startedAt) >= settled}
 }
 
-var errUnreached = errors.New("no connection")
+var errUnreachable = errors.New("no connection")
 
 func (h *modelHost) ask(keeper member.Host, args allowance.Args) (allowance.Reply, error) {
 	other := h.m.byID[keeper.ID]
-	if other == nil || other.down || other.cut || h.cut {
-		return allowance.Reply{}, errUnreached
+	if other == nil || other.down || other.partitioned || h.partitioned {
+		return allowance.Reply{}, errUnreachable
 	}
 	var rep allowance.Reply
 	err := other.ledger.Lend(&args, &rep)
 	return rep, err
 }
 
-// look updates the view of every host with the changes that its delay allows it to detect.
-func (m *model) look() {
+// updateViews updates the view of every host with the changes that its detectionDelay allows it to detect.
+func (m *model) updateViews() {
 	m.up = nil
 	for _, h := range m.hosts {
 		if h.changed.After(m.changed) {
@@ -166,48 +168,49 @@
 			m.up = append(m.up, h)
 		}
 	}
-	if m.hosts[len(m.hosts)-1].known != nil && m.hosts[0].known != nil && time.Since(m.changed) > slowestNews {
+	if m.hosts[len(m.hosts)-1].known != nil && m.hosts[0].known != nil && time.Since(m.changed) > maxDetectionDelay {
 		return
 	}
 	for _, h := range m.up {
-		h.look()
+		h.updateView()
 		h.ledger.Look()
 	}
 }
 
 const (
-	// slowestNews is the time after which all hosts have detected a change.
-	slowestNews = 2500 * time.Millisecond
-	// lookEvery is the interval between updates of the views.
-	lookEvery = 100 * time.Millisecond
+	// maxDetectionDelay is the time after which all hosts have detected a change.
+	maxDetectionDelay = 2500 * time.Millisecond
+	// viewInterval is the interval between updates of the views.
+	viewInterval = 100 * time.Millisecond
 )
 
-func (h *modelHost) look() {
+func (h *modelHost) updateView() {
 	known := make([]bool, len(h.m.hosts))
 	var list []member.Host
 	for i, other := range h.m.hosts {
-		known[i] = h.believes(i, other)
+		known[i] = h.considersAlive(i, other)
 		if known[i] && !other.weak {
 			list = append(list, other.row)
 		}
 	}
 	h.known = known
 	if !sameRows(list, h.serving) {
-		h.serving, h.listed = list, time.Now()
+		h.serving, h.servingSince = list, time.Now()
 	}
 }
 
-// believes reports whether the host's view contains another host as alive. A host discovers the others one by one after
-// its start, and detects their changes after its delay.
-func (h *modelHost) believes(i int, other *modelHost) bool {
-	reached := !other.down && !other.cut && !h.cut
-	late := time.Since(other.changed) < h.delay || time.Since(h.changed) < h.delay && h.began.Before(h.changed)
+// considersAlive reports whether the host's view contains another host as alive. A host discovers the others one by one
+// after its start, and detects their changes after its delay.
+func (h *modelHost) considersAlive(i int, other *modelHost) bool {
+	reached := !other.down && !other.partitioned && !h.partitioned
+	late := time.Since(other.changed) < h.detectionDelay ||
+		time.Since(h.changed) < h.detectionDelay && h.startedAt.Before(h.changed)
 	switch {
 	case other == h:
 		return true
-	case i < len(h.meets) && time.Since(h.began) < h.meets[i]:
+	case i < len(h.discoveryDelays) && time.Since(h.startedAt) < h.discoveryDelays[i]:
 		return false
-	case late && i < len(h.known) && h.began.Before(other.changed):
+	case late && i < len(h.known) && h.startedAt.Before(other.changed):
 		return h.known[i]
 	}
 	return reached
@@ -230,12 +233,12 @@
 	const step = 10 * time.Millisecond
 	looked := time.Time{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(step) {
-		if time.Since(looked) >= lookEvery {
+		if time.Since(looked) >= viewInterval {
 			looked = time.Now()
-			m.look()
+			m.updateViews()
 		}
 		for _, c := range m.customers {
-			for range m.poisson(c.usual * c.times * step.Seconds()) {
+			for range m.poisson(c.normalRate * c.multiplier * step.Seconds()) {
 				m.request(c)
 			}
 		}
@@ -254,9 +257,9 @@
 	d := m.up[m.rnd.IntN(len(m.up))].ledger.Take(context.Background(), allowance.Request{Customer: &c.Customer, Deadline: time.Now().Add(time.Second)})
 	now := time.Now()
 	if d.Admitted {
-		c.ran = append(c.ran, now)
+		c.ranAt = append(c.ranAt, now)
 	}
-	if c.fair.Take(now, 1) == 1 {
+	if c.singleHost.Take(now, 1) == 1 {
 		c.allowed++
 		if !d.Admitted {
 			c.refused++
@@ -279,22 +282,22 @@
 	m.t.Helper()
 	worst := 0.0
 	for _, c := range m.customers {
-		most := c.most()
+		most := c.maxInWindow()
 		limit := c.PerSecond*window.Seconds() + c.Burst
-		room := excess*limit + slack
-		worst = max(worst, (float64(most)-limit)/room)
-		if float64(most) > limit+room {
-			m.t.Errorf("%s: %d requests ran in a window of %v; at most %.0f may", c.Name, most, window, limit+room)
+		tolerance := excess*limit + slack
+		worst = max(worst, (float64(most)-limit)/tolerance)
+		if float64(most) > limit+tolerance {
+			m.t.Errorf("%s: %d requests ran in a window of %v; at most %.0f may", c.Name, most, window, limit+tolerance)
 		}
 	}
 	m.t.Logf("at most %.2f of the tolerated excess over a limit was used", worst)
 }
 
-// most returns the maximum number of requests that ran in any window.
-func (c *modelCustomer) most() int {
+// maxInWindow returns the maximum number of requests that ran in any window.
+func (c *modelCustomer) maxInWindow() int {
 	first, most := 0, 0
-	for i, at := range c.ran {
-		for at.Sub(c.ran[first]) >= window {
+	for i, at := range c.ranAt {
+		for at.Sub(c.ranAt[first]) >= window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -302,8 +305,8 @@
 	return most
 }
 
-// few returns a random subset of the hosts: the given fraction, but at least one.
-func (m *model) few(share float64) []*modelHost {
+// randomHosts returns a random subset of the hosts: the given fraction, but at least one.
+func (m *model) randomHosts(share float64) []*modelHost {
 	list := make([]*modelHost, 0, len(m.hosts))
 	for _, i := range m.rnd.Perm(len(m.hosts))[:max(1, int(share*float64(len(m.hosts))))] {
 		list = append(list, m.hosts[i])
@@ -316,8 +319,8 @@
 	serving, customers int
 }{{6, 82}, {15, 82}, {50, 300}}
 
-// sized runs a scenario for each size.
-func sized(t *testing.T, scene func(t *testing.T, m *model)) {
+// forEachSize runs a scenario for each size.
+func forEachSize(t *testing.T, scene func(t *testing.T, m *model)) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.serving, "_hosts"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -329,7 +332,7 @@
 
 // Guards against refusing customers within their limits because their requests are spread over many hosts.
 func TestWithinTheLimitIsServed(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		m.run(10 * time.Second)
 		m.check()
 		got := m.refused()
@@ -340,23 +343,23 @@
 
 // Guards against a customer that exceeds its limit by sending many times as much to all hosts.
 func TestFarBeyondTheLimit(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		for _, times := range []float64{7, 25} {
 			for _, c := range m.customers[:3] {
-				c.times = times
+				c.multiplier = times
 			}
 			m.run(8 * time.Second)
 		}
 		m.check()
 		hot := m.customers[0]
-		qt.Assert(t, float64(len(hot.ran)) >= 0.95*(16*hot.PerSecond), qt.IsTrue, qt.Commentf("%d ran of %.0f", len(hot.ran), 16*hot.PerSecond))
+		qt.Assert(t, float64(len(hot.ranAt)) >= 0.95*(16*hot.PerSecond), qt.IsTrue, qt.Commentf("%d ran of %.0f", len(hot.ranAt), 16*hot.PerSecond))
 	})
 }
 
-// Guards against hosts that don't serve but still add a share of the limit. They receive requests from clients with stale
-// addresses.
+// Guards against hosts that don't serve but still add a share of the limit. They receive requests from clients with
+// stale addresses.
 func TestWeakHostsBringNoPart(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		for n := range len(m.hosts) {
 			h := m.newHost(len(m.hosts) + n)
 			h.weak = true
@@ -366,7 +369,7 @@
 			h.known = nil
 		}
 		for _, c := range m.customers[:3] {
-			c.times = 7
+			c.multiplier = 7
 		}
 		m.run(15 * time.Second)
 		m.check()
@@ -375,15 +378,15 @@
 
 // Guards against hosts that grant the whole limit on both sides of a network partition.
 func TestCutHostsKeepToTheirParts(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		for _, c := range m.customers[:3] {
-			c.times = 7
+			c.multiplier = 7
 		}
 		m.run(3 * time.Second)
-		cut := m.few(0.34)
+		cut := m.randomHosts(0.34)
 		for range 3 {
 			for _, h := range cut {
-				h.cut, h.changed = !h.cut, time.Now()
+				h.partitioned, h.changed = !h.partitioned, time.Now()
 			}
 			m.run(6 * time.Second)
 		}
@@ -393,18 +396,18 @@
 
 // Guards against buckets that are full again whenever another host becomes the keeper.
 func TestReplacedHosts(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		m.run(5 * time.Second)
 		m.refused()
 		for range 3 {
-			gone := m.few(0.2)
+			gone := m.randomHosts(0.2)
 			for _, h := range gone {
 				h.down, h.changed = true, time.Now()
 			}
 			m.run(2 * time.Second)
 			for _, h := range gone {
 				h.down, h.changed = false, time.Now()
-				h.start(fmt.Sprint("later-", time.Now().UnixNano()), welcome)
+				h.start(fmt.Sprint("later-", time.Now().UnixNano()), maxJoinTime)
 			}
 			m.run(3 * time.Second)
 		}
@@ -417,15 +420,15 @@
 
 // Guards against hosts that start all at once and each grant the whole limit before they discover the others.
 func TestAllHostsStartAtOnce(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		for _, c := range m.customers {
-			c.times = 7
+			c.multiplier = 7
 		}
 		m.run(3 * time.Second)
 		for range 2 {
 			m.changed = time.Now()
 			for _, h := range m.hosts {
-				h.start(fmt.Sprint("later-", time.Now().UnixNano()), slowestMeeting)
+				h.start(fmt.Sprint("later-", time.Now().UnixNano()), maxDiscoveryTime)
 			}
 			m.run(6 * time.Second)
 		}
@@ -435,14 +438,14 @@
 
 // Guards against a lowered limit that takes more than one window to take effect.
 func TestLowerLimit(t *testing.T) {
-	sized(t, func(t *testing.T, m *model) {
+	forEachSize(t, func(t *testing.T, m *model) {
 		hot := m.customers[0]
-		hot.times = 7
+		hot.multiplier = 7
 		m.run(6 * time.Second)
 		hot.PerSecond /= 4
 		hot.Burst /= 4
 		m.run(window)
-		hot.ran = nil
+		hot.ranAt = nil
 		m.run(window)
 		m.check()
 	})
--- a/entry/internal/allowance/view.go
+++ b/entry/internal/allowance/view.go
@@ -6,7 +6,8 @@
 type View struct {
 	// Self is the ID of the host itself.
 	Self string
-	// Serving lists the serving hosts that are not suspected. The slice is replaced as a whole when one of them changes.
+	// Serving lists the serving hosts that are not suspected. The slice is replaced as a whole when one of them
+	// changes.
 	Serving []member.Host
 	// Hosts lists all known hosts with their states.
 	Hosts []member.Host
