--- a/entry/internal/relay/copy.go
+++ b/entry/internal/relay/copy.go
@@ -9,9 +9,9 @@
 	"guavaspring.org/core/feed"
 )
 
-// keptBatches is the number of latest batches of changes kept for hosts that are slightly behind. A host that lacks
+// maxLogBatches is the number of latest batches of changes kept for hosts that are slightly behind. A host that lacks
 // more gets a full list.
-const keptBatches = 64
+const maxLogBatches = 64
 
 // Options configures how a Copy handles the objects of one kind.
 type Options[T any] struct {
@@ -38,15 +38,15 @@
 	entries map[string]feed.Entry[T]
 	reached feed.Position
 	// base is the revision up to which objects may be as restored from the backup that the current era began with, and
-	// began is the position at which this copy entered the era.
+	// eraStart is the position at which this copy entered the era.
 	base     int64
-	began    feed.Position
+	eraStart feed.Position
 	retained retained[T]
-	// log holds the latest changes. A host at position from or later can be served from it.
-	log  []feed.Batch[T]
-	from feed.Position
-	// ends holds the last revision reached in each earlier era.
-	ends map[int64]int64
+	// log holds the latest changes. A host at position logStart or later can be served from it.
+	log      []feed.Batch[T]
+	logStart feed.Position
+	// eraEnds holds the last revision reached in each earlier era.
+	eraEnds map[int64]int64
 	// confirmed is when the copy was last known to be up to date with the store.
 	confirmed time.Time
 	returned  bool
@@ -58,7 +58,7 @@
 
 // NewCopy returns an empty, unconfirmed copy.
 func NewCopy[T any](opts Options[T]) *Copy[T] {
-	return &Copy[T]{opts: opts, entries: map[string]feed.Entry[T]{}, retained: newRetained[T](), ends: map[int64]int64{}, changed: make(chan struct{})}
+	return &Copy[T]{opts: opts, entries: map[string]feed.Entry[T]{}, retained: newRetained[T](), eraEnds: map[int64]int64{}, changed: make(chan struct{})}
 }
 
 // State is a snapshot of the freshness of a Copy.
@@ -88,13 +88,13 @@
 func (c *Copy[T]) Replace(batch feed.Batch[T], at time.Time, returned bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	to, ok := c.follows(batch)
+	to, ok := c.positionOf(batch)
 	if !ok {
 		return false
 	}
-	restored := c.enter(to, batch.Base)
+	restored := c.enterEra(to, batch.Base)
 	kept := c.retained.names()
-	c.expire(at)
+	c.dropExpired(at)
 	before := c.entries
 	c.entries = make(map[string]feed.Entry[T], len(batch.Entries))
 	listed := make(map[string]bool, len(batch.Entries))
@@ -104,19 +104,19 @@
 			c.entries[e.Name] = e
 		}
 	}
-	c.keepAbsent(before, listed, restored, at)
+	c.retainAbsent(before, listed, restored, at)
 	if c.reached.Revision == 0 {
-		c.from = to
+		c.logStart = to
 	} else {
-		c.keep(feed.Batch[T]{Era: to.Era, Revision: to.Revision, Entries: c.since(before, kept, to)})
+		c.appendLog(feed.Batch[T]{Era: to.Era, Revision: to.Revision, Entries: c.differences(before, kept, to)})
 	}
 	c.confirm(to, at, returned || restored)
 	return true
 }
 
-// follows returns the position of a batch, and whether it is at least as new as the copy. If the store doesn't send its
-// era, the batch counts as of the current one.
-func (c *Copy[T]) follows(batch feed.Batch[T]) (feed.Position, bool) {
+// positionOf returns the position of a batch, and whether it is at least as new as the copy. If the store doesn't send
+// its era, the batch counts as of the current one.
+func (c *Copy[T]) positionOf(batch feed.Batch[T]) (feed.Position, bool) {
 	to := batch.Position()
 	if to.Era == 0 {
 		to.Era = c.reached.Era
@@ -129,8 +129,8 @@
 	return to, !to.Before(c.reached)
 }
 
-// enter records the era of a batch, and reports whether the store was restored from a backup since the last one.
-func (c *Copy[T]) enter(to feed.Position, base int64) bool {
+// enterEra records the era of a batch, and reports whether the store was restored from a backup since the last one.
+func (c *Copy[T]) enterEra(to feed.Position, base int64) bool {
 	if base == 0 {
 		base = to.Revision
 	}
@@ -140,40 +140,40 @@
 		return false
 	}
 	if known {
-		c.ends[c.reached.Era] = c.reached.Revision
+		c.eraEnds[c.reached.Era] = c.reached.Revision
 	}
-	c.base, c.began = base, to
+	c.base, c.eraStart = base, to
 	return known
 }
 
-// keepAbsent retains or drops the objects that are missing in a list.
-func (c *Copy[T]) keepAbsent(before map[string]feed.Entry[T], listed map[string]bool, restored bool, at time.Time) {
+// retainAbsent retains or drops the objects that are missing in a list.
+func (c *Copy[T]) retainAbsent(before map[string]feed.Entry[T], listed map[string]bool, restored bool, at time.Time) {
 	for name, held := range before {
-		switch kept := c.retained.holds(name); {
+		switch kept := c.retained.isKept(name); {
 		case listed[name]:
 		case c.opts.KeepAbsent && (restored || kept) && !held.Unreadable:
 			c.entries[name] = held
-			c.retained.keep(held, c.until(at, name), nil)
+			c.retained.keep(held, c.expiryOf(at, name), nil)
 		case !restored:
-			c.retained.forget(name)
-			c.retained.ended(held, at)
+			c.retained.remove(name)
+			c.retained.addTombstone(held, at)
 		default:
-			c.retained.forget(name)
+			c.retained.remove(name)
 		}
 	}
-	for _, name := range c.retained.omitted() {
+	for _, name := range c.retained.hiddenNames() {
 		if !listed[name] {
-			c.retained.forget(name)
+			c.retained.remove(name)
 		}
 	}
 }
 
-// since returns the differences to the objects held before. It includes objects that were retained before and no longer
-// are, as other hosts in the same era may lack their stored versions.
-func (c *Copy[T]) since(before map[string]feed.Entry[T], kept []string, to feed.Position) []feed.Entry[T] {
+// differences returns the differences to the objects held before. It includes objects that were retained before and no
+// longer are, as other hosts in the same era may lack their stored versions.
+func (c *Copy[T]) differences(before map[string]feed.Entry[T], kept []string, to feed.Position) []feed.Entry[T] {
 	changed := map[string]bool{}
 	for name, e := range c.entries {
-		if old, ok := before[name]; !ok || differ(old, e) {
+		if old, ok := before[name]; !ok || entryChanged(old, e) {
 			changed[name] = true
 		}
 	}
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, name := range kept {
-		if !c.retained.holds(name) {
+		if !c.retained.isKept(name) {
 			changed[name] = true
 		}
 	}
@@ -198,24 +198,24 @@
 	return list
 }
 
-// differ reports whether an object has changed. The same revision may be a different version in another era.
-func differ[T any](old, e feed.Entry[T]) bool {
+// entryChanged reports whether an object has changed. The same revision may be a different version in another era.
+func entryChanged[T any](old, e feed.Entry[T]) bool {
 	if old.Revision != e.Revision || old.Unreadable != e.Unreadable {
 		return true
 	}
 	return old.Era != e.Era && !reflect.DeepEqual(old.Value, e.Value)
 }
 
-// keep appends changes to the log and drops the oldest if it is full.
-func (c *Copy[T]) keep(news feed.Batch[T]) {
-	if len(news.Entries) == 0 {
+// appendLog appends changes to the log and drops the oldest if it is full.
+func (c *Copy[T]) appendLog(changes feed.Batch[T]) {
+	if len(changes.Entries) == 0 {
 		return
 	}
-	c.log = append(c.log, news)
-	if len(c.log) > keptBatches {
-		c.from = c.log[0].Position()
+	c.log = append(c.log, changes)
+	if len(c.log) > maxLogBatches {
+		c.logStart = c.log[0].Position()
 		c.log = c.log[1:]
-		maps.DeleteFunc(c.ends, func(era, _ int64) bool { return era < c.from.Era })
+		maps.DeleteFunc(c.eraEnds, func(era, _ int64) bool { return era < c.logStart.Era })
 	}
 }
 
@@ -227,26 +227,26 @@
 func (c *Copy[T]) Change(batch feed.Batch[T], at time.Time, returned bool) (feed.Batch[T], bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	to, ok := c.follows(batch)
+	to, ok := c.positionOf(batch)
 	if !ok {
 		return feed.Batch[T]{}, false
 	}
-	restored := c.enter(to, batch.Base)
-	news := feed.Batch[T]{Era: to.Era, Revision: to.Revision, Entries: c.expire(at)}
+	restored := c.enterEra(to, batch.Base)
+	changes := feed.Batch[T]{Era: to.Era, Revision: to.Revision, Entries: c.dropExpired(at)}
 	for _, e := range batch.Entries {
 		held, known := c.entries[e.Name]
 		if known && e.Position().Before(held.Position()) || e.Unreadable && c.opts.LastGood {
 			continue
 		}
-		if e = c.merge(e, c.entries, restored, at); c.retained.holds(e.Name) {
+		if e = c.merge(e, c.entries, restored, at); c.retained.isKept(e.Name) {
 			continue
 		}
-		news.Entries = append(news.Entries, e)
+		changes.Entries = append(changes.Entries, e)
 		c.put(e)
 	}
-	c.keep(news)
+	c.appendLog(changes)
 	c.confirm(to, at, returned || restored)
-	return news, true
+	return changes, true
 }
 
 // put stores an entry, or removes its object if the entry is deleted.
@@ -264,11 +264,11 @@
 	if at.After(c.confirmed) {
 		c.confirmed = at
 	}
-	c.wake()
+	c.notify()
 }
 
-// wake notifies the callers that wait for a change of the state.
-func (c *Copy[T]) wake() {
+// notify notifies the callers that wait for a change of the state.
+func (c *Copy[T]) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -278,7 +278,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch.Era, batch.Revision, batch.Base = c.reached.Era, c.reached.Revision, c.base
-	if !c.logged(position) {
+	if !c.logCovers(position) {
 		for _, e := range c.entries {
 			batch.Entries = append(batch.Entries, e)
 		}
@@ -292,16 +292,16 @@
 	return batch, false, c.returned
 }
 
-// logged reports whether the log holds all changes that a host at a position lacks. A host in an earlier era may have
-// changes of that era that this copy never received.
-func (c *Copy[T]) logged(position feed.Position) bool {
-	if position.Revision == 0 || position.Before(c.from) {
+// logCovers reports whether the log holds all changes that a host at a position lacks. A host in an earlier era may
+// have changes of that era that this copy never received.
+func (c *Copy[T]) logCovers(position feed.Position) bool {
+	if position.Revision == 0 || position.Before(c.logStart) {
 		return false
 	}
 	if position.Era >= c.reached.Era {
-		return !position.Before(c.began)
+		return !position.Before(c.eraStart)
 	}
-	end, ok := c.ends[position.Era]
+	end, ok := c.eraEnds[position.Era]
 	return ok && position.Revision <= end && !c.opts.KeepAbsent
 }
 
@@ -314,7 +314,7 @@
 	if packed != nil && at == all.Position() {
 		return packed, nil
 	}
-	packed, err := pack(all.Entries)
+	packed, err := packEntries(all.Entries)
 	if err != nil {
 		return nil, err
 	}
--- a/entry/internal/relay/copy_test.go
+++ b/entry/internal/relay/copy_test.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-func one(revision int64, e feed.Entry[int64]) feed.Batch[int64] {
+func oneEntry(revision int64, e feed.Entry[int64]) feed.Batch[int64] {
 	return feed.Batch[int64]{Revision: revision, Entries: []feed.Entry[int64]{e}}
 }
 
@@ -21,11 +21,11 @@
 	broken := feed.Entry[int64]{Name: "main", Revision: 9, Unreadable: true}
 	for _, list := range []bool{false, true} {
 		c := relay.NewCopy(relay.Options[int64]{LastGood: true})
-		c.Replace(one(5, feed.Entry[int64]{Name: "main", Revision: 5, Value: 7}), now, false)
+		c.Replace(oneEntry(5, feed.Entry[int64]{Name: "main", Revision: 5, Value: 7}), now, false)
 		if list {
-			c.Replace(one(9, broken), now, false)
+			c.Replace(oneEntry(9, broken), now, false)
 		} else {
-			news, ok := c.Change(one(9, broken), now, false)
+			news, ok := c.Change(oneEntry(9, broken), now, false)
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, news.Entries, qt.HasLen, 0)
 		}
@@ -41,12 +41,12 @@
 func TestOlderChangeAfterANewerPage(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := relay.NewCopy(relay.Options[int64]{})
-	c.Replace(one(5, feed.Entry[int64]{Name: "i-1", Revision: 8, Value: 2}), now, false)
-	news, ok := c.Change(one(7, feed.Entry[int64]{Name: "i-1", Revision: 7, Value: 1}), now, false)
+	c.Replace(oneEntry(5, feed.Entry[int64]{Name: "i-1", Revision: 8, Value: 2}), now, false)
+	news, ok := c.Change(oneEntry(7, feed.Entry[int64]{Name: "i-1", Revision: 7, Value: 1}), now, false)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, news.Entries, qt.HasLen, 0)
 	heard, _, _ := c.Since(feed.Position{Revision: 5})
 	qt.Assert(t, heard.Entries, qt.HasLen, 0)
-	news, _ = c.Change(one(9, feed.Entry[int64]{Name: "i-1", Revision: 9, Deleted: true}), now, false)
+	news, _ = c.Change(oneEntry(9, feed.Entry[int64]{Name: "i-1", Revision: 9, Deleted: true}), now, false)
 	qt.Assert(t, news.Entries, qt.HasLen, 1)
 }
--- a/entry/internal/relay/era_bench_test.go
+++ b/entry/internal/relay/era_bench_test.go
@@ -20,11 +20,11 @@
 			for range b.N {
 				b.StopTimer()
 				c := relay.NewCopy(relay.Options[platform.Replica]{Older: platform.Replica.OlderThan})
-				old := listOf(n)
+				old := replicaList(n)
 				old.Era = 1
 				c.Replace(old, now, false)
 				before, _ := c.State()
-				list := listOf(n)
+				list := replicaList(n)
 				list.Era = 2
 				for i := 0; i < n; i += 100 {
 					list.Entries[i].Value.Sequence++
--- a/entry/internal/relay/pack.go
+++ b/entry/internal/relay/pack.go
@@ -10,11 +10,12 @@
 	"guavaspring.org/core/feed"
 )
 
-// mostUnpacked is the maximum unpacked size of a reply in bytes. 24,000 replicas take 4 MB.
-const mostUnpacked = 64 << 20
+// maxUnpackedBytes is the maximum unpacked size of a reply in bytes. 24,000 replicas take 4 MB.
+const maxUnpackedBytes = 64 << 20
 
-// pack encodes and compresses entries. The names and addresses of replicas have much in common and compress well.
-func pack[T any](entries []feed.Entry[T]) ([]byte, error) {
+// packEntries encodes and compresses entries. The names and addresses of replicas have much in common and compress
+// well.
+func packEntries[T any](entries []feed.Entry[T]) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.DefaultCompression)
 	if err != nil {
@@ -35,7 +36,7 @@
 		return nil
 	}
 	src := flate.NewReader(bytes.NewReader(r.Packed))
-	if err := gob.NewDecoder(io.LimitReader(src, mostUnpacked)).Decode(&r.Entries); err != nil {
+	if err := gob.NewDecoder(io.LimitReader(src, maxUnpackedBytes)).Decode(&r.Entries); err != nil {
 		return fmt.Errorf("relay: unpack %d bytes: %w", len(r.Packed), err)
 	}
 	r.Packed = nil
--- a/entry/internal/relay/pack_test.go
+++ b/entry/internal/relay/pack_test.go
@@ -14,8 +14,8 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// listOf returns n replicas with IDs, names and addresses like those of a large deployment.
-func listOf(n int) feed.Batch[platform.Replica] {
+// replicaList returns n replicas with IDs, names and addresses like those of a large deployment.
+func replicaList(n int) feed.Batch[platform.Replica] {
 	b := feed.Batch[platform.Replica]{Revision: int64(n)}
 	for i := range n {
 		id := fmt.Sprintf("i-%08x", i*2654435761%(1<<32))
@@ -31,7 +31,7 @@
 // from the same few. Each must get the complete list in a third of its unpacked size.
 func TestAllObjectsTravelPacked(t *testing.T) {
 	c := relay.NewCopy(relay.Options[platform.Replica]{})
-	all := listOf(282)
+	all := replicaList(282)
 	c.Replace(all, time.Now(), false)
 	m := &relay.Methods{Clock: clock.System{}, ConfigCopy: nil, ReplicaCopy: c}
 	for range 2 {
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -73,7 +73,7 @@
 
 // Guards against hosts that changes of the store don't reach, or reach in too many steps, and against hosts with too
 // many children. Every host but the two that watch must have a parent of higher rank.
-func TestTree(t *testing.T) {
+func TestParentsFormTree(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 90, 5600} {
 		hosts := make([]member.Host, n)
 		for i := range hosts {
--- a/entry/internal/relay/retained.go
+++ b/entry/internal/relay/retained.go
@@ -11,50 +11,52 @@
 	"guavaspring.org/core/feed"
 )
 
-// goneFor is how long tombstones of deleted objects are kept. A backup that the store is restored from is some seconds
-// old and may still contain them.
-const goneFor = 5 * time.Minute
+// tombstoneTTL is how long tombstones of deleted objects are kept. A backup that the store is restored from is some
+// seconds old and may still contain them.
+const tombstoneTTL = 5 * time.Minute
 
 // retained holds the state that a copy retains from earlier eras of the store.
 type retained[T any] struct {
-	// gone holds the last entries of recently deleted objects, by name.
-	gone   map[string]timed[T]
-	pruned time.Time
+	// tombstones holds the last entries of recently deleted objects, by name.
+	tombstones map[string]expiringEntry[T]
+	prunedAt   time.Time
 	// kept holds the entries that override the stored ones, by name. A deleted entry hides a stored object.
-	kept map[string]timed[T]
+	kept map[string]expiringEntry[T]
 	// sum is a checksum of kept.
 	sum uint64
 }
 
-// timed is an entry that expires at until; zero means never.
-type timed[T any] struct {
+// expiringEntry is an entry that expires at until; zero means never.
+type expiringEntry[T any] struct {
 	feed.Entry[T]
 	until time.Time
 	// stored is the entry that the store holds for this object, if any.
 	stored *feed.Entry[T]
 }
 
-func (t timed[T]) over(now time.Time) bool { return !t.until.IsZero() && !now.Before(t.until) }
+func (t expiringEntry[T]) expired(now time.Time) bool {
+	return !t.until.IsZero() && !now.Before(t.until)
+}
 
 func newRetained[T any]() retained[T] {
-	return retained[T]{gone: map[string]timed[T]{}, kept: map[string]timed[T]{}}
+	return retained[T]{tombstones: map[string]expiringEntry[T]{}, kept: map[string]expiringEntry[T]{}}
 }
 
-// holds reports whether an entry overrides the stored one.
-func (r *retained[T]) holds(name string) bool {
+// isKept reports whether an entry overrides the stored one.
+func (r *retained[T]) isKept(name string) bool {
 	_, ok := r.kept[name]
 	return ok
 }
 
 // keep makes an entry override the stored one.
 func (r *retained[T]) keep(e feed.Entry[T], until time.Time, stored *feed.Entry[T]) {
-	r.forget(e.Name)
-	r.kept[e.Name] = timed[T]{Entry: e, until: until, stored: stored}
+	r.remove(e.Name)
+	r.kept[e.Name] = expiringEntry[T]{Entry: e, until: until, stored: stored}
 	r.sum ^= checksum(e)
 }
 
-// forget removes the entry that overrides the stored one, if any.
-func (r *retained[T]) forget(name string) {
+// remove removes the entry that overrides the stored one, if any.
+func (r *retained[T]) remove(name string) {
 	if old, ok := r.kept[name]; ok {
 		r.sum ^= checksum(old.Entry)
 		delete(r.kept, name)
@@ -64,8 +66,8 @@
 // names returns the names of all overridden objects.
 func (r *retained[T]) names() []string { return slices.Collect(maps.Keys(r.kept)) }
 
-// omitted returns the names of the hidden objects.
-func (r *retained[T]) omitted() []string {
+// hiddenNames returns the names of the hidden objects.
+func (r *retained[T]) hiddenNames() []string {
 	var names []string
 	for name, k := range r.kept {
 		if k.Deleted {
@@ -75,17 +77,17 @@
 	return names
 }
 
-// ended adds a tombstone for a deleted object, and periodically drops expired tombstones.
-func (r *retained[T]) ended(held feed.Entry[T], now time.Time) {
-	if now.Sub(r.pruned) >= goneFor {
-		r.pruned = now
-		for name, g := range r.gone {
-			if g.over(now) {
-				delete(r.gone, name)
+// addTombstone adds a tombstone for a deleted object, and periodically drops expired tombstones.
+func (r *retained[T]) addTombstone(held feed.Entry[T], now time.Time) {
+	if now.Sub(r.prunedAt) >= tombstoneTTL {
+		r.prunedAt = now
+		for name, g := range r.tombstones {
+			if g.expired(now) {
+				delete(r.tombstones, name)
 			}
 		}
 	}
-	r.gone[held.Name] = timed[T]{Entry: held, until: now.Add(goneFor)}
+	r.tombstones[held.Name] = expiringEntry[T]{Entry: held, until: now.Add(tombstoneTTL)}
 }
 
 // checksum returns a checksum of the name, position and deletion of an entry.
@@ -111,48 +113,50 @@
 		return held
 	}
 	// The parent has already decided about deletions on entering a new era.
-	if settled := e.Deleted && restored; !settled && !c.written(e) {
-		if newer, ok := c.newerThan(e, held, known, restored, at); ok {
+	if settled := e.Deleted && restored; !settled && !c.writtenInEra(e) {
+		if newer, ok := c.newerKnown(e, held, known, restored, at); ok {
 			return newer
 		}
 	}
-	c.retained.forget(e.Name)
+	c.retained.remove(e.Name)
 	if e.Deleted && known && !restored {
-		c.retained.ended(held, at)
+		c.retained.addTombstone(held, at)
 	}
 	return e
 }
 
-// written reports whether an entry was written in the current era, rather than restored from a backup or retained from
-// an earlier era by another host.
-func (c *Copy[T]) written(e feed.Entry[T]) bool { return e.Era == c.began.Era && e.Revision > c.base }
+// writtenInEra reports whether an entry was written in the current era, rather than restored from a backup or retained
+// from an earlier era by another host.
+func (c *Copy[T]) writtenInEra(e feed.Entry[T]) bool {
+	return e.Era == c.eraStart.Era && e.Revision > c.base
+}
 
-// newerThan returns the entry known from an earlier era for an object whose received entry was not written in the
+// newerKnown returns the entry known from an earlier era for an object whose received entry was not written in the
 // current era, and whether it is newer than that one.
-func (c *Copy[T]) newerThan(e, held feed.Entry[T], known, restored bool, at time.Time) (feed.Entry[T], bool) {
+func (c *Copy[T]) newerKnown(e, held feed.Entry[T], known, restored bool, at time.Time) (feed.Entry[T], bool) {
 	kept, keeps := c.retained.kept[e.Name]
 	var newer feed.Entry[T]
 	ok := false
 	switch {
-	case e.Era < c.began.Era && known:
+	case e.Era < c.eraStart.Era && known:
 		// Another host retains it.
 		newer, ok = held, c.newer(held, e)
 	case !restored:
 		return kept.Entry, keeps
 	case known:
-		newer, ok = held, held.Era < e.Era && c.outdates(e, held)
+		newer, ok = held, held.Era < e.Era && c.isOlder(e, held)
 	default:
-		newer, ok = c.omits(e, at)
+		newer, ok = c.tombstoneFor(e, at)
 	}
-	if ok && !c.written(newer) {
-		c.retained.keep(newer, c.until(at, e.Name), c.storedFor(e))
+	if ok && !c.writtenInEra(newer) {
+		c.retained.keep(newer, c.expiryOf(at, e.Name), c.storedEntry(e))
 	}
 	return newer, ok
 }
 
-// storedFor returns the store's entry for the object of a received entry, or nil if it is not known.
-func (c *Copy[T]) storedFor(e feed.Entry[T]) *feed.Entry[T] {
-	if e.Era == c.began.Era {
+// storedEntry returns the store's entry for the object of a received entry, or nil if it is not known.
+func (c *Copy[T]) storedEntry(e feed.Entry[T]) *feed.Entry[T] {
+	if e.Era == c.eraStart.Era {
 		return &e
 	}
 	if kept, ok := c.retained.kept[e.Name]; ok {
@@ -161,20 +165,21 @@
 	return nil
 }
 
-// omits reports whether an object restored from a backup had been deleted since, and returns a deleted entry for it.
-func (c *Copy[T]) omits(e feed.Entry[T], at time.Time) (feed.Entry[T], bool) {
-	gone, ok := c.retained.gone[e.Name]
+// tombstoneFor reports whether an object restored from a backup had been deleted since, and returns a deleted entry for
+// it.
+func (c *Copy[T]) tombstoneFor(e feed.Entry[T], at time.Time) (feed.Entry[T], bool) {
+	gone, ok := c.retained.tombstones[e.Name]
 	if !ok {
 		gone, ok = c.retained.kept[e.Name]
 	}
-	if !ok || gone.Era >= e.Era || gone.over(at) || c.revives(e, gone.Entry) {
+	if !ok || gone.Era >= e.Era || gone.expired(at) || c.isRecreated(e, gone.Entry) {
 		return feed.Entry[T]{}, false
 	}
 	return feed.Entry[T]{Name: e.Name, Era: gone.Era, Revision: gone.Revision, Deleted: true}, true
 }
 
-// outdates reports whether an entry restored from a backup was written before the held one.
-func (c *Copy[T]) outdates(e, held feed.Entry[T]) bool {
+// isOlder reports whether an entry restored from a backup was written before the held one.
+func (c *Copy[T]) isOlder(e, held feed.Entry[T]) bool {
 	return !e.Unreadable && !held.Unreadable && c.opts.Older != nil && c.opts.Older(e.Value, held.Value)
 }
 
@@ -187,17 +192,17 @@
 	return than.Position().Before(e.Position())
 }
 
-// revives reports whether an entry was written after its object was deleted. A backup holds no write of an object that
-// is later than the last one seen, so revisions can be compared if Options.Older can't.
-func (c *Copy[T]) revives(e, gone feed.Entry[T]) bool {
+// isRecreated reports whether an entry was written after its object was deleted. A backup holds no write of an object
+// that is later than the last one seen, so revisions can be compared if Options.Older can't.
+func (c *Copy[T]) isRecreated(e, gone feed.Entry[T]) bool {
 	if e.Unreadable || gone.Unreadable || gone.Deleted || c.opts.Older == nil {
 		return e.Revision > gone.Revision
 	}
 	return c.opts.Older(gone.Value, e.Value)
 }
 
-// until returns the time at which a retained entry expires. Retaining an object again doesn't extend it.
-func (c *Copy[T]) until(at time.Time, name string) time.Time {
+// expiryOf returns the time at which a retained entry expires. Retaining an object again doesn't extend it.
+func (c *Copy[T]) expiryOf(at time.Time, name string) time.Time {
 	if k, ok := c.retained.kept[name]; ok {
 		return k.until
 	}
@@ -207,14 +212,14 @@
 	return at.Add(c.opts.KeepFor)
 }
 
-// expire replaces expired entries by those of the store, and returns the resulting changes.
-func (c *Copy[T]) expire(now time.Time) []feed.Entry[T] {
-	var news []feed.Entry[T]
+// dropExpired replaces expired entries by those of the store, and returns the resulting changes.
+func (c *Copy[T]) dropExpired(now time.Time) []feed.Entry[T] {
+	var changes []feed.Entry[T]
 	for name, k := range c.retained.kept {
-		if !k.over(now) {
+		if !k.expired(now) {
 			continue
 		}
-		c.retained.forget(name)
+		c.retained.remove(name)
 		if k.stored == nil && !k.Deleted && !c.opts.KeepAbsent {
 			// Another host had an older version, so that the store may still hold the object.
 			continue
@@ -224,9 +229,9 @@
 			e = *k.stored
 		}
 		c.put(e)
-		news = append(news, e)
+		changes = append(changes, e)
 	}
-	return news
+	return changes
 }
 
 // Kept returns the entries retained from earlier eras, and their checksum.
@@ -245,11 +250,11 @@
 func (c *Copy[T]) Merge(kept []feed.Entry[T], at time.Time) feed.Batch[T] {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	news := feed.Batch[T]{Era: c.reached.Era, Revision: c.reached.Revision}
+	changes := feed.Batch[T]{Era: c.reached.Era, Revision: c.reached.Revision}
 	sum := c.retained.sum
 	for _, k := range kept {
 		held, known := c.entries[k.Name]
-		if k.Era >= c.reached.Era || !c.yields(held, known, k) {
+		if k.Era >= c.reached.Era || !c.isOutdatedBy(held, known, k) {
 			continue
 		}
 		var stored *feed.Entry[T]
@@ -259,24 +264,24 @@
 		case known:
 			stored = &held
 		}
-		c.retained.keep(k, c.until(at, k.Name), stored)
+		c.retained.keep(k, c.expiryOf(at, k.Name), stored)
 		if known && held.Position() == k.Position() || !known && k.Deleted {
 			continue
 		}
 		c.put(k)
-		news.Entries = append(news.Entries, k)
+		changes.Entries = append(changes.Entries, k)
 	}
 	if sum != c.retained.sum {
-		c.wake()
+		c.notify()
 	}
-	return news
+	return changes
 }
 
-// yields reports whether the local version of an object is older than the entry k retained by another host, and was not
-// written in the current era.
-func (c *Copy[T]) yields(held feed.Entry[T], known bool, k feed.Entry[T]) bool {
+// isOutdatedBy reports whether the local version of an object is older than the entry k retained by another host, and
+// was not written in the current era.
+func (c *Copy[T]) isOutdatedBy(held feed.Entry[T], known bool, k feed.Entry[T]) bool {
 	own, kept := c.retained.kept[k.Name]
-	gone, ended := c.retained.gone[k.Name]
+	gone, ended := c.retained.tombstones[k.Name]
 	switch {
 	case kept:
 		return c.newer(k, own.Entry)
@@ -289,5 +294,5 @@
 	case k.Deleted:
 		return held.Revision <= k.Revision
 	}
-	return held.Position() == k.Position() || c.outdates(held, k)
+	return held.Position() == k.Position() || c.isOlder(held, k)
 }
--- a/entry/internal/relay/retained_test.go
+++ b/entry/internal/relay/retained_test.go
@@ -27,16 +27,16 @@
 	return relay.NewCopy(relay.Options[platform.Evacuation]{KeepAbsent: true, KeepFor: keepFor})
 }
 
-// at returns a batch of the given era.
-func at[T any](era, revision int64, entries ...feed.Entry[T]) feed.Batch[T] {
+// batchOf returns a batch of the given era.
+func batchOf[T any](era, revision int64, entries ...feed.Entry[T]) feed.Batch[T] {
 	return feed.Batch[T]{Era: era, Revision: revision, Entries: entries}
 }
 
-func row(id string, revision, sequence int64, state platform.ReplicaState) feed.Entry[platform.Replica] {
+func replicaRow(id string, revision, sequence int64, state platform.ReplicaState) feed.Entry[platform.Replica] {
 	return feed.Entry[platform.Replica]{Name: id, Revision: revision, Value: platform.Replica{ID: id, State: state, Sequence: sequence, Started: time.UnixMilli(1).UTC()}}
 }
 
-func order(zone string, revision int64) feed.Entry[platform.Evacuation] {
+func evacuation(zone string, revision int64) feed.Entry[platform.Evacuation] {
 	return feed.Entry[platform.Evacuation]{Name: zone, Revision: revision, Value: platform.Evacuation{Zone: zone}}
 }
 
@@ -44,8 +44,8 @@
 	return feed.Entry[T]{Name: name, Revision: revision, Deleted: true}
 }
 
-// holds returns the sorted descriptions of the entries of a copy.
-func holds[T any](c *relay.Copy[T], show func(feed.Entry[T]) string) []string {
+// describe returns the sorted descriptions of the entries of a copy.
+func describe[T any](c *relay.Copy[T], show func(feed.Entry[T]) string) []string {
 	all, _, _ := c.Since(feed.Position{})
 	list := []string{}
 	for _, e := range all.Entries {
@@ -65,21 +65,21 @@
 func TestCopyBringsNoReplicaBack(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := replicasCopy()
-	c.Replace(at(1, 10, row("gone", 3, 4, platform.StateLive), row("drains", 4, 4, platform.StateLive), row("stays", 5, 4, platform.StateLive), row("again", 6, 4, platform.StateLive)), now, false)
-	c.Change(at(1, 14,
-		deleted[platform.Replica]("gone", 11), row("drains", 12, 9, platform.StateLeaving), row("new", 13, 1, platform.StateLive), deleted[platform.Replica]("again", 14)), now, false)
-	list := at(2, 12, row("gone", 3, 4, platform.StateLive), row("drains", 4, 4, platform.StateLive), row("stays", 11, 9, platform.StateLive), row("again", 12, 5, platform.StateLive))
+	c.Replace(batchOf(1, 10, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 5, 4, platform.StateLive), replicaRow("again", 6, 4, platform.StateLive)), now, false)
+	c.Change(batchOf(1, 14,
+		deleted[platform.Replica]("gone", 11), replicaRow("drains", 12, 9, platform.StateLeaving), replicaRow("new", 13, 1, platform.StateLive), deleted[platform.Replica]("again", 14)), now, false)
+	list := batchOf(2, 12, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 11, 9, platform.StateLive), replicaRow("again", 12, 5, platform.StateLive))
 	for range 2 {
 		qt.Assert(t, c.Replace(list, now, false), qt.IsTrue)
 		// The new replica is missing until it writes again, and the deleted one that has written again is present.
-		qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 9", "stays live 9"})
+		qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 9", "stays live 9"})
 	}
-	c.Change(at(2, 15, row("new", 13, 2, platform.StateLive), deleted[platform.Replica]("gone", 14), row("drains", 15, 10, platform.StateLeaving)), now, false)
-	qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 10", "new live 2", "stays live 9"})
+	c.Change(batchOf(2, 15, replicaRow("new", 13, 2, platform.StateLive), deleted[platform.Replica]("gone", 14), replicaRow("drains", 15, 10, platform.StateLeaving)), now, false)
+	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 10", "new live 2", "stays live 9"})
 	kept, _ := c.Kept()
 	qt.Check(t, kept, qt.HasLen, 0)
-	c.Change(at(2, 17, deleted[platform.Replica]("drains", 16), row("gone", 17, 20, platform.StateLive)), now, false)
-	qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"again live 5", "gone live 20", "new live 2", "stays live 9"})
+	c.Change(batchOf(2, 17, deleted[platform.Replica]("drains", 16), replicaRow("gone", 17, 20, platform.StateLive)), now, false)
+	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "gone live 20", "new live 2", "stays live 9"})
 }
 
 // Guards against a live replica that stays hidden forever. Its row expired in the seconds that the restore lost, the
@@ -87,13 +87,13 @@
 func TestLivingReplicaIsLeftOutForAWhile(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := replicasCopy()
-	c.Replace(at(1, 10, row("a", 3, 4, platform.StateLive)), now, false)
-	c.Change(at(1, 11, deleted[platform.Replica]("a", 11)), now, false)
-	c.Replace(at(2, 10, row("a", 3, 4, platform.StateLive)), now, false)
-	qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{})
-	news, _ := c.Change(at[platform.Replica](2, 10), now.Add(keepFor), false)
+	c.Replace(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
+	c.Change(batchOf(1, 11, deleted[platform.Replica]("a", 11)), now, false)
+	c.Replace(batchOf(2, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
+	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{})
+	news, _ := c.Change(batchOf[platform.Replica](2, 10), now.Add(keepFor), false)
 	qt.Check(t, news.Entries, qt.HasLen, 1)
-	qt.Check(t, holds(c, showRow), qt.DeepEquals, []string{"a live 4"})
+	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"a live 4"})
 }
 
 // Guards against evacuations and releases of zones that a restore from a backup reverts.
@@ -101,9 +101,9 @@
 	now := time.Unix(100, 0)
 	newCopy := func() *relay.Copy[platform.Evacuation] {
 		c := evacuationsCopy()
-		c.Replace(at(1, 10, order("released", 5)), now, false)
-		c.Change(at(1, 12, order("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
-		c.Replace(at(2, 10, order("released", 5)), now, false)
+		c.Replace(batchOf(1, 10, evacuation("released", 5)), now, false)
+		c.Change(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
+		c.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
 		return c
 	}
 	for _, tc := range []struct {
@@ -112,28 +112,36 @@
 		want []string
 	}{
 		{"no write after the restore", func(*relay.Copy[platform.Evacuation]) {}, []string{"ordered"}},
-		{"objects listed again", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(2, 11, order("released", 5)), now, false) }, []string{"ordered"}},
+		{"objects listed again", func(c *relay.Copy[platform.Evacuation]) {
+			c.Replace(batchOf(2, 11, evacuation("released", 5)), now, false)
+		}, []string{"ordered"}},
 		{"order and release written again", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(at(2, 12, order("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
+			c.Change(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
 		}, []string{"ordered"}},
 		{"order written again, then released", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(at(2, 12, order("ordered", 11), deleted[platform.Evacuation]("ordered", 12)), now, false)
+			c.Change(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("ordered", 12)), now, false)
 		}, []string{}},
-		{"zone evacuated again by a change", func(c *relay.Copy[platform.Evacuation]) { c.Change(at(2, 12, order("released", 12)), now, false) }, []string{"ordered", "released"}},
-		{"zone evacuated again in a list", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(2, 12, order("released", 12)), now, false) }, []string{"ordered", "released"}},
+		{"zone evacuated again by a change", func(c *relay.Copy[platform.Evacuation]) {
+			c.Change(batchOf(2, 12, evacuation("released", 12)), now, false)
+		}, []string{"ordered", "released"}},
+		{"zone evacuated again in a list", func(c *relay.Copy[platform.Evacuation]) {
+			c.Replace(batchOf(2, 12, evacuation("released", 12)), now, false)
+		}, []string{"ordered", "released"}},
 		{"no write until expiry", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(at[platform.Evacuation](2, 12), now.Add(keepFor), false)
+			c.Change(batchOf[platform.Evacuation](2, 12), now.Add(keepFor), false)
 		}, []string{"released"}},
-		{"second restore", func(c *relay.Copy[platform.Evacuation]) { c.Replace(at(3, 10, order("released", 5)), now, false) }, []string{"ordered"}},
+		{"second restore", func(c *relay.Copy[platform.Evacuation]) {
+			c.Replace(batchOf(3, 10, evacuation("released", 5)), now, false)
+		}, []string{"ordered"}},
 		{"reply of the old era", func(c *relay.Copy[platform.Evacuation]) {
-			qt.Check(t, c.Replace(at(1, 99, order("released", 5)), now, false), qt.IsFalse)
-			_, ok := c.Change(at(1, 99, deleted[platform.Evacuation]("ordered", 98)), now, false)
+			qt.Check(t, c.Replace(batchOf(1, 99, evacuation("released", 5)), now, false), qt.IsFalse)
+			_, ok := c.Change(batchOf(1, 99, deleted[platform.Evacuation]("ordered", 98)), now, false)
 			qt.Check(t, ok, qt.IsFalse)
 		}, []string{"ordered"}},
 	} {
 		c := newCopy()
 		tc.then(c)
-		qt.Check(t, holds(c, showName), qt.DeepEquals, tc.want, qt.Commentf("%s", tc.name))
+		qt.Check(t, describe(c, showName), qt.DeepEquals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
@@ -141,27 +149,27 @@
 func TestKeptIsPassedOn(t *testing.T) {
 	now := time.Unix(100, 0)
 	old := evacuationsCopy()
-	old.Replace(at(1, 10, order("released", 5)), now, false)
-	old.Change(at(1, 12, order("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
-	old.Replace(at(2, 10, order("released", 5)), now, false)
+	old.Replace(batchOf(1, 10, evacuation("released", 5)), now, false)
+	old.Change(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
+	old.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
 	started := evacuationsCopy()
-	started.Replace(at(2, 10, order("released", 5)), now, false)
+	started.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
 	kept, sum := old.Kept()
 	news := started.Merge(kept, now)
 	qt.Check(t, news.Entries, qt.HasLen, 2)
-	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{"ordered"})
-	started.Replace(at(2, 11, order("released", 5)), now, false)
-	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{"ordered"})
+	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
+	started.Replace(batchOf(2, 11, evacuation("released", 5)), now, false)
+	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
 	_, same := started.Kept()
 	qt.Check(t, same, qt.Equals, sum)
 	// A second restore makes no difference.
-	started.Replace(at(3, 10, order("released", 5)), now, false)
-	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{"ordered"})
-	started.Replace(at(3, 11, order("released", 5)), now, false)
+	started.Replace(batchOf(3, 10, evacuation("released", 5)), now, false)
+	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
+	started.Replace(batchOf(3, 11, evacuation("released", 5)), now, false)
 	// Later writes take precedence over entries that a lagging host still retains.
-	started.Change(at(3, 13, order("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
+	started.Change(batchOf(3, 13, evacuation("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
 	started.Merge(kept, now)
-	qt.Check(t, holds(started, showName), qt.DeepEquals, []string{})
+	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{})
 }
 
 // Guards against a host that gets too few changes in a new era because it has seen revisions of the old era that its
@@ -169,8 +177,8 @@
 func TestHostAheadOfItsParentGetsAll(t *testing.T) {
 	now := time.Unix(100, 0)
 	parent := replicasCopy()
-	parent.Replace(at(1, 10, row("a", 9, 1, platform.StateLive)), now, false)
-	parent.Replace(at(2, 8, row("a", 8, 1, platform.StateLive)), now, false)
+	parent.Replace(batchOf(1, 10, replicaRow("a", 9, 1, platform.StateLive)), now, false)
+	parent.Replace(batchOf(2, 8, replicaRow("a", 8, 1, platform.StateLive)), now, false)
 	for _, tc := range []struct {
 		reached feed.Position
 		full    bool
@@ -193,39 +201,39 @@
 	// store is the content of the store, and truth the latest versions that the operator wrote.
 	store map[string]feed.Entry[int64]
 	truth map[string]int64
-	// copies lists the backups that the store may be restored from.
-	copies []eraCopy
-	hosts  [3]*relay.Copy[int64]
-	newest [3]map[string]int64
+	// backups lists the backups that the store may be restored from.
+	backups []storeBackup
+	hosts   [3]*relay.Copy[int64]
+	newest  [3]map[string]int64
 }
 
-type eraCopy struct {
+type storeBackup struct {
 	revision int64
 	store    map[string]feed.Entry[int64]
 }
 
 func newEraModel() *eraModel {
 	m := &eraModel{era: 1, revision: 10, store: map[string]feed.Entry[int64]{}, truth: map[string]int64{}}
-	m.copies = []eraCopy{m.copy()}
+	m.backups = []storeBackup{m.backup()}
 	for i := range m.hosts {
-		m.start(i)
+		m.restart(i)
 	}
 	return m
 }
 
-// start restarts a host with an empty copy.
-func (m *eraModel) start(i int) {
+// restart restarts a host with an empty copy.
+func (m *eraModel) restart(i int) {
 	opts := relay.Options[int64]{KeepAbsent: true, Older: func(got, held int64) bool { return got < held }}
 	m.hosts[i], m.newest[i] = relay.NewCopy(opts), map[string]int64{}
 }
 
 func (m *eraModel) now() time.Time { return time.Unix(m.revision, 0) }
 
-func (m *eraModel) copy() eraCopy { return eraCopy{m.revision, maps.Clone(m.store)} }
+func (m *eraModel) backup() storeBackup { return storeBackup{m.revision, maps.Clone(m.store)} }
 
-func (m *eraModel) restore(c eraCopy) {
+func (m *eraModel) restore(c storeBackup) {
 	m.era, m.revision, m.store = m.era+1, c.revision, maps.Clone(c.store)
-	m.copies = []eraCopy{m.copy()}
+	m.backups = []storeBackup{m.backup()}
 }
 
 func (m *eraModel) write(name string, version int64) {
@@ -243,9 +251,9 @@
 	}
 }
 
-// read updates a host with a list of all objects of the store.
-func (m *eraModel) read(t *rapid.T, i int) {
-	list := at[int64](m.era, m.revision)
+// listStore updates a host with a list of all objects of the store.
+func (m *eraModel) listStore(t *rapid.T, i int) {
+	list := batchOf[int64](m.era, m.revision)
 	for _, name := range slices.Sorted(maps.Keys(m.store)) {
 		list.Entries = append(list.Entries, m.store[name])
 	}
@@ -254,8 +262,8 @@
 	}
 }
 
-// hear updates one host from another.
-func (m *eraModel) hear(to, from int) {
+// syncHost updates one host from another.
+func (m *eraModel) syncHost(to, from int) {
 	st, _ := m.hosts[to].State()
 	batch, full, _ := m.hosts[from].Since(st.Position)
 	if batch.Position().Before(st.Position) || batch.Revision == 0 || to == from {
@@ -299,26 +307,26 @@
 				m.version++
 				m.write(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), m.version)
 			case "copy":
-				m.copies = append(m.copies, m.copy())
+				m.backups = append(m.backups, m.backup())
 			case "restore":
-				m.restore(rapid.SampledFrom(m.copies[max(0, len(m.copies)-2):]).Draw(t, "copy"))
+				m.restore(rapid.SampledFrom(m.backups[max(0, len(m.backups)-2):]).Draw(t, "copy"))
 			case "write lost":
 				m.writeLost()
 			case "start":
-				m.start(rapid.IntRange(0, 2).Draw(t, "host"))
+				m.restart(rapid.IntRange(0, 2).Draw(t, "host"))
 			case "read":
-				m.read(t, rapid.IntRange(0, 1).Draw(t, "host"))
+				m.listStore(t, rapid.IntRange(0, 1).Draw(t, "host"))
 			case "hear":
-				m.hear(rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, 2).Draw(t, "from"))
+				m.syncHost(rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, 2).Draw(t, "from"))
 			}
 			m.check(t)
 		}
 		for _, name := range slices.Sorted(maps.Keys(m.truth)) {
 			m.write(name, m.truth[name])
 		}
-		m.read(t, 0)
-		m.read(t, 1)
-		m.hear(2, 0)
+		m.listStore(t, 0)
+		m.listStore(t, 1)
+		m.syncHost(2, 0)
 		m.check(t)
 		for i := range m.hosts {
 			if !maps.Equal(m.newest[i], m.truth) {
@@ -332,7 +340,7 @@
 func TestAskerWithoutAnEraWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := replicasCopy()
-		c.Replace(at(3, 10, row("a", 9, 1, platform.StateLive)), time.Now(), false)
+		c.Replace(batchOf(3, 10, replicaRow("a", 9, 1, platform.StateLive)), time.Now(), false)
 		m := &relay.Methods{Clock: clock.System{}, ReplicaCopy: c}
 		began := time.Now()
 		var rep relay.Reply[platform.Replica]
@@ -353,13 +361,13 @@
 		var copies [2]*relay.Copy[int64]
 		for i := range copies {
 			copies[i] = relay.NewCopy(relay.Options[int64]{KeepAbsent: true, Older: func(got, held int64) bool { return got < held }})
-			copies[i].Replace(at(1, 18, version(18, 79)), now, false)
+			copies[i].Replace(batchOf(1, 18, version(18, 79)), now, false)
 		}
 		parent, child := copies[0], copies[1]
-		child.Change(at(1, 20, version(20, 81)), now, false)
-		parent.Replace(at(2, 12, version(9, 77)), now, false)
+		child.Change(batchOf(1, 20, version(20, 81)), now, false)
+		parent.Replace(batchOf(2, 12, version(9, 77)), now, false)
 		if crossed {
-			child.Replace(at(2, 12, version(9, 77)), now, false)
+			child.Replace(batchOf(2, 12, version(9, 77)), now, false)
 		}
 		all, _, _ := parent.Since(feed.Position{})
 		child.Replace(all, now, false)
@@ -376,13 +384,13 @@
 	now := time.Unix(100, 0)
 	parent, child := replicasCopy(), replicasCopy()
 	for _, c := range []*relay.Copy[platform.Replica]{parent, child} {
-		c.Replace(at(1, 10, row("a", 3, 4, platform.StateLive)), now, false)
+		c.Replace(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	}
-	parent.Change(at(1, 11, row("a", 11, 5, platform.StateLive)), now, false)
-	child.Change(at(1, 12, row("a", 12, 6, platform.StateLeaving)), now, false)
-	parent.Replace(at(2, 9, row("a", 3, 4, platform.StateLive)), now, false)
+	parent.Change(batchOf(1, 11, replicaRow("a", 11, 5, platform.StateLive)), now, false)
+	child.Change(batchOf(1, 12, replicaRow("a", 12, 6, platform.StateLeaving)), now, false)
+	parent.Replace(batchOf(2, 9, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	all, _, _ := parent.Since(feed.Position{})
 	child.Replace(all, now, false)
-	child.Change(at[platform.Replica](2, 9), now.Add(keepFor), false)
-	qt.Check(t, holds(child, showRow), qt.DeepEquals, []string{"a leaving 6"})
+	child.Change(batchOf[platform.Replica](2, 9), now.Add(keepFor), false)
+	qt.Check(t, describe(child, showRow), qt.DeepEquals, []string{"a leaving 6"})
 }
--- a/entry/internal/relay/server.go
+++ b/entry/internal/relay/server.go
@@ -9,8 +9,8 @@
 	"guavaspring.org/core/route"
 )
 
-// mostWait is the maximum time that a call of another host waits for changes.
-const mostWait = 30 * time.Second
+// maxWait is the maximum time that a call of another host waits for changes.
+const maxWait = 30 * time.Second
 
 // Args is a request for the changes since a position in the store's history.
 type Args struct {
@@ -88,7 +88,7 @@
 	if behind := st.Before(args.Position()); args.Wait > 0 && (behind || st.Position == args.Position() && st.Kept == args.Kept) {
 		select {
 		case <-changed:
-		case <-clk.After(min(args.Wait, mostWait)):
+		case <-clk.After(min(args.Wait, maxWait)):
 		}
 		st, _ = c.State()
 	}
--- a/entry/internal/relay/tree.go
+++ b/entry/internal/relay/tree.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// watchers is the number of hosts that watch the store: one, and a second for when the first is partitioned or
+	// maxWatchers is the number of hosts that watch the store: one, and a second for when the first is partitioned or
 	// restarted. Every open watch is a paid call, so their number must not grow with the fleet.
-	watchers = 2
+	maxWatchers = 2
 	// fanOut is the maximum number of children of a host. With 8, changes reach 5,600 hosts in five steps.
 	fanOut = 8
 )
@@ -25,7 +25,7 @@
 // each falls back to reading the store itself.
 func Parents(hosts []member.Host, self string) (parents []member.Host, watches bool) {
 	order := ranked(hosts, self)
-	watching := order[:min(watchers, len(order))]
+	watching := order[:min(maxWatchers, len(order))]
 	if slices.ContainsFunc(watching, func(h member.Host) bool { return h.ID == self }) {
 		return without(watching, self), true
 	}
