--- a/entry/internal/relay/era_bench_test.go
+++ b/entry/internal/relay/era_bench_test.go
@@ -10,8 +10,8 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// BenchmarkNewEra takes over a list of a new era, of which one row in a hundred has changed, and works out what a host in
-// step with the copy lacks.
+// BenchmarkNewEra applies a list of a new era, in which one row in a hundred has changed, and computes the changes for
+// a host that is up to date with the copy.
 func BenchmarkNewEra(b *testing.B) {
 	for _, n := range []int{282, 4228, 24000} {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
@@ -20,11 +20,11 @@
 			for range b.N {
 				b.StopTimer()
 				c := relay.NewCopy(relay.Options[platform.Replica]{Older: platform.Replica.OlderThan})
-				old := listOf(n)
+				old := replicaList(n)
 				old.Era = 1
 				c.Replace(old, now, false)
 				before, _ := c.State()
-				list := listOf(n)
+				list := replicaList(n)
 				list.Era = 2
 				for i := 0; i < n; i += 100 {
 					list.Entries[i].Value.Sequence++
