--- a/entry/internal/service/admit.go
+++ b/entry/internal/service/admit.go
@@ -9,11 +9,11 @@
 	"guavaspring.org/entry/internal/explain"
 )
 
-// Admission returns the gate of the service, for its metrics and for the load that other hosts are told.
+// Admission returns the admission gate of the service, for its metrics and for the load sent to other hosts.
 func (s *Service) Admission() *admission.Gate { return s.gate }
 
-// learnLimit tells the gate of tries that did not answer and say something of how pressed the upstream is; those that
-// did are told by shard, with the wait for a free replica.
+// learnLimit reports canceled and shed attempts to the gate, as signs of upstream load. Answered attempts are reported
+// by shard instead, with the wait for a free replica included.
 func (s *Service) learnLimit(res upstream.Result) {
 	switch res.Kind {
 	case upstream.KindCanceled:
@@ -27,7 +27,7 @@
 	return explain.Decision{AtMS: explain.Millis(s.opts.Clock.Now().Sub(req.Arrived)), What: "refuse", Shard: -1, Why: string(r.Reason)}
 }
 
-// admitted says how long a query waited; one that did not wait has nothing to explain.
+// admitted returns the decision that records how long a query waited for admission, or nil if it didn't wait.
 func admitted(place admission.Place) []explain.Decision {
 	if place.Waited == 0 {
 		return nil
@@ -35,7 +35,7 @@
 	return []explain.Decision{{AtMS: explain.Millis(place.Waited), What: "admit", Shard: -1, Why: "waited for a place"}}
 }
 
-// retryMS rounds up, since 0 on the wire means that no time is given.
+// retryMS returns d in milliseconds, rounded up, since 0 on the wire means that no time is given.
 func retryMS(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
 
 func (s *Service) limitMoved(from, to int) {
--- a/entry/internal/service/cost_test.go
+++ b/entry/internal/service/cost_test.go
@@ -28,7 +28,7 @@
 
 const costShards = 69
 
-// quickUpstream answers every query at once with two hits; it stands at an address for each shard.
+// quickUpstream starts one server per shard, each of which answers every query at once with two hits.
 func quickUpstream(b *testing.B) []platform.Replica {
 	var servers []*httptest.Server
 	var list []platform.Replica
@@ -63,8 +63,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkQueryOverHTTP and BenchmarkBareOverHTTP run the same 69 requests through the same client, the first with
-// every decision, log line and metric; the replicas' side is in both figures of processor time.
+// BenchmarkQueryOverHTTP and BenchmarkBareOverHTTP send the same 69 requests through the same client; only the first
+// includes planning, logs and metrics. Both figures of CPU time include the replicas.
 func BenchmarkQueryOverHTTP(b *testing.B) {
 	list := quickUpstream(b)
 	doc := document.Default()
--- a/entry/internal/service/farm_test.go
+++ b/entry/internal/service/farm_test.go
@@ -26,7 +26,7 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// worker is one replica with slots, which sheds what comes while all are taken.
+// worker is a simulated replica that sheds requests while all its slots are in use.
 type worker struct {
 	id      string
 	shard   int
@@ -35,26 +35,26 @@
 	dead    bool
 	leaving bool
 	running int
-	// ran and shed count what it ran and what it refused, also by not being there; after counts what came once it was
+	// ran counts the attempts run, shed those refused, connection failures included, and after those received while
 	// leaving.
 	ran, shed, after int
-	// warmAt is when its caches are warm; until then it is coldFactor times slower.
+	// warmAt is the time at which its caches are warm; before it, the replica is coldFactor times slower.
 	warmAt time.Time
-	// claim is what its header says of its load, empty for the truth.
+	// claim is a false value for the load header; empty means that the header is correct.
 	claim string
 }
 
 const coldFactor = 10
 
-// farm plays the replicas of a service, in virtual time.
+// farm simulates the replicas of a service, in virtual time.
 type farm struct {
 	mu      sync.Mutex
 	seed    uint64
 	shards  int
 	workers []*worker
-	// long is the factor for the service time of queries whose text begins with "long".
+	// long multiplies the service time of queries whose text begins with "long".
 	long float64
-	// services counts the hosts, so that their tries have ids of their own.
+	// services counts the hosts, so that the attempts of each host get distinct ids.
 	services int
 }
 
@@ -66,7 +66,7 @@
 	return f
 }
 
-// seeded returns a source of random numbers that gives the same ones each run.
+// seeded returns a random source that yields the same numbers in each run.
 func seeded(seed uint64) func(n int) int {
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(seed, 3))
@@ -96,7 +96,8 @@
 	return f.workers[int(b[2])<<8|int(b[3])]
 }
 
-// work is the time that a try takes: 3 ms and an exponential part with a mean of 2 ms, drawn from the try's id.
+// work returns the service time of an attempt: 3 ms and an exponential part with a mean of 2 ms, drawn from the
+// attempt's id.
 func (f *farm) work(w *worker, try upstream.QueryTry) time.Duration {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(try.ID))
@@ -175,7 +176,7 @@
 	do(f.workers)
 }
 
-// asker runs one query by the policy under test or by the plain baseline.
+// asker runs one query with the policy under test or with the baseline.
 type asker func(ctx context.Context, req service.QueryRequest) caller.Answer
 
 func (f *farm) service(doc document.Document, reg prometheus.Registerer) *service.Service {
@@ -197,7 +198,7 @@
 	return s
 }
 
-// spread returns an asker that sends each query to the next of n hosts, which know nothing of each other.
+// spread distributes queries over n hosts in turn; the hosts share no state.
 func spread(n int, host func() asker) asker {
 	list := make([]asker, n)
 	for i := range list {
@@ -209,8 +210,8 @@
 	}
 }
 
-// plain is the baseline: a random replica for each shard, up to two more after failures, no second tries, and admission
-// that learns nothing from its tries.
+// plain is the baseline: a random replica for each shard, up to two more after failures, no hedges, and an admission
+// limit that doesn't adapt to results.
 func (f *farm) plain(doc document.Document) asker {
 	var mu sync.Mutex
 	f.services++
@@ -257,12 +258,12 @@
 	}
 }
 
-// figures are the three measures of a run, and what callers got.
+// figures holds the outcomes, latency, coverage and extra load of a run.
 type figures struct {
 	n, complete, partial, refused, failed int
 	p50, p99, p999                        time.Duration
 	coverage, extra, shed                 float64
-	// ejected is how often a replica was taken out, over the whole run.
+	// ejected is the number of ejections over the whole run, warm-up included.
 	ejected int
 }
 
@@ -280,7 +281,7 @@
 	return sorted[min(len(sorted)-1, int(math.Ceil(q*float64(len(sorted))))-1)]
 }
 
-// ejected reads how often a replica was taken out from the metrics.
+// ejected returns the number of ejections according to the metrics.
 func ejected(reg *prometheus.Registry) int {
 	families, err := reg.Gather()
 	if err != nil {
--- a/entry/internal/service/fleet_test.go
+++ b/entry/internal/service/fleet_test.go
@@ -22,25 +22,25 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// node is one replica of the test's fleet.
+// node is one simulated replica.
 type node struct {
 	id       string
 	addr     netip.AddrPort
 	place    int
 	holdings []upstream.Holding
-	// claims is what the health endpoint names; it lags behind holdings.
+	// claims are the holdings that the health endpoint reports; they lag behind the true ones.
 	claims []upstream.Holding
 	dead   bool
 }
 
-// fleet plays the replicas of a service whose index versions move.
+// fleet simulates the replicas of a service whose index versions change.
 type fleet struct {
 	mu    sync.Mutex
 	seed  uint64
 	rnd   *rand.Rand
 	nodes []*node
 	next  int
-	// newest and shards are the last version that was published and its number of shards.
+	// newest and shards are the last published version and its number of shards.
 	newest int64
 	shards int
 }
@@ -76,8 +76,8 @@
 	return list
 }
 
-// step changes one thing: a replica loads the newest version, drops its oldest, dies, comes back, or cuts a version
-// differently from the others; now and then a new version is published, with another number of shards as often as not.
+// step makes one random change: a replica loads the newest version, drops its oldest, crashes, restarts, or holds a
+// version with a different number of shards, or a new version is published, often with another number of shards.
 func (f *fleet) step() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +118,7 @@
 	panic("no node at " + addr.String())
 }
 
-// delay is drawn from the try's id, so that a seed gives the same delays whatever order goroutines run in.
+// delay draws the delay of an attempt from its id, so that a seed gives the same delays in any order of goroutines.
 func (f *fleet) delay(try upstream.QueryTry) time.Duration {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(try.ID))
@@ -129,7 +129,8 @@
 	return time.Duration(rnd.IntN(3000)) * time.Microsecond
 }
 
-// send answers as the replica at r's address does; a hit names the query and the cut that it truly comes from.
+// send answers for the replica at r's address; each hit names its query and the version, shard and number of shards
+// that it comes from.
 func (f *fleet) send(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
 	d := f.delay(try)
 	res := f.serve(r, try)
--- a/entry/internal/service/ids_test.go
+++ b/entry/internal/service/ids_test.go
@@ -24,8 +24,8 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// rememberingUpstream answers a request id that it has seen before with what it answered then, as an
-// upstream does that guards itself against resent requests.
+// rememberingUpstream starts an upstream that deduplicates requests: it answers a repeated request id with its first
+// answer.
 func rememberingUpstream(t *testing.T) netip.AddrPort {
 	var mu sync.Mutex
 	answers := map[string]string{}
@@ -62,10 +62,9 @@
 	return s
 }
 
-// Two quilters' clients both number their requests from 1. The second asks for wool while the first's
-// answer about linen is still known upstream under id 1, and is shown the linen. The cause: the ids of
-// tries were built from the caller's own request id, so the check on the echoed id could not tell the
-// two requests apart.
+// Guards against a caller getting another caller's hits. Two callers number their requests from 1, and the upstream
+// deduplicates by id. If the ids of attempts derive from the caller's request id, the second query gets the first one's
+// answer, and the check of the echoed id passes.
 func TestQueryOfCallersThatUseTheSameRequestID(t *testing.T) {
 	c := qt.New(t)
 	s := newService(t, rememberingUpstream(t))
--- a/entry/internal/service/log.go
+++ b/entry/internal/service/log.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// lines maps what was decided to the event that is logged; first tries share one line.
+// lines maps the kind of a decision to its log event; the first attempts of all shards share one log line instead.
 var lines = map[string]event.Event{
 	fanout.WhatRetry:  events.Retried,
 	fanout.WhatHedge:  events.Hedged,
@@ -21,8 +21,8 @@
 	fanout.WhatWait:   events.ShardWaited,
 }
 
-// logRoute writes one line with the replica of each shard, in the order of shards, and one for each further decision.
-// The lines are written once the answer is known, so that no try waits for the log; at_ms says when each was taken.
+// logRoute logs one line with the first replica of each shard, in the order of shards, and one line for each further
+// decision. It runs after the query has ended, so that no attempt waits for the log; at_ms is the time of the decision.
 func (s *Service) logRoute(rec *explain.Record, report fanout.Report) {
 	log := s.opts.Log
 	if !log.Enabled() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// firstReplicas lists the replica of each first try, separated by commas.
+// firstReplicas returns the ids of the replicas that got the first attempts, separated by commas.
 func firstReplicas(list []explain.Decision) string {
 	var b strings.Builder
 	for _, d := range list {
--- a/entry/internal/service/metrics.go
+++ b/entry/internal/service/metrics.go
@@ -7,7 +7,8 @@
 	"guavaspring.org/entry/internal/fanout"
 )
 
-// Metrics counts coverage and extra load of a host's services; the time of requests is counted where they are answered.
+// Metrics counts the coverage and extra load of a host's services. Request latency is measured in the server that
+// answers the requests.
 type Metrics struct {
 	tries    *prometheus.CounterVec
 	extra    *prometheus.CounterVec
--- a/entry/internal/service/quarantine.go
+++ b/entry/internal/service/quarantine.go
@@ -13,7 +13,7 @@
 
 const (
 	quarantined = "the request is quarantined: connections to two replicas broke under it"
-	// writeShard stands for the one place of a write among the shards.
+	// writeShard takes the place of the shard number in writes, which have no shard.
 	writeShard = -1
 )
 
@@ -23,20 +23,21 @@
 	}})
 }
 
-// HearQuarantine takes over from another host that a request crashes upstreams.
+// HearQuarantine applies another host's rumor that a request crashes upstreams.
 func (s *Service) HearQuarantine(r rumor.Rumor) { s.crashers.Heard(r) }
 
-// fingerprint names a query by what its replicas get of it.
+// fingerprint returns the quarantine fingerprint of a query, computed from the body that is sent to replicas.
 func (s *Service) fingerprint(q caller.Query) string {
 	body := upstream.Query{Query: q.Query, Limit: q.Limit}.Encode()
 	return quarantine.Fingerprint(s.name, body)
 }
 
-// guarded sends one try of a query unless the request is known to crash replicas.
+// guarded sends one attempt of a query unless the query is quarantined for crashing replicas.
 func (s *Service) guarded(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
 	return s.guard(ctx, r, try.Shard, try.Body, func() upstream.Result { return s.opts.Send(ctx, r, try) })
 }
 
+// guard calls send unless the request is quarantined, and records in the quarantine how the attempt ended.
 func (s *Service) guard(ctx context.Context, r *replica.Replica, shard int, body []byte, send func() upstream.Result) upstream.Result {
 	var res upstream.Result
 	err := s.crashers.Guard(ctx, quarantine.Fingerprint(s.name, body), shard, r.ID, func() quarantine.Outcome {
--- a/entry/internal/service/scenes_test.go
+++ b/entry/internal/service/scenes_test.go
@@ -18,19 +18,19 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// scene is a load and a fault, played in virtual time against the service and against the plain baseline.
+// scene is a load and a fault, simulated in virtual time against the service or the baseline.
 type scene struct {
 	seed   uint64
 	prefer document.Preference
-	// rate is the queries a second, lasting so long; text names query i.
+	// rate is in queries per second, for the duration lasts; text returns the text of query i.
 	rate  float64
 	lasts time.Duration
 	text  func(i int) string
-	// hosts is how many hosts share the replicas and the load; zero means one.
+	// hosts is the number of hosts that share the replicas and the load; zero means one.
 	hosts int
-	// warm is how long the load runs before the fault and before anything is counted.
+	// warm is the duration of the load before the fault begins and results count.
 	warm time.Duration
-	// fault is called after warm, and every 50 ms from then on with the time since.
+	// fault is called every 50 ms after warm, with the time since then.
 	fault func(f *farm, s *service.Service, since time.Duration)
 }
 
@@ -139,9 +139,9 @@
 	return ans, time.Since(now)
 }
 
-// One replica of thirty answers twenty times slower, from one moment to the next. A greeter's board waits
-// for it in every third look-up: the slowest shard sets the page's time. The board should hardly notice,
-// and the other replicas should not pay for it with doubled load.
+// One replica of thirty suddenly answers twenty times slower. The slowest shard sets the latency of a query, so without
+// hedges and ejection a third of the queries wait for that replica. Latency must stay close to the healthy one, without
+// doubling the load on the other replicas.
 func TestOneSlowReplica(t *testing.T) {
 	t.Parallel()
 	healthy := scene{seed: 1, rate: 200, warm: time.Second, lasts: 4 * time.Second}
@@ -160,9 +160,9 @@
 	qt.Assert(t, float64(plain.p99) > 2*float64(base.p99), qt.IsTrue)
 }
 
-// A switch fails, and the ten replicas behind it stop answering from one moment to the next; connections stay
-// open. Three shards of ten are late at once on every page that is under way. It looks like load, but most of
-// the page has come in good time: the rest should be asked elsewhere, not left out.
+// Ten replicas stop answering at once while their connections stay open, as when a switch fails. Three shards of ten
+// are late in every running query. This looks like overload, but most shards answer in time: the late ones must be sent
+// to other replicas, not given up.
 func TestZoneGoesSilent(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 11, rate: 200, warm: time.Second, lasts: 2 * time.Second}
@@ -180,8 +180,8 @@
 	qt.Assert(t, ours.extra < 0.03, qt.IsTrue)
 }
 
-// All three replicas of one shard are gone. Every page must come on time and say that nine shards of ten
-// answered; a page that waits for the deadline each time freezes the board for nothing.
+// All three replicas of one shard are down. Every query must return in normal time with a coverage of nine shards of
+// ten; waiting for the deadline would gain nothing.
 func TestOneShardGone(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 2, rate: 200, warm: time.Second, lasts: 2 * time.Second}
@@ -191,7 +191,7 @@
 	}
 	ours, plain := sc.play(t, false), sc.play(t, true)
 	t.Logf("healthy: %v", healthy)
-	t.Logf("gone:    %v", ours)
+	t.Logf("down:    %v", ours)
 	t.Logf("plain:   %v", plain)
 	qt.Assert(t, ours.complete, qt.Equals, 0)
 	qt.Assert(t, ours.partial, qt.Equals, ours.n)
@@ -200,9 +200,9 @@
 	qt.Assert(t, ours.extra < 0.03, qt.IsTrue)
 }
 
-// The ten replicas in one availability zone restart under their addresses with cold caches, ten times slower
-// for two seconds. Sent their full share at once, nearly every page waits for several of them, and second
-// tries don't reach for all; they should get single tries until they are warm.
+// The ten replicas in one availability zone restart at the same addresses with cold caches, ten times slower for two
+// seconds. With their full share of requests, nearly every query waits for several of them, and the hedge budget
+// doesn't cover all. They must get only probes until they are warm.
 func TestColdRestart(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 3, rate: 200, warm: time.Second, lasts: 3 * time.Second}
@@ -226,8 +226,8 @@
 	qt.Assert(t, ours.extra < 0.03, qt.IsTrue)
 }
 
-// The offered load is three times what the replicas can run. Second tries and retries would only displace
-// first ones; what is sent must run, and nearly all slots must do useful work.
+// The offered load is three times the capacity of the replicas. Hedges and retries would only displace first attempts:
+// few attempts may be shed, and nearly all slots must do useful work.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 4, rate: 9000, lasts: 300 * time.Millisecond}
@@ -239,8 +239,8 @@
 	qt.Assert(t, ours.complete >= plain.complete, qt.IsTrue)
 }
 
-// Two hundred coordinators look up the same colour within 20 ms. More tries come at once than there are
-// slots; pages should wait a few milliseconds for a slot rather than come back thin.
+// Every 500 ms, 60 more queries come within 6 ms, so that there are more attempts than slots. Queries must wait a few
+// milliseconds for a slot rather than return partial results.
 func TestBurst(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 5, rate: 150, warm: time.Second, lasts: 2 * time.Second}
@@ -264,8 +264,9 @@
 	qt.Assert(t, ours.refused, qt.Equals, 0)
 }
 
-// Seven hosts share the five slots of each replica, at sixty percent of what the replicas can run. No host
-// knows of the others; what one sends is another's refusal. Pages should be whole and hardly a try refused.
+// Seven hosts share the five slots of each replica at sixty percent of the replicas' capacity, without knowledge of
+// each other: an attempt of one host can cause a replica to shed another's. Results must be complete and hardly any
+// attempt shed.
 func TestSevenHostsShareReplicas(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 10, rate: 1800, warm: 500 * time.Millisecond, lasts: 700 * time.Millisecond, hosts: 7}
@@ -277,8 +278,8 @@
 	qt.Assert(t, ours.extra < 0.03, qt.IsTrue)
 }
 
-// One query in ten is long, eight times the others' work. Its replicas are not slow, and must not be taken
-// out or get second tries for it: the short ones keep their time and the load stays what it is.
+// One query in ten takes eight times as long. The replicas running it are not slow: they must not be ejected, nor the
+// query hedged, so that the load and the short queries are unaffected.
 func TestLongAmongShort(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 6, rate: 150, warm: time.Second, lasts: 4 * time.Second, text: func(i int) string {
@@ -295,8 +296,8 @@
 	qt.Assert(t, ours.coverage >= plain.coverage-0.001, qt.IsTrue)
 }
 
-// A replica's load header says idle while it is twenty times slower than the others, and another's says
-// full while it is idle. Believed, the first would draw the whole load of its shard.
+// One replica's load header reports no load while the replica is twenty times slower than the others, and another's
+// reports full load while idle. A picker that trusts the headers sends the whole load of the shard to the slow replica.
 func TestLyingLoadHeaders(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 7, rate: 200, warm: time.Second, lasts: 4 * time.Second}
@@ -306,14 +307,14 @@
 	}
 	ours := sc.play(t, false)
 	t.Logf("healthy: %v", healthy)
-	t.Logf("lying:   %v", ours)
+	t.Logf("wrong:   %v", ours)
 	qt.Assert(t, float64(ours.p99) <= 1.2*float64(healthy.p99), qt.IsTrue)
 	qt.Assert(t, ours.extra < 0.03, qt.IsTrue)
 }
 
-// A replica refuses every connection at once. It never has a try running, and so looks like the best choice
-// for each: a third of the shard's tries go there first, each costs a retry, and with the budget spent shards
-// go missing. After three failures it gets single tries only, until it answers again.
+// A replica refuses every connection. It never has a request in flight, and so looks least loaded: a third of the
+// shard's attempts go there first, each costs a retry, and once the retry budget is spent shards go missing. After three
+// failures it must get only probes, until it answers again.
 func TestReplicaThatFailsFast(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 9, rate: 200, warm: time.Second, lasts: 3 * time.Second}
@@ -328,8 +329,8 @@
 	qt.Assert(t, ours.ejected, qt.Equals, 1)
 }
 
-// A replica begins to leave: it still answers, and says so on its replies. Tries that it got before its first
-// such reply are finished; after that it gets none, though the platform's list calls it live all the time.
+// A replica starts to drain: it still answers, and its replies say that it drains. Attempts sent before the first such
+// reply finish; later ones must go elsewhere, although the platform's list still shows the replica as live.
 func TestLeavingReplicaInUse(t *testing.T) {
 	t.Parallel()
 	sc := scene{seed: 8, rate: 200, warm: time.Second, lasts: 2 * time.Second}
@@ -339,7 +340,7 @@
 		s.Update(context.Background(), f.list())
 	}
 	ours := sc.play(t, false)
-	t.Logf("leaving: %v, %d tries after the first sign", ours, after)
+	t.Logf("draining: %v, %d attempts after the first sign", ours, after)
 	qt.Assert(t, ours.complete, qt.Equals, ours.n)
-	qt.Assert(t, after >= 1 && after <= 5, qt.IsTrue, qt.Commentf("%d tries", after))
+	qt.Assert(t, after >= 1 && after <= 5, qt.IsTrue, qt.Commentf("%d attempts received while draining", after))
 }
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -32,24 +32,24 @@
 	Explain *explain.Store
 	// NewID returns a new random identifier.
 	NewID func() string
-	// Send sends one try; nil means over HTTP.
+	// Send sends one attempt; nil means over HTTP.
 	Send func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result
-	// Publish tells a small fact to all hosts; it may be nil and must not block.
+	// Publish gossips a rumor to all hosts; it may be nil and must not block.
 	Publish func(rumor.Rumor)
 	// Health reads the health endpoint of a replica; nil means over HTTP.
 	Health func(ctx context.Context, r *replica.Replica) (upstream.Health, upstream.Result)
-	// Metrics counts; nil means that nobody reads it.
+	// Metrics receives the counters; nil means unregistered metrics.
 	Metrics *Metrics
 	// IntN draws random numbers and must be safe for concurrent use; nil means rand.IntN.
 	IntN func(n int) int
 	// Zone is this host's availability zone.
 	Zone string
-	// Draining is told once of each replica that this host itself finds leaving, and by which sign, so that other hosts
-	// can be told; it may be nil and must not call the service.
+	// Draining is called once for each replica that this host itself finds draining, with the sign that showed it, so
+	// that the caller can notify other hosts. It may be nil and must not call the service.
 	Draining func(service string, r *replica.Replica, sign string)
 }
 
-// Service is one service under the generation that is in force.
+// Service runs queries and writes of one service under the configuration generation in force.
 type Service struct {
 	opts   Options
 	name   string
@@ -57,14 +57,14 @@
 	table  *replica.Table
 	gate   *admission.Gate
 	client *upstream.Client
-	// crashers holds the requests that break the connections to those who run them.
+	// crashers holds the requests that break the connections to the replicas running them.
 	crashers *quarantine.Quarantine
 	runner   *fanout.Runner
 	picker   *snapshot.Picker
 	probes   sync.WaitGroup
 }
 
-// New returns the service described by gen, with no replica known yet.
+// New returns the service described by gen, without any replicas.
 func New(gen accepted.Generation, opts Options) (*Service, error) {
 	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: seats(gen.Document)})
 	if err != nil {
@@ -93,27 +93,28 @@
 	return s, nil
 }
 
-// signOtherHost is how a replica was found leaving that another host told of; what was heard is not told on, since it
-// would go round for good.
+// signOtherHost is the sign of a replica that another host reported as draining. Such reports are not sent on, since
+// they would circulate between hosts forever.
 const signOtherHost = "another host"
 
-// MarkDraining takes over from another host that the replica with the id is leaving, and reports whether it is known
-// here.
+// MarkDraining applies another host's report that the replica with the id is draining. It reports whether this host
+// knows the replica.
 func (s *Service) MarkDraining(id string) bool { return s.table.MarkDraining(id, signOtherHost) }
 
-// SetGeneration puts a newer generation in force for the requests that come next.
+// SetGeneration puts a newer generation in force for later requests.
 func (s *Service) SetGeneration(gen accepted.Generation) {
 	s.gen.Store(&gen)
 	s.gate.SetLimits(limits(gen.Document))
 	if err := s.client.SetSeats(seats(gen.Document)); err != nil {
-		panic(fmt.Sprintf("service: a client without an endpoint can't be made: %v", err))
+		panic(fmt.Sprintf("service: can't set the upstream client's connection limit: %v", err))
 	}
 }
 
 // Generation returns the generation in force.
 func (s *Service) Generation() accepted.Generation { return *s.gen.Load() }
 
-// Update takes over the platform's list of the service's replicas and asks each new one what it holds.
+// Update applies the platform's list of the service's replicas and probes those without a recent reply for the shards
+// that they hold.
 func (s *Service) Update(ctx context.Context, list []platform.Replica) {
 	added, removed := s.table.Update(list)
 	for _, r := range removed {
@@ -127,8 +128,8 @@
 
 const probeTimeout = time.Second
 
-// probeAll asks the replicas that no query reaches for their holdings, so that versions are known before the first
-// query and while none runs.
+// probeAll reads the health endpoint of each replica without a recent reply, so that index versions are known before
+// the first query and while no queries run.
 func (s *Service) probeAll(ctx context.Context) {
 	for _, r := range s.table.Unheard() {
 		s.probes.Go(func() {
@@ -143,11 +144,11 @@
 	s.probes.Wait()
 }
 
-// retryUnknown is when to come back to a host that knows no index version; it reads the list and asks new replicas each
-// second.
+// retryUnknown is the retry delay given to clients while the host knows no index version. The host reads the replica
+// list and probes new replicas each second.
 const retryUnknown = 500 * time.Millisecond
 
-// QueryRequest is one query as it arrived at the host.
+// QueryRequest is one query as received by the host.
 type QueryRequest struct {
 	ID       string
 	Caller   string
@@ -156,7 +157,7 @@
 	Query    caller.Query
 }
 
-// Query admits, runs and explains one query.
+// Query admits and runs one query, and stores its explanation.
 func (s *Service) Query(ctx context.Context, req QueryRequest) caller.Answer {
 	gen := s.Generation()
 	ans := caller.Answer{RequestID: req.ID, Service: s.name, Generation: gen.Number, ExplanationID: s.opts.NewID(), Hits: []caller.Hit{}}
@@ -179,8 +180,8 @@
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryMS(retryUnknown)
 		return ans
 	}
-	// The tries are named after an id of our own: callers repeat theirs, and an upstream or a late reply could not tell
-	// two such requests apart.
+	// Attempts carry an id generated by this host: callers reuse their request ids, so that an upstream or the check of
+	// a late reply could confuse two requests.
 	report := s.runner.Run(ctx, fanout.Request{
 		ID: ans.ExplanationID, Arrived: req.Arrived, Deadline: req.Deadline, Query: req.Query, Document: gen.Document, Map: vm, Replan: s.pick,
 		Suspect: verdict.Suspect,
@@ -213,8 +214,8 @@
 	return admission.Limits{Running: doc.Admission.Concurrency, Waiting: doc.Admission.Queue, CallerShare: doc.Admission.CallerShare}
 }
 
-// seats is this host's share of a replica's connections; the share is fixed, so the sum holds however much hosts
-// disagree on who is a member.
+// seats returns this host's share of the connections to a replica. The share doesn't depend on the member list, so that
+// the hosts together stay within the replica's limit even while they disagree on membership.
 func seats(doc document.Document) int {
 	return max(1, doc.Upstream.Connections/doc.Upstream.EntryHosts)
 }
--- a/entry/internal/service/snapshot_test.go
+++ b/entry/internal/service/snapshot_test.go
@@ -18,17 +18,17 @@
 
 const snapshotSeeds = 1000
 
-// A quilter searches while index versions are published, repartitioned and dropped, replicas die, come
-// back and cut a version differently from their neighbours. Her page must hold hits of one version and
-// one cut only, and name exactly the shards without an answer. Without the guards she sees a remnant
-// twice, or a page of two evenings mixed, because the replica of a late try had moved on.
+// Queries run while index versions are published, repartitioned and dropped, and replicas crash, restart and disagree
+// on the number of shards. Each result must hold hits of one version and one partitioning only, and name exactly the
+// missing shards. If a late attempt reaches a replica that has changed its version, a result could mix two versions or
+// hold a document twice.
 func TestOneSnapshotThroughVersionMoves(t *testing.T) {
 	t.Parallel()
 	var total tally
 	for seed := range uint64(snapshotSeeds) {
 		synctest.Test(t, func(t *testing.T) { total.add(playMoves(t, seed)) })
 	}
-	t.Logf("%d answers: %d complete, %d partial, %d failed, %d refused, %d started again", total.answers, total.complete, total.partial, total.failed, total.refused, total.replanned)
+	t.Logf("%d answers: %d complete, %d partial, %d failed, %d refused, %d replanned", total.answers, total.complete, total.partial, total.failed, total.refused, total.replanned)
 	qt.Assert(t, total.complete > total.answers/2, qt.IsTrue)
 	qt.Assert(t, total.partial > 0 && total.replanned > 0, qt.IsTrue)
 }
@@ -78,7 +78,7 @@
 		}
 	}
 	wg.Wait()
-	// Single tries at replicas that are out outlive their query, up to its deadline.
+	// Probes of ejected replicas outlive their query, up to its deadline.
 	time.Sleep(time.Second)
 	return count
 }
@@ -110,19 +110,19 @@
 	}
 }
 
-// truthful compares what an answer says with what its hits are; each shard that answers gives one hit.
+// truthful compares the coverage of an answer with its hits; each shard that answers returns one hit.
 func truthful(ans caller.Answer, text string) error {
 	answered := map[int]bool{}
 	for _, h := range ans.Hits {
 		want := fmt.Sprintf("%d/%d/%d", ans.Snapshot.Version, h.Shard, ans.Snapshot.Shards)
 		if h.ID != want {
-			return fmt.Errorf("a hit of %s in an answer of %s", h.ID, want)
+			return fmt.Errorf("hit is of %s (version/shard/shards), want %s", h.ID, want)
 		}
 		if answered[h.Shard] {
-			return fmt.Errorf("shard %d is in the answer twice", h.Shard)
+			return fmt.Errorf("shard %d has more than one hit", h.Shard)
 		}
 		if !strings.Contains(string(h.Data), text) {
-			return fmt.Errorf("a hit of another request: %s", h.Data)
+			return fmt.Errorf("hit belongs to another request: %s", h.Data)
 		}
 		answered[h.Shard] = true
 	}
--- a/entry/internal/service/status.go
+++ b/entry/internal/service/status.go
@@ -2,7 +2,8 @@
 
 import "guavaspring.org/core/platform"
 
-// Status reports what this host knows of the service's replicas and index versions.
+// Status returns the numbers of known and draining replicas, and the index versions with their coverage, as this host
+// sees them.
 func (s *Service) Status() (platform.StatusReplicas, []platform.StatusVersion) {
 	known, draining := s.table.Count()
 	versions := []platform.StatusVersion{}
--- a/entry/internal/service/writes.go
+++ b/entry/internal/service/writes.go
@@ -13,13 +13,13 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
-// Writes returns what the writer needs of the service.
+// Writes returns the functions by which the writer admits and sends writes of the service.
 func (s *Service) Writes() writes.Upstream {
 	return writes.Upstream{
 		Enabled: s.Generation().Document.Writes.Enabled,
 		Enter:   s.enterWrite,
 		Pick: func(tried []*replica.Replica) *replica.Replica {
-			// Where every replica is at its limit the write is not sent, and its caller hears so at once.
+			// If every replica is at its limit, the write is reported as not run at once.
 			r, _ := choice.Pick(rand.IntN, s.opts.Clock.Now(), s.table.View().Replicas, tried)
 			return r
 		},
@@ -31,7 +31,7 @@
 	}
 }
 
-// enterWrite lets a write in by the same gate as queries, since both take the same slots upstream.
+// enterWrite admits a write through the same gate as queries, since both use the same upstream slots.
 func (s *Service) enterWrite(ctx context.Context, req writes.Request) (func(done bool), ticket.Outcome) {
 	place, refusal := s.gate.Enter(ctx, admission.Request{Caller: req.Caller, Deadline: req.Deadline})
 	if refusal != nil {
