--- a/entry/internal/service/cost_test.go
+++ b/entry/internal/service/cost_test.go
@@ -28,8 +28,8 @@
 
 const costShards = 69
 
-// quickUpstream starts one server per shard, each of which answers every query at once with two hits.
-func quickUpstream(b *testing.B) []platform.Replica {
+// startReplicas starts one server per shard, each of which answers every query at once with two hits.
+func startReplicas(b *testing.B) []platform.Replica {
 	var servers []*httptest.Server
 	var list []platform.Replica
 	for i := range costShards {
@@ -55,7 +55,7 @@
 	return list
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -66,12 +66,12 @@
 // BenchmarkQueryOverHTTP and BenchmarkBareOverHTTP send the same 69 requests through the same client; only the first
 // includes planning, logs and metrics. Both figures of CPU time include the replicas.
 func BenchmarkQueryOverHTTP(b *testing.B) {
-	list := quickUpstream(b)
+	list := startReplicas(b)
 	doc := document.Default()
 	doc.Service = "member-search"
 	s, err := service.New(accepted.Generation{Service: doc.Service, Number: 1, Document: doc}, service.Options{
 		Clock: clock.System{}, Log: event.NewLogger(io.Discard), Explain: explain.New(64), NewID: func() string { return strconv.FormatInt(time.Now().UnixNano(), 36) },
-		Health: health69(list),
+		Health: reportHoldings(list),
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -91,7 +91,7 @@
 }
 
 func BenchmarkBareOverHTTP(b *testing.B) {
-	list := quickUpstream(b)
+	list := startReplicas(b)
 	client, err := upstream.New(upstream.Options{Seats: 5})
 	if err != nil {
 		b.Fatal(err)
@@ -117,14 +117,14 @@
 		one()
 	}
 	b.ReportAllocs()
-	before := cpu()
+	before := cpuTime()
 	for b.Loop() {
 		one()
 	}
-	b.ReportMetric(float64(cpu()-before)/float64(b.N)/1000, "cpu-us/op")
+	b.ReportMetric(float64(cpuTime()-before)/float64(b.N)/1000, "cpu-us/op")
 }
 
-func health69(list []platform.Replica) func(context.Context, *replica.Replica) (upstream.Health, upstream.Result) {
+func reportHoldings(list []platform.Replica) func(context.Context, *replica.Replica) (upstream.Health, upstream.Result) {
 	shard := map[netip.AddrPort]int{}
 	for i, row := range list {
 		shard[row.Addr] = i
--- a/entry/internal/service/ids_test.go
+++ b/entry/internal/service/ids_test.go
@@ -24,9 +24,9 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// rememberingUpstream starts an upstream that deduplicates requests: it answers a repeated request id with its first
+// dedupingUpstream starts an upstream that deduplicates requests: it answers a repeated request id with its first
 // answer.
-func rememberingUpstream(t *testing.T) netip.AddrPort {
+func dedupingUpstream(t *testing.T) netip.AddrPort {
 	var mu sync.Mutex
 	answers := map[string]string{}
 	mux := http.NewServeMux()
@@ -67,7 +67,7 @@
 // answer, and the check of the echoed id passes.
 func TestQueryOfCallersThatUseTheSameRequestID(t *testing.T) {
 	c := qt.New(t)
-	s := newService(t, rememberingUpstream(t))
+	s := newService(t, dedupingUpstream(t))
 	for _, test := range []struct{ caller, query string }{
 		{"quilter-a", "linen"},
 		{"quilter-b", "wool"},
--- a/entry/internal/service/log.go
+++ b/entry/internal/service/log.go
@@ -11,8 +11,9 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// lines maps the kind of a decision to its log event; the first attempts of all shards share one log line instead.
-var lines = map[string]event.Event{
+// decisionEvents maps the kind of a decision to its log event; the first attempts of all shards share one log line
+// instead.
+var decisionEvents = map[string]event.Event{
 	fanout.WhatRetry:  events.Retried,
 	fanout.WhatHedge:  events.Hedged,
 	fanout.WhatMiss:   events.Missed,
@@ -31,7 +32,7 @@
 	events.Routed.Log(log, "service", s.name, "request", rec.RequestID, "explanation", rec.ID, "version", report.Snapshot.Version,
 		"shards", report.Snapshot.Shards, "replicas", firstReplicas(rec.Decisions), "sent", report.Sent)
 	for _, d := range rec.Decisions {
-		if ev, ok := lines[d.What]; ok {
+		if ev, ok := decisionEvents[d.What]; ok {
 			ev.Log(log, "service", s.name, "explanation", rec.ID, "at_ms", d.AtMS, "shard", d.Shard, "replica", d.Replica, "why", d.Why)
 		}
 	}
@@ -52,36 +53,36 @@
 	return b.String()
 }
 
-func (s *Service) heard(r *replica.Replica, version int64, res upstream.Result) {
-	s.opts.Metrics.try(s.name, res.Kind)
+func (s *Service) onResult(r *replica.Replica, version int64, res upstream.Result) {
+	s.opts.Metrics.countAttempt(s.name, res.Kind)
 	if res.Kind == upstream.KindVersionGone {
 		s.table.Gone(r, version)
 	}
 	s.table.Heard(r, res.Holdings, res.Draining || res.Kind == upstream.KindDraining)
-	s.learnLimit(res)
+	s.reportUpstreamLoad(res)
 }
 
-func (s *Service) judged(r *replica.Replica, out bool, why string) {
+func (s *Service) onEjectionChange(r *replica.Replica, ejected bool, why string) {
 	ev := events.ReplicaRestored
-	if out {
+	if ejected {
 		ev = events.ReplicaEjected
 	}
-	s.opts.Metrics.judged(s.name, out)
+	s.opts.Metrics.countEjectionChange(s.name, ejected)
 	ev.Log(s.opts.Log, "service", s.name, "replica", r.ID, "why", why)
 }
 
-func (s *Service) moved(from, to replica.VersionMap) {
+func (s *Service) onSnapshotChange(from, to replica.VersionMap) {
 	events.SnapshotMoved.Log(s.opts.Log, "service", s.name, "from", from.Version, "from_shards", len(from.Holders),
 		"to", to.Version, "to_shards", len(to.Holders), "least_holders", to.Least)
 }
 
-func (s *Service) draining(r *replica.Replica, sign string) {
+func (s *Service) onDraining(r *replica.Replica, sign string) {
 	events.ReplicaDraining.Log(s.opts.Log, "service", s.name, "replica", r.ID, "sign", sign)
 	if s.opts.Draining != nil && sign != signOtherHost {
 		s.opts.Draining(s.name, r, sign)
 	}
 }
 
-func (s *Service) doubted(omitted, live int) {
+func (s *Service) onImplausibleList(omitted, live int) {
 	events.ListDoubted.Log(s.opts.Log, "service", s.name, "omitted", omitted, "live", live)
 }
--- a/entry/internal/service/quarantine.go
+++ b/entry/internal/service/quarantine.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	quarantined = "the request is quarantined: connections to two replicas broke under it"
+	reasonQuarantined = "the request is quarantined: connections to two replicas broke under it"
 	// writeShard takes the place of the shard number in writes, which have no shard.
 	writeShard = -1
 )
@@ -24,7 +24,7 @@
 }
 
 // HearQuarantine applies another host's rumor that a request crashes upstreams.
-func (s *Service) HearQuarantine(r rumor.Rumor) { s.crashers.Heard(r) }
+func (s *Service) HearQuarantine(r rumor.Rumor) { s.quarantine.Heard(r) }
 
 // fingerprint returns the quarantine fingerprint of a query, computed from the body that is sent to replicas.
 func (s *Service) fingerprint(q caller.Query) string {
@@ -32,17 +32,17 @@
 	return quarantine.Fingerprint(s.name, body)
 }
 
-// guarded sends one attempt of a query unless the query is quarantined for crashing replicas.
-func (s *Service) guarded(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
-	return s.guard(ctx, r, try.Shard, try.Body, func() upstream.Result { return s.opts.Send(ctx, r, try) })
+// sendQuery sends one attempt of a query unless the query is quarantined for crashing replicas.
+func (s *Service) sendQuery(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+	return s.sendUnlessQuarantined(ctx, r, attempt.Shard, attempt.Body, func() upstream.Result { return s.opts.Send(ctx, r, attempt) })
 }
 
-// guard calls send unless the request is quarantined, and records in the quarantine how the attempt ended.
-func (s *Service) guard(ctx context.Context, r *replica.Replica, shard int, body []byte, send func() upstream.Result) upstream.Result {
+// sendUnlessQuarantined calls send unless the request is quarantined, and records how the attempt ended.
+func (s *Service) sendUnlessQuarantined(ctx context.Context, r *replica.Replica, shard int, body []byte, send func() upstream.Result) upstream.Result {
 	var res upstream.Result
-	err := s.crashers.Guard(ctx, quarantine.Fingerprint(s.name, body), shard, r.ID, func() quarantine.Outcome {
+	err := s.quarantine.Guard(ctx, quarantine.Fingerprint(s.name, body), shard, r.ID, func() quarantine.Outcome {
 		res = send()
-		return outcome(res.Kind)
+		return quarantineOutcome(res.Kind)
 	})
 	if err != nil {
 		return upstream.Result{Kind: upstream.KindRefused, Detail: err.Error()}
@@ -50,7 +50,7 @@
 	return res
 }
 
-func outcome(kind upstream.Kind) quarantine.Outcome {
+func quarantineOutcome(kind upstream.Kind) quarantine.Outcome {
 	switch kind {
 	case upstream.KindOK:
 		return quarantine.Answered
--- a/entry/internal/service/scenes_test.go
+++ b/entry/internal/service/scenarios_test.go
@@ -18,28 +18,28 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// scene is a load and a fault, simulated in virtual time against the service or the baseline.
-type scene struct {
+// scenario is a load and a fault, simulated in virtual time against the service or the baseline.
+type scenario struct {
 	seed   uint64
 	prefer document.Preference
 	// rate is in queries per second, for the duration lasts; text returns the text of query i.
-	rate  float64
-	lasts time.Duration
-	text  func(i int) string
+	rate     float64
+	duration time.Duration
+	text     func(i int) string
 	// hosts is the number of hosts that share the replicas and the load; zero means one.
 	hosts int
-	// warm is the duration of the load before the fault begins and results count.
-	warm time.Duration
-	// fault is called every 50 ms after warm, with the time since then.
-	fault func(f *farm, s *service.Service, since time.Duration)
+	// warmup is the duration of the load before the fault begins and results count.
+	warmup time.Duration
+	// fault is called every 50 ms after warmup, with the time since then.
+	fault func(f *simReplicas, s *service.Service, since time.Duration)
 }
 
-const sceneDeadline = 100 * time.Millisecond
+const scenarioDeadline = 100 * time.Millisecond
 
-func (sc scene) play(t *testing.T, usePlain bool) (out figures) {
+func (sc scenario) run(t *testing.T, usePlain bool) (out runResult) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarm(sc.seed, 10, 3)
-		f.long = 8
+		f := newSimReplicas(sc.seed, 10, 3)
+		f.longFactor = 8
 		doc := document.Default()
 		doc.Service = "member-search"
 		if sc.prefer != "" {
@@ -48,38 +48,38 @@
 		reg := prometheus.NewRegistry()
 		s := f.service(doc, reg)
 		s.Update(t.Context(), f.list())
-		ask := asker(s.Query)
+		ask := queryFunc(s.Query)
 		switch {
 		case usePlain:
-			ask = spread(max(1, sc.hosts), func() asker { return f.plain(doc) })
+			ask = roundRobin(max(1, sc.hosts), func() queryFunc { return f.baseline(doc) })
 		case sc.hosts > 1:
-			ask = spread(sc.hosts, func() asker {
+			ask = roundRobin(sc.hosts, func() queryFunc {
 				host := f.service(doc, nil)
 				host.Update(t.Context(), f.list())
 				return host.Query
 			})
 		}
 		out = sc.load(t, f, s, ask)
-		out.ejected = ejected(reg)
-		time.Sleep(2 * sceneDeadline)
+		out.ejected = countEjections(reg)
+		time.Sleep(2 * scenarioDeadline)
 	})
 	return out
 }
 
-func (sc scene) load(t *testing.T, f *farm, s *service.Service, ask asker) figures {
+func (sc scenario) load(t *testing.T, f *simReplicas, s *service.Service, ask queryFunc) runResult {
 	rnd := rand.New(rand.NewPCG(sc.seed, 2))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var fig figures
+	var fig runResult
 	var took []time.Duration
 	var cov float64
 	start := time.Now()
 	var ran0, shed0, needed int
 	counting, next := false, time.Duration(0)
-	for i := 0; time.Since(start) < sc.warm+sc.lasts; i++ {
-		if since := time.Since(start) - sc.warm; since >= 0 {
+	for i := 0; time.Since(start) < sc.warmup+sc.duration; i++ {
+		if since := time.Since(start) - sc.warmup; since >= 0 {
 			if !counting {
-				ran0, shed0 = f.sum()
+				ran0, shed0 = f.totals()
 			}
 			counting = true
 			if sc.fault != nil && since >= next {
@@ -92,7 +92,7 @@
 			text = sc.text(i)
 		}
 		wg.Go(func() {
-			ans, d := timed(t.Context(), ask, fmt.Sprintf("caller%d", i%7), text)
+			ans, d := timedQuery(t.Context(), ask, fmt.Sprintf("caller%d", i%7), text)
 			mu.Lock()
 			defer mu.Unlock()
 			if !count {
@@ -122,19 +122,19 @@
 	wg.Wait()
 	slices.Sort(took)
 	fig.p50, fig.p99, fig.p999 = quantile(took, 0.5), quantile(took, 0.99), quantile(took, 0.999)
-	ran, shed := f.sum()
+	ran, shed := f.totals()
 	fig.coverage = cov / float64(max(1, len(took)))
 	fig.extra = float64(ran-ran0)/float64(max(1, needed)) - 1
 	fig.shed = float64(shed-shed0) / float64(max(1, needed))
 	return fig
 }
 
-func timed(ctx context.Context, ask asker, name, text string) (caller.Answer, time.Duration) {
+func timedQuery(ctx context.Context, ask queryFunc, name, text string) (caller.Answer, time.Duration) {
 	now := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, now.Add(sceneDeadline))
+	ctx, cancel := context.WithDeadline(ctx, now.Add(scenarioDeadline))
 	defer cancel()
 	ans := ask(ctx, service.QueryRequest{
-		ID: "q", Caller: name, Arrived: now, Deadline: now.Add(sceneDeadline), Query: caller.Query{Query: text, Limit: 10},
+		ID: "q", Caller: name, Arrived: now, Deadline: now.Add(scenarioDeadline), Query: caller.Query{Query: text, Limit: 10},
 	})
 	return ans, time.Since(now)
 }
@@ -144,12 +144,12 @@
 // doubling the load on the other replicas.
 func TestOneSlowReplica(t *testing.T) {
 	t.Parallel()
-	healthy := scene{seed: 1, rate: 200, warm: time.Second, lasts: 4 * time.Second}
+	healthy := scenario{seed: 1, rate: 200, warmup: time.Second, duration: 4 * time.Second}
 	slow := healthy
-	slow.fault = func(f *farm, _ *service.Service, since time.Duration) {
-		f.change(func(w []*worker) { w[4].slow = 20 })
+	slow.fault = func(f *simReplicas, _ *service.Service, since time.Duration) {
+		f.update(func(w []*simReplica) { w[4].slowdown = 20 })
 	}
-	base, ours, plain := healthy.play(t, false), slow.play(t, false), slow.play(t, true)
+	base, ours, plain := healthy.run(t, false), slow.run(t, false), slow.run(t, true)
 	t.Logf("healthy: %v", base)
 	t.Logf("slow:    %v", ours)
 	t.Logf("plain:   %v", plain)
@@ -165,15 +165,15 @@
 // to other replicas, not given up.
 func TestZoneGoesSilent(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 11, rate: 200, warm: time.Second, lasts: 2 * time.Second}
-	sc.fault = func(f *farm, _ *service.Service, _ time.Duration) {
-		f.change(func(w []*worker) {
+	sc := scenario{seed: 11, rate: 200, warmup: time.Second, duration: 2 * time.Second}
+	sc.fault = func(f *simReplicas, _ *service.Service, _ time.Duration) {
+		f.update(func(w []*simReplica) {
 			for i := range 10 {
-				w[i].slow = 10_000
+				w[i].slowdown = 10_000
 			}
 		})
 	}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("silent: %v", ours)
 	t.Logf("plain:  %v", plain)
 	qt.Assert(t, ours.complete, qt.Equals, ours.n)
@@ -184,12 +184,12 @@
 // ten; waiting for the deadline would gain nothing.
 func TestOneShardGone(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 2, rate: 200, warm: time.Second, lasts: 2 * time.Second}
-	healthy := sc.play(t, false)
-	sc.fault = func(f *farm, _ *service.Service, _ time.Duration) {
-		f.change(func(w []*worker) { w[3].dead, w[13].dead, w[23].dead = true, true, true })
+	sc := scenario{seed: 2, rate: 200, warmup: time.Second, duration: 2 * time.Second}
+	healthy := sc.run(t, false)
+	sc.fault = func(f *simReplicas, _ *service.Service, _ time.Duration) {
+		f.update(func(w []*simReplica) { w[3].down, w[13].down, w[23].down = true, true, true })
 	}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("healthy: %v", healthy)
 	t.Logf("down:    %v", ours)
 	t.Logf("plain:   %v", plain)
@@ -205,11 +205,11 @@
 // doesn't cover all. They must get only probes until they are warm.
 func TestColdRestart(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 3, rate: 200, warm: time.Second, lasts: 3 * time.Second}
-	healthy := sc.play(t, false)
-	sc.fault = func(f *farm, s *service.Service, since time.Duration) {
+	sc := scenario{seed: 3, rate: 200, warmup: time.Second, duration: 3 * time.Second}
+	healthy := sc.run(t, false)
+	sc.fault = func(f *simReplicas, s *service.Service, since time.Duration) {
 		if since < 50*time.Millisecond {
-			f.change(func(w []*worker) {
+			f.update(func(w []*simReplica) {
 				for i := range 10 {
 					w[i].id, w[i].warmAt = w[i].id+"-new", time.Now().Add(2*time.Second)
 				}
@@ -217,7 +217,7 @@
 		}
 		s.Update(context.Background(), f.list())
 	}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("healthy: %v", healthy)
 	t.Logf("cold:    %v", ours)
 	t.Logf("plain:   %v", plain)
@@ -230,8 +230,8 @@
 // few attempts may be shed, and nearly all slots must do useful work.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 4, rate: 9000, lasts: 300 * time.Millisecond}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	sc := scenario{seed: 4, rate: 9000, duration: 300 * time.Millisecond}
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("full:  %v", ours)
 	t.Logf("plain: %v", plain)
 	qt.Assert(t, ours.extra < 0.03, qt.IsTrue)
@@ -243,22 +243,22 @@
 // milliseconds for a slot rather than return partial results.
 func TestBurst(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 5, rate: 150, warm: time.Second, lasts: 2 * time.Second}
-	sc.fault = func(f *farm, s *service.Service, since time.Duration) {
+	sc := scenario{seed: 5, rate: 150, warmup: time.Second, duration: 2 * time.Second}
+	sc.fault = func(f *simReplicas, s *service.Service, since time.Duration) {
 		if int(since/(50*time.Millisecond))%10 != 0 {
 			return
 		}
 		for i := range 60 {
 			go func() {
 				time.Sleep(time.Duration(i) * 100 * time.Microsecond)
-				ans, _ := timed(context.Background(), s.Query, "burst", "colour")
+				ans, _ := timedQuery(context.Background(), s.Query, "burst", "colour")
 				if ans.Outcome != caller.OutcomeComplete {
-					f.change(func(w []*worker) { w[0].after++ })
+					f.update(func(w []*simReplica) { w[0].afterDraining++ })
 				}
 			}()
 		}
 	}
-	ours := sc.play(t, false)
+	ours := sc.run(t, false)
 	t.Logf("burst: %v", ours)
 	qt.Assert(t, ours.coverage > 0.999, qt.IsTrue)
 	qt.Assert(t, ours.refused, qt.Equals, 0)
@@ -269,8 +269,8 @@
 // attempt shed.
 func TestSevenHostsShareReplicas(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 10, rate: 1800, warm: 500 * time.Millisecond, lasts: 700 * time.Millisecond, hosts: 7}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	sc := scenario{seed: 10, rate: 1800, warmup: 500 * time.Millisecond, duration: 700 * time.Millisecond, hosts: 7}
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("shared: %v", ours)
 	t.Logf("plain:  %v", plain)
 	qt.Assert(t, ours.coverage > 0.999, qt.IsTrue)
@@ -280,15 +280,15 @@
 
 // One query in ten takes eight times as long. The replicas running it are not slow: they must not be ejected, nor the
 // query hedged, so that the load and the short queries are unaffected.
-func TestLongAmongShort(t *testing.T) {
+func TestLongQueriesAmongShort(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 6, rate: 150, warm: time.Second, lasts: 4 * time.Second, text: func(i int) string {
+	sc := scenario{seed: 6, rate: 150, warmup: time.Second, duration: 4 * time.Second, text: func(i int) string {
 		if i%10 == 0 {
 			return "long"
 		}
 		return "short"
 	}}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("mixed: %v", ours)
 	t.Logf("plain: %v", plain)
 	qt.Assert(t, ours.ejected, qt.Equals, 0)
@@ -300,12 +300,12 @@
 // reports full load while idle. A picker that trusts the headers sends the whole load of the shard to the slow replica.
 func TestLyingLoadHeaders(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 7, rate: 200, warm: time.Second, lasts: 4 * time.Second}
-	healthy := sc.play(t, false)
-	sc.fault = func(f *farm, _ *service.Service, _ time.Duration) {
-		f.change(func(w []*worker) { w[4].slow, w[4].claim, w[14].claim = 20, "0/5", "5/5" })
+	sc := scenario{seed: 7, rate: 200, warmup: time.Second, duration: 4 * time.Second}
+	healthy := sc.run(t, false)
+	sc.fault = func(f *simReplicas, _ *service.Service, _ time.Duration) {
+		f.update(func(w []*simReplica) { w[4].slowdown, w[4].loadHeader, w[14].loadHeader = 20, "0/5", "5/5" })
 	}
-	ours := sc.play(t, false)
+	ours := sc.run(t, false)
 	t.Logf("healthy: %v", healthy)
 	t.Logf("wrong:   %v", ours)
 	qt.Assert(t, float64(ours.p99) <= 1.2*float64(healthy.p99), qt.IsTrue)
@@ -317,11 +317,11 @@
 // failures it must get only probes, until it answers again.
 func TestReplicaThatFailsFast(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 9, rate: 200, warm: time.Second, lasts: 3 * time.Second}
-	sc.fault = func(f *farm, _ *service.Service, since time.Duration) {
-		f.change(func(w []*worker) { w[4].dead = since < 2*time.Second })
+	sc := scenario{seed: 9, rate: 200, warmup: time.Second, duration: 3 * time.Second}
+	sc.fault = func(f *simReplicas, _ *service.Service, since time.Duration) {
+		f.update(func(w []*simReplica) { w[4].down = since < 2*time.Second })
 	}
-	ours, plain := sc.play(t, false), sc.play(t, true)
+	ours, plain := sc.run(t, false), sc.run(t, true)
 	t.Logf("failing: %v", ours)
 	t.Logf("plain:   %v", plain)
 	qt.Assert(t, ours.complete, qt.Equals, ours.n)
@@ -333,13 +333,13 @@
 // reply finish; later ones must go elsewhere, although the platform's list still shows the replica as live.
 func TestLeavingReplicaInUse(t *testing.T) {
 	t.Parallel()
-	sc := scene{seed: 8, rate: 200, warm: time.Second, lasts: 2 * time.Second}
+	sc := scenario{seed: 8, rate: 200, warmup: time.Second, duration: 2 * time.Second}
 	after := 0
-	sc.fault = func(f *farm, s *service.Service, _ time.Duration) {
-		f.change(func(w []*worker) { w[4].leaving, after = true, w[4].after })
+	sc.fault = func(f *simReplicas, s *service.Service, _ time.Duration) {
+		f.update(func(w []*simReplica) { w[4].draining, after = true, w[4].afterDraining })
 		s.Update(context.Background(), f.list())
 	}
-	ours := sc.play(t, false)
+	ours := sc.run(t, false)
 	t.Logf("draining: %v, %d attempts after the first sign", ours, after)
 	qt.Assert(t, ours.complete, qt.Equals, ours.n)
 	qt.Assert(t, after >= 1 && after <= 5, qt.IsTrue, qt.Commentf("%d attempts received while draining", after))
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -33,7 +33,7 @@
 	// NewID returns a new random identifier.
 	NewID func() string
 	// Send sends one attempt; nil means over HTTP.
-	Send func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result
+	Send func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result
 	// Publish gossips a rumor to all hosts; it may be nil and must not block.
 	Publish func(rumor.Rumor)
 	// Health reads the health endpoint of a replica; nil means over HTTP.
@@ -57,22 +57,22 @@
 	table  *replica.Table
 	gate   *admission.Gate
 	client *upstream.Client
-	// crashers holds the requests that break the connections to the replicas running them.
-	crashers *quarantine.Quarantine
-	runner   *fanout.Runner
-	picker   *snapshot.Picker
-	probes   sync.WaitGroup
+	// quarantine holds the requests that break the connections to the replicas running them.
+	quarantine *quarantine.Quarantine
+	runner     *fanout.Runner
+	picker     *snapshot.Picker
+	probes     sync.WaitGroup
 }
 
 // New returns the service described by gen, without any replicas.
 func New(gen accepted.Generation, opts Options) (*Service, error) {
-	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: seats(gen.Document)})
+	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: connectionLimit(gen.Document)})
 	if err != nil {
 		return nil, err
 	}
 	if opts.Send == nil {
-		opts.Send = func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
-			return client.Query(ctx, r.Addr, try)
+		opts.Send = func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+			return client.Query(ctx, r.Addr, attempt)
 		}
 	}
 	if opts.Health == nil {
@@ -84,12 +84,12 @@
 		opts.Metrics = NewMetrics(nil)
 	}
 	s := &Service{opts: opts, name: gen.Service, client: client}
-	s.gate = admission.New(admission.Options{Clock: opts.Clock, Limits: limits(gen.Document), Moved: s.limitMoved})
-	s.crashers = s.newQuarantine()
+	s.gate = admission.New(admission.Options{Clock: opts.Clock, Limits: admissionLimits(gen.Document), Moved: s.onLimitChange})
+	s.quarantine = s.newQuarantine()
 	s.gen.Store(&gen)
-	s.table = replica.New(replica.Options{Clock: opts.Clock, Zone: opts.Zone, Draining: s.draining, Doubted: s.doubted})
-	s.picker = snapshot.New(snapshot.Options{Moved: s.moved})
-	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.guarded, Heard: s.heard, Answered: s.gate.Replied, Judged: s.judged, IntN: opts.IntN})
+	s.table = replica.New(replica.Options{Clock: opts.Clock, Zone: opts.Zone, Draining: s.onDraining, Doubted: s.onImplausibleList})
+	s.picker = snapshot.New(snapshot.Options{Moved: s.onSnapshotChange})
+	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.sendQuery, Heard: s.onResult, Answered: s.gate.Replied, Judged: s.onEjectionChange, IntN: opts.IntN})
 	return s, nil
 }
 
@@ -104,8 +104,8 @@
 // SetGeneration puts a newer generation in force for later requests.
 func (s *Service) SetGeneration(gen accepted.Generation) {
 	s.gen.Store(&gen)
-	s.gate.SetLimits(limits(gen.Document))
-	if err := s.client.SetSeats(seats(gen.Document)); err != nil {
+	s.gate.SetLimits(admissionLimits(gen.Document))
+	if err := s.client.SetSeats(connectionLimit(gen.Document)); err != nil {
 		panic(fmt.Sprintf("service: can't set the upstream client's connection limit: %v", err))
 	}
 }
@@ -144,9 +144,9 @@
 	s.probes.Wait()
 }
 
-// retryUnknown is the retry delay given to clients while the host knows no index version. The host reads the replica
-// list and probes new replicas each second.
-const retryUnknown = 500 * time.Millisecond
+// retryAfterNoVersion is the retry delay given to clients while the host knows no index version. The host reads the
+// replica list and probes new replicas each second.
+const retryAfterNoVersion = 500 * time.Millisecond
 
 // QueryRequest is one query as received by the host.
 type QueryRequest struct {
@@ -163,40 +163,40 @@
 	ans := caller.Answer{RequestID: req.ID, Service: s.name, Generation: gen.Number, ExplanationID: s.opts.NewID(), Hits: []caller.Hit{}}
 	rec := &explain.Record{ID: ans.ExplanationID, RequestID: req.ID, Service: s.name, Caller: req.Caller, Arrived: req.Arrived}
 	defer func() { s.finish(rec, ans) }()
-	verdict := s.crashers.Check(s.fingerprint(req.Query))
+	verdict := s.quarantine.Check(s.fingerprint(req.Query))
 	if verdict.Refused {
-		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, quarantined, retryMS(verdict.RetryAfter)
+		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, reasonQuarantined, retryAfterMS(verdict.RetryAfter)
 		return ans
 	}
 	place, refusal := s.gate.Enter(ctx, admission.Request{Caller: req.Caller, Key: req.Query.Key, Deadline: req.Deadline})
 	if refusal != nil {
-		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, string(refusal.Reason), retryMS(refusal.RetryAfter)
-		rec.Decisions = []explain.Decision{s.refused(req, refusal)}
+		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, string(refusal.Reason), retryAfterMS(refusal.RetryAfter)
+		rec.Decisions = []explain.Decision{s.refusalDecision(req, refusal)}
 		return ans
 	}
 	defer func() { place.Leave(ans.Outcome == caller.OutcomeComplete) }()
-	vm, ok := s.pick()
+	vm, ok := s.pickVersion()
 	if !ok {
-		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryMS(retryUnknown)
+		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryAfterMS(retryAfterNoVersion)
 		return ans
 	}
 	// Attempts carry an id generated by this host: callers reuse their request ids, so that an upstream or the check of
 	// a late reply could confuse two requests.
 	report := s.runner.Run(ctx, fanout.Request{
-		ID: ans.ExplanationID, Arrived: req.Arrived, Deadline: req.Deadline, Query: req.Query, Document: gen.Document, Map: vm, Replan: s.pick,
+		ID: ans.ExplanationID, Arrived: req.Arrived, Deadline: req.Deadline, Query: req.Query, Document: gen.Document, Map: vm, Replan: s.pickVersion,
 		Suspect: verdict.Suspect,
 	})
-	rec.Decisions = append(admitted(place), report.Decisions...)
+	rec.Decisions = append(waitDecision(place), report.Decisions...)
 	s.logRoute(rec, report)
-	s.opts.Metrics.ran(s.name, report)
+	s.opts.Metrics.observeRun(s.name, report)
 	ans.Snapshot = report.Snapshot
 	ans.Coverage, ans.Hits = report.Coverage, report.Hits
 	ans.Outcome, ans.Reason = report.Coverage.Outcome(), report.Reason
-	ans.RetryAfterMS = retryMS(report.RetryAfter)
+	ans.RetryAfterMS = retryAfterMS(report.RetryAfter)
 	return ans
 }
 
-func (s *Service) pick() (replica.VersionMap, bool) { return s.picker.Pick(s.table.View()) }
+func (s *Service) pickVersion() (replica.VersionMap, bool) { return s.picker.Pick(s.table.View()) }
 
 func (s *Service) finish(rec *explain.Record, ans caller.Answer) {
 	took := s.opts.Clock.Now().Sub(rec.Arrived)
@@ -210,12 +210,12 @@
 		"answered", ans.Coverage.Answered, "shards", ans.Coverage.Shards, "took_ms", rec.TookMS, "explanation", ans.ExplanationID)
 }
 
-func limits(doc document.Document) admission.Limits {
+func admissionLimits(doc document.Document) admission.Limits {
 	return admission.Limits{Running: doc.Admission.Concurrency, Waiting: doc.Admission.Queue, CallerShare: doc.Admission.CallerShare}
 }
 
-// seats returns this host's share of the connections to a replica. The share doesn't depend on the member list, so that
-// the hosts together stay within the replica's limit even while they disagree on membership.
-func seats(doc document.Document) int {
+// connectionLimit returns this host's share of the connections to a replica. The share doesn't depend on the member
+// list, so that the hosts together stay within the replica's limit even while they disagree on membership.
+func connectionLimit(doc document.Document) int {
 	return max(1, doc.Upstream.Connections/doc.Upstream.EntryHosts)
 }
--- a/entry/internal/service/farm_test.go
+++ b/entry/internal/service/sim_test.go
@@ -26,48 +26,48 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// worker is a simulated replica that sheds requests while all its slots are in use.
-type worker struct {
-	id      string
-	shard   int
-	slots   int
-	slow    float64
-	dead    bool
-	leaving bool
-	running int
-	// ran counts the attempts run, shed those refused, connection failures included, and after those received while
-	// leaving.
-	ran, shed, after int
-	// warmAt is the time at which its caches are warm; before it, the replica is coldFactor times slower.
+// simReplica is a simulated replica that sheds requests while all its slots are in use.
+type simReplica struct {
+	id       string
+	shard    int
+	slots    int
+	slowdown float64
+	down     bool
+	draining bool
+	running  int
+	// ran counts the attempts run, shed those refused, connection failures included, and afterDraining those received
+	// while draining.
+	ran, shed, afterDraining int
+	// warmAt is the time at which its caches are warm; before it, the replica is coldSlowdown times slower.
 	warmAt time.Time
-	// claim is a false value for the load header; empty means that the header is correct.
-	claim string
+	// loadHeader is a false value for the load header; empty means that the header is correct.
+	loadHeader string
 }
 
-const coldFactor = 10
+const coldSlowdown = 10
 
-// farm simulates the replicas of a service, in virtual time.
-type farm struct {
-	mu      sync.Mutex
-	seed    uint64
-	shards  int
-	workers []*worker
-	// long multiplies the service time of queries whose text begins with "long".
-	long float64
+// simReplicas simulates the replicas of a service, in virtual time.
+type simReplicas struct {
+	mu       sync.Mutex
+	seed     uint64
+	shards   int
+	replicas []*simReplica
+	// longFactor multiplies the service time of queries whose text begins with "long".
+	longFactor float64
 	// services counts the hosts, so that the attempts of each host get distinct ids.
 	services int
 }
 
-func newFarm(seed uint64, shards, copies int) *farm {
-	f := &farm{seed: seed, shards: shards, long: 1}
+func newSimReplicas(seed uint64, shards, copies int) *simReplicas {
+	f := &simReplicas{seed: seed, shards: shards, longFactor: 1}
 	for i := range shards * copies {
-		f.workers = append(f.workers, &worker{id: fmt.Sprintf("r%d", i), shard: i % shards, slots: 5, slow: 1})
+		f.replicas = append(f.replicas, &simReplica{id: fmt.Sprintf("r%d", i), shard: i % shards, slots: 5, slowdown: 1})
 	}
 	return f
 }
 
-// seeded returns a random source that yields the same numbers in each run.
-func seeded(seed uint64) func(n int) int {
+// seededIntN returns a random source that yields the same numbers in each run.
+func seededIntN(seed uint64) func(n int) int {
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	return func(n int) int {
@@ -77,48 +77,48 @@
 	}
 }
 
-func (f *farm) addr(i int) netip.AddrPort {
+func (f *simReplicas) addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 9000)
 }
 
-func (f *farm) list() []platform.Replica {
+func (f *simReplicas) list() []platform.Replica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []platform.Replica
-	for i, w := range f.workers {
+	for i, w := range f.replicas {
 		list = append(list, platform.Replica{ID: w.id, Addr: f.addr(i), State: platform.StateLive})
 	}
 	return list
 }
 
-func (f *farm) at(addr netip.AddrPort) *worker {
+func (f *simReplicas) replicaAt(addr netip.AddrPort) *simReplica {
 	b := addr.Addr().As4()
-	return f.workers[int(b[2])<<8|int(b[3])]
+	return f.replicas[int(b[2])<<8|int(b[3])]
 }
 
-// work returns the service time of an attempt: 3 ms and an exponential part with a mean of 2 ms, drawn from the
+// serviceTime returns the service time of an attempt: 3 ms and an exponential part with a mean of 2 ms, drawn from the
 // attempt's id.
-func (f *farm) work(w *worker, try upstream.QueryTry) time.Duration {
+func (f *simReplicas) serviceTime(w *simReplica, attempt upstream.QueryTry) time.Duration {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(try.ID))
+	_, _ = h.Write([]byte(attempt.ID))
 	rnd := rand.New(rand.NewPCG(f.seed, h.Sum64()))
 	ms := 3 + 2*rnd.ExpFloat64()
-	ms *= w.slow
+	ms *= w.slowdown
 	if time.Now().Before(w.warmAt) {
-		ms *= coldFactor
+		ms *= coldSlowdown
 	}
-	if len(try.Body) > 10 && string(try.Body[:14]) == `{"query":"long` {
-		ms *= f.long
+	if len(attempt.Body) > 10 && string(attempt.Body[:14]) == `{"query":"long` {
+		ms *= f.longFactor
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func (f *farm) send(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
+func (f *simReplicas) send(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
 	f.mu.Lock()
-	w := f.at(r.Addr)
-	res := upstream.Result{Kind: upstream.KindOK, Holdings: fmt.Sprintf("1=%d/%d", w.shard, f.shards), Claimed: w.claim, Draining: w.leaving}
+	w := f.replicaAt(r.Addr)
+	res := upstream.Result{Kind: upstream.KindOK, Holdings: fmt.Sprintf("1=%d/%d", w.shard, f.shards), Claimed: w.loadHeader, Draining: w.draining}
 	switch {
-	case w.dead:
+	case w.down:
 		w.shed++
 		f.mu.Unlock()
 		return upstream.Result{Kind: upstream.KindNotSent, Detail: "connection refused"}
@@ -128,13 +128,13 @@
 		res.Kind, res.Detail = upstream.KindShed, "every slot is taken"
 		return res
 	}
-	if w.leaving {
-		w.after++
+	if w.draining {
+		w.afterDraining++
 	}
 	began := time.Now()
 	w.running++
 	w.ran++
-	d := f.work(w, try)
+	d := f.serviceTime(w, attempt)
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
@@ -150,41 +150,41 @@
 	}
 }
 
-func (f *farm) health(_ context.Context, r *replica.Replica) (upstream.Health, upstream.Result) {
+func (f *simReplicas) health(_ context.Context, r *replica.Replica) (upstream.Health, upstream.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.at(r.Addr)
-	if w.dead {
+	w := f.replicaAt(r.Addr)
+	if w.down {
 		return upstream.Health{}, upstream.Result{Kind: upstream.KindNotSent}
 	}
 	return upstream.Health{Holdings: []upstream.Holding{{Version: 1, Shard: w.shard, Shards: f.shards}}}, upstream.Result{Kind: upstream.KindOK}
 }
 
-func (f *farm) sum() (ran, shed int) {
+func (f *simReplicas) totals() (ran, shed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, w := range f.workers {
+	for _, w := range f.replicas {
 		ran += w.ran
 		shed += w.shed
 	}
 	return ran, shed
 }
 
-func (f *farm) change(do func(workers []*worker)) {
+func (f *simReplicas) update(do func(workers []*simReplica)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do(f.workers)
+	do(f.replicas)
 }
 
-// asker runs one query with the policy under test or with the baseline.
-type asker func(ctx context.Context, req service.QueryRequest) caller.Answer
+// queryFunc runs one query with the policy under test or with the baseline.
+type queryFunc func(ctx context.Context, req service.QueryRequest) caller.Answer
 
-func (f *farm) service(doc document.Document, reg prometheus.Registerer) *service.Service {
+func (f *simReplicas) service(doc document.Document, reg prometheus.Registerer) *service.Service {
 	var mu sync.Mutex
 	f.services++
 	ids, host := 0, f.services
 	s, err := service.New(accepted.Generation{Service: doc.Service, Number: 1, Document: doc}, service.Options{
-		Clock: clock.System{}, Log: logr.Discard(), Metrics: service.NewMetrics(reg), Explain: explain.New(64), Send: f.send, Health: f.health, IntN: seeded(f.seed + uint64(f.services)),
+		Clock: clock.System{}, Log: logr.Discard(), Metrics: service.NewMetrics(reg), Explain: explain.New(64), Send: f.send, Health: f.health, IntN: seededIntN(f.seed + uint64(f.services)),
 		NewID: func() string {
 			mu.Lock()
 			defer mu.Unlock()
@@ -198,9 +198,9 @@
 	return s
 }
 
-// spread distributes queries over n hosts in turn; the hosts share no state.
-func spread(n int, host func() asker) asker {
-	list := make([]asker, n)
+// roundRobin distributes queries over n hosts in turn; the hosts share no state.
+func roundRobin(n int, host func() queryFunc) queryFunc {
+	list := make([]queryFunc, n)
 	for i := range list {
 		list[i] = host()
 	}
@@ -210,12 +210,12 @@
 	}
 }
 
-// plain is the baseline: a random replica for each shard, up to two more after failures, no hedges, and an admission
-// limit that doesn't adapt to results.
-func (f *farm) plain(doc document.Document) asker {
+// baseline returns the policy to compare with: a random replica for each shard, up to two more after failures, no
+// hedges, and an admission limit that doesn't adapt to results.
+func (f *simReplicas) baseline(doc document.Document) queryFunc {
 	var mu sync.Mutex
 	f.services++
-	ids, host, intN := 0, f.services, seeded(f.seed+uint64(f.services))
+	ids, host, intN := 0, f.services, seededIntN(f.seed+uint64(f.services))
 	gate := admission.New(admission.Options{Limits: admission.Limits{Running: doc.Admission.Concurrency, Waiting: doc.Admission.Queue, CallerShare: doc.Admission.CallerShare}})
 	return func(ctx context.Context, req service.QueryRequest) caller.Answer {
 		place, refusal := gate.Enter(ctx, admission.Request{Caller: req.Caller, Deadline: req.Deadline})
@@ -231,12 +231,12 @@
 		ok := make([]bool, f.shards)
 		for i := range f.shards {
 			wg.Go(func() {
-				copies := len(f.workers) / f.shards
+				copies := len(f.replicas) / f.shards
 				first := intN(copies)
 				for k := range copies {
 					r := &replica.Replica{Addr: f.addr(i + f.shards*((first+k)%copies))}
-					try := upstream.QueryTry{ID: fmt.Sprintf("p%d-%d-%d-%d", host, id, i, k), Body: []byte(`{"query":"` + req.Query.Query + `"}     `)}
-					if f.send(ctx, r, try).Kind == upstream.KindOK {
+					attempt := upstream.QueryTry{ID: fmt.Sprintf("p%d-%d-%d-%d", host, id, i, k), Body: []byte(`{"query":"` + req.Query.Query + `"}     `)}
+					if f.send(ctx, r, attempt).Kind == upstream.KindOK {
 						ok[i] = true
 						return
 					}
@@ -258,8 +258,8 @@
 	}
 }
 
-// figures holds the outcomes, latency, coverage and extra load of a run.
-type figures struct {
+// runResult holds the outcomes, latency, coverage and extra load of a run.
+type runResult struct {
 	n, complete, partial, refused, failed int
 	p50, p99, p999                        time.Duration
 	coverage, extra, shed                 float64
@@ -267,7 +267,7 @@
 	ejected int
 }
 
-func (f figures) String() string {
+func (f runResult) String() string {
 	return fmt.Sprintf("n %d complete %.4f partial %d refused %d failed %d | p50 %v p99 %v p99.9 %v | coverage %.4f | extra load %+.2f%% shed %.2f%% | ejected %d",
 		f.n, float64(f.complete)/float64(max(1, f.n)), f.partial, f.refused, f.failed, round(f.p50), round(f.p99), round(f.p999), f.coverage, 100*f.extra, 100*f.shed, f.ejected)
 }
@@ -281,8 +281,8 @@
 	return sorted[min(len(sorted)-1, int(math.Ceil(q*float64(len(sorted))))-1)]
 }
 
-// ejected returns the number of ejections according to the metrics.
-func ejected(reg *prometheus.Registry) int {
+// countEjections returns the number of ejections according to the metrics.
+func countEjections(reg *prometheus.Registry) int {
 	families, err := reg.Gather()
 	if err != nil {
 		panic(err)
--- a/entry/internal/service/snapshot_test.go
+++ b/entry/internal/service/snapshot_test.go
@@ -24,20 +24,20 @@
 // hold a document twice.
 func TestOneSnapshotThroughVersionMoves(t *testing.T) {
 	t.Parallel()
-	var total tally
+	var total outcomeCounts
 	for seed := range uint64(snapshotSeeds) {
-		synctest.Test(t, func(t *testing.T) { total.add(playMoves(t, seed)) })
+		synctest.Test(t, func(t *testing.T) { total.add(runVersionChanges(t, seed)) })
 	}
 	t.Logf("%d answers: %d complete, %d partial, %d failed, %d refused, %d replanned", total.answers, total.complete, total.partial, total.failed, total.refused, total.replanned)
 	qt.Assert(t, total.complete > total.answers/2, qt.IsTrue)
 	qt.Assert(t, total.partial > 0 && total.replanned > 0, qt.IsTrue)
 }
 
-type tally struct {
+type outcomeCounts struct {
 	answers, complete, partial, failed, refused, replanned int
 }
 
-func (c *tally) add(other tally) {
+func (c *outcomeCounts) add(other outcomeCounts) {
 	c.answers += other.answers
 	c.complete += other.complete
 	c.partial += other.partial
@@ -46,7 +46,7 @@
 	c.replanned += other.replanned
 }
 
-func playMoves(t *testing.T, seed uint64) tally {
+func runVersionChanges(t *testing.T, seed uint64) outcomeCounts {
 	const queries, apart = 12, 2 * time.Millisecond
 	f := newFleet(seed, 4, 3)
 	doc := document.Default()
@@ -58,14 +58,14 @@
 	s.Update(t.Context(), f.list())
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var count tally
+	var count outcomeCounts
 	for i := range queries {
 		wg.Go(func() {
 			ans := ask(t.Context(), s, fmt.Sprintf("q%d", i))
 			mu.Lock()
 			defer mu.Unlock()
-			count.note(ans)
-			if err := truthful(ans, fmt.Sprintf("q%d", i)); err != nil {
+			count.count(ans)
+			if err := checkAnswer(ans, fmt.Sprintf("q%d", i)); err != nil {
 				t.Errorf("seed %d, query %d: %v", seed, i, err)
 			}
 		})
@@ -93,7 +93,7 @@
 	})
 }
 
-func (c *tally) note(ans caller.Answer) {
+func (c *outcomeCounts) count(ans caller.Answer) {
 	c.answers++
 	switch ans.Outcome {
 	case caller.OutcomeComplete:
@@ -110,8 +110,8 @@
 	}
 }
 
-// truthful compares the coverage of an answer with its hits; each shard that answers returns one hit.
-func truthful(ans caller.Answer, text string) error {
+// checkAnswer compares the coverage of an answer with its hits; each shard that answers returns one hit.
+func checkAnswer(ans caller.Answer, text string) error {
 	answered := map[int]bool{}
 	for _, h := range ans.Hits {
 		want := fmt.Sprintf("%d/%d/%d", ans.Snapshot.Version, h.Shard, ans.Snapshot.Shards)
--- a/entry/internal/service/fleet_test.go
+++ b/entry/internal/service/versions_sim_test.go
@@ -22,15 +22,15 @@
 	"guavaspring.org/entry/internal/service"
 )
 
-// node is one simulated replica.
-type node struct {
+// simNode is one simulated replica.
+type simNode struct {
 	id       string
 	addr     netip.AddrPort
-	place    int
+	index    int
 	holdings []upstream.Holding
-	// claims are the holdings that the health endpoint reports; they lag behind the true ones.
-	claims []upstream.Holding
-	dead   bool
+	// reportedHoldings are the holdings that the health endpoint reports; they lag behind the true ones.
+	reportedHoldings []upstream.Holding
+	dead             bool
 }
 
 // fleet simulates the replicas of a service whose index versions change.
@@ -38,7 +38,7 @@
 	mu    sync.Mutex
 	seed  uint64
 	rnd   *rand.Rand
-	nodes []*node
+	nodes []*simNode
 	next  int
 	// newest and shards are the last published version and its number of shards.
 	newest int64
@@ -48,22 +48,22 @@
 func newFleet(seed uint64, shards, copies int) *fleet {
 	f := &fleet{seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), newest: 1, shards: shards}
 	for i := range shards * copies {
-		n := &node{place: i, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 9000)}
+		n := &simNode{index: i, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 9000)}
 		f.restart(n)
 		n.holdings = []upstream.Holding{f.holding(n)}
-		n.claims = n.holdings
+		n.reportedHoldings = n.holdings
 		f.nodes = append(f.nodes, n)
 	}
 	return f
 }
 
-func (f *fleet) restart(n *node) {
+func (f *fleet) restart(n *simNode) {
 	f.next++
 	n.id, n.dead = fmt.Sprintf("r%d", f.next), false
 }
 
-func (f *fleet) holding(n *node) upstream.Holding {
-	return upstream.Holding{Version: f.newest, Shard: n.place % f.shards, Shards: f.shards}
+func (f *fleet) holding(n *simNode) upstream.Holding {
+	return upstream.Holding{Version: f.newest, Shard: n.index % f.shards, Shards: f.shards}
 }
 
 func (f *fleet) list() []platform.Replica {
@@ -82,7 +82,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.nodes[f.rnd.IntN(len(f.nodes))]
-	n.claims = n.holdings
+	n.reportedHoldings = n.holdings
 	switch f.rnd.IntN(12) {
 	case 0:
 		f.newest++
@@ -104,12 +104,12 @@
 	}
 }
 
-func (f *fleet) load(n *node, h upstream.Holding) {
+func (f *fleet) load(n *simNode, h upstream.Holding) {
 	same := func(other upstream.Holding) bool { return other.Version == h.Version }
 	n.holdings = append(slices.DeleteFunc(slices.Clone(n.holdings), same), h)
 }
 
-func (f *fleet) find(addr netip.AddrPort) *node {
+func (f *fleet) find(addr netip.AddrPort) *simNode {
 	for _, n := range f.nodes {
 		if n.addr == addr {
 			return n
@@ -119,9 +119,9 @@
 }
 
 // delay draws the delay of an attempt from its id, so that a seed gives the same delays in any order of goroutines.
-func (f *fleet) delay(try upstream.QueryTry) time.Duration {
+func (f *fleet) delay(attempt upstream.QueryTry) time.Duration {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(try.ID))
+	_, _ = h.Write([]byte(attempt.ID))
 	rnd := rand.New(rand.NewPCG(f.seed, h.Sum64()))
 	if rnd.IntN(40) == 0 {
 		return time.Second
@@ -131,9 +131,9 @@
 
 // send answers for the replica at r's address; each hit names its query and the version, shard and number of shards
 // that it comes from.
-func (f *fleet) send(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
-	d := f.delay(try)
-	res := f.serve(r, try)
+func (f *fleet) send(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+	d := f.delay(attempt)
+	res := f.serve(r, attempt)
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -143,7 +143,7 @@
 	return res
 }
 
-func (f *fleet) serve(r *replica.Replica, try upstream.QueryTry) upstream.Result {
+func (f *fleet) serve(r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.find(r.Addr)
@@ -152,9 +152,9 @@
 	}
 	res := upstream.Result{Kind: upstream.KindOK, Holdings: upstream.FormatHoldings(n.holdings)}
 	for _, h := range n.holdings {
-		if h.Version == try.Version && h.Shard == try.Shard {
+		if h.Version == attempt.Version && h.Shard == attempt.Shard {
 			id := fmt.Sprintf("%d/%d/%d", h.Version, h.Shard, h.Shards)
-			res.Query = upstream.QueryReply{Hits: []upstream.Hit{{ID: id, Score: 1, Data: try.Body}}}
+			res.Query = upstream.QueryReply{Hits: []upstream.Hit{{ID: id, Score: 1, Data: attempt.Body}}}
 			return res
 		}
 	}
@@ -169,14 +169,14 @@
 	if n.dead {
 		return upstream.Health{}, upstream.Result{Kind: upstream.KindNotSent}
 	}
-	return upstream.Health{Holdings: n.claims}, upstream.Result{Kind: upstream.KindOK}
+	return upstream.Health{Holdings: n.reportedHoldings}, upstream.Result{Kind: upstream.KindOK}
 }
 
 func newFleetService(f *fleet, doc document.Document) *service.Service {
 	ids := 0
 	var mu sync.Mutex
 	s, err := service.New(accepted.Generation{Service: doc.Service, Number: 1, Document: doc}, service.Options{
-		Clock: clock.System{}, Log: logr.Discard(), Explain: explain.New(64), Send: f.send, Health: f.health, IntN: seeded(f.seed),
+		Clock: clock.System{}, Log: logr.Discard(), Explain: explain.New(64), Send: f.send, Health: f.health, IntN: seededIntN(f.seed),
 		NewID: func() string {
 			mu.Lock()
 			defer mu.Unlock()
--- a/entry/internal/service/writes.go
+++ b/entry/internal/service/writes.go
@@ -24,8 +24,8 @@
 			return r
 		},
 		Send: func(ctx context.Context, r *replica.Replica, id string, body []byte) upstream.Result {
-			res := s.guard(ctx, r, writeShard, body, func() upstream.Result { return s.client.Write(ctx, r.Addr, id, body) })
-			s.heard(r, 0, res)
+			res := s.sendUnlessQuarantined(ctx, r, writeShard, body, func() upstream.Result { return s.client.Write(ctx, r.Addr, id, body) })
+			s.onResult(r, 0, res)
 			return res
 		},
 	}
