--- a/entry/internal/service/scenarios_test.go
+++ b/entry/internal/service/scenarios_test.go
@@ -239,8 +239,8 @@
 	qt.Assert(t, ours.complete >= plain.complete, qt.IsTrue)
 }
 
-// Every 500 ms, 60 more queries come within 6 ms, so that there are more attempts than slots. Queries must wait a few
-// milliseconds for a slot rather than return partial results.
+// Every 500 ms, 60 more queries come within 6 ms, the rate of 200 callers within 20 ms, so that there are more attempts
+// than slots. Queries must wait a few milliseconds for a slot rather than return partial results.
 func TestBurst(t *testing.T) {
 	t.Parallel()
 	sc := scenario{seed: 5, rate: 150, warmup: time.Second, duration: 2 * time.Second}
--- a/entry/internal/service/snapshot_test.go
+++ b/entry/internal/service/snapshot_test.go
@@ -64,7 +64,7 @@
 			ans := ask(t.Context(), s, fmt.Sprintf("q%d", i))
 			mu.Lock()
 			defer mu.Unlock()
-			count.count(ans)
+			count.record(ans)
 			if err := checkAnswer(ans, fmt.Sprintf("q%d", i)); err != nil {
 				t.Errorf("seed %d, query %d: %v", seed, i, err)
 			}
@@ -93,7 +93,7 @@
 	})
 }
 
-func (c *outcomeCounts) count(ans caller.Answer) {
+func (c *outcomeCounts) record(ans caller.Answer) {
 	c.answers++
 	switch ans.Outcome {
 	case caller.OutcomeComplete:
