--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -32,24 +32,24 @@
 	Explain *explain.Store
 	// NewID returns a new random identifier.
 	NewID func() string
-	// Send sends one try; nil means over HTTP.
-	Send func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result
-	// Publish tells a small fact to all hosts; it may be nil and must not block.
+	// Send sends one attempt; nil means over HTTP.
+	Send func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result
+	// Publish gossips a rumor to all hosts; it may be nil and must not block.
 	Publish func(rumor.Rumor)
 	// Health reads the health endpoint of a replica; nil means over HTTP.
 	Health func(ctx context.Context, r *replica.Replica) (upstream.Health, upstream.Result)
-	// Metrics counts; nil means that nobody reads it.
+	// Metrics receives the counters; nil means unregistered metrics.
 	Metrics *Metrics
 	// IntN draws random numbers and must be safe for concurrent use; nil means rand.IntN.
 	IntN func(n int) int
 	// Zone is this host's availability zone.
 	Zone string
-	// Draining is told once of each replica that this host itself finds leaving, and by which sign, so that other hosts
-	// can be told; it may be nil and must not call the service.
+	// Draining is called once for each replica that this host itself finds draining, with the sign that showed it, so
+	// that the caller can notify other hosts. It may be nil and must not call the service.
 	Draining func(service string, r *replica.Replica, sign string)
 }
 
-// Service is one service under the generation that is in force.
+// Service runs queries and writes of one service under the configuration generation in force.
 type Service struct {
 	opts   Options
 	name   string
@@ -57,22 +57,22 @@
 	table  *replica.Table
 	gate   *admission.Gate
 	client *upstream.Client
-	// crashers holds the requests that break the connections to those who run them.
-	crashers *quarantine.Quarantine
-	runner   *fanout.Runner
-	picker   *snapshot.Picker
-	probes   sync.WaitGroup
+	// quarantine holds the requests that break the connections to the replicas running them.
+	quarantine *quarantine.Quarantine
+	runner     *fanout.Runner
+	picker     *snapshot.Picker
+	probes     sync.WaitGroup
 }
 
-// New returns the service described by gen, with no replica known yet.
+// New returns the service described by gen, without any replicas.
 func New(gen accepted.Generation, opts Options) (*Service, error) {
-	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: seats(gen.Document)})
+	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: connectionLimit(gen.Document)})
 	if err != nil {
 		return nil, err
 	}
 	if opts.Send == nil {
-		opts.Send = func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
-			return client.Query(ctx, r.Addr, try)
+		opts.Send = func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+			return client.Query(ctx, r.Addr, attempt)
 		}
 	}
 	if opts.Health == nil {
@@ -84,36 +84,37 @@
 		opts.Metrics = NewMetrics(nil)
 	}
 	s := &Service{opts: opts, name: gen.Service, client: client}
-	s.gate = admission.New(admission.Options{Clock: opts.Clock, Limits: limits(gen.Document), Moved: s.limitMoved})
-	s.crashers = s.newQuarantine()
+	s.gate = admission.New(admission.Options{Clock: opts.Clock, Limits: admissionLimits(gen.Document), Moved: s.onLimitChange})
+	s.quarantine = s.newQuarantine()
 	s.gen.Store(&gen)
-	s.table = replica.New(replica.Options{Clock: opts.Clock, Zone: opts.Zone, Draining: s.draining, Doubted: s.doubted})
-	s.picker = snapshot.New(snapshot.Options{Moved: s.moved})
-	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.guarded, Heard: s.heard, Answered: s.gate.Replied, Judged: s.judged, IntN: opts.IntN})
+	s.table = replica.New(replica.Options{Clock: opts.Clock, Zone: opts.Zone, Draining: s.onDraining, Doubted: s.onImplausibleList})
+	s.picker = snapshot.New(snapshot.Options{Moved: s.onSnapshotChange})
+	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.sendQuery, Heard: s.onResult, Answered: s.gate.Replied, Judged: s.onEjectionChange, IntN: opts.IntN})
 	return s, nil
 }
 
-// signOtherHost is how a replica was found leaving that another host told of; what was heard is not told on, since it
-// would go round for good.
+// signOtherHost is the sign of a replica that another host reported as draining. Such reports are not sent on, since
+// they would circulate between hosts forever.
 const signOtherHost = "another host"
 
-// MarkDraining takes over from another host that the replica with the id is leaving, and reports whether it is known
-// here.
+// MarkDraining applies another host's report that the replica with the id is draining. It reports whether this host
+// knows the replica.
 func (s *Service) MarkDraining(id string) bool { return s.table.MarkDraining(id, signOtherHost) }
 
-// SetGeneration puts a newer generation in force for the requests that come next.
+// SetGeneration puts a newer generation in force for later requests.
 func (s *Service) SetGeneration(gen accepted.Generation) {
 	s.gen.Store(&gen)
-	s.gate.SetLimits(limits(gen.Document))
-	if err := s.client.SetSeats(seats(gen.Document)); err != nil {
-		panic(fmt.Sprintf("service: a client without an endpoint can't be made: %v", err))
+	s.gate.SetLimits(admissionLimits(gen.Document))
+	if err := s.client.SetSeats(connectionLimit(gen.Document)); err != nil {
+		panic(fmt.Sprintf("service: can't set the upstream client's connection limit: %v", err))
 	}
 }
 
 // Generation returns the generation in force.
 func (s *Service) Generation() accepted.Generation { return *s.gen.Load() }
 
-// Update takes over the platform's list of the service's replicas and asks each new one what it holds.
+// Update applies the platform's list of the service's replicas and probes those without a recent reply for the shards
+// that they hold.
 func (s *Service) Update(ctx context.Context, list []platform.Replica) {
 	added, removed := s.table.Update(list)
 	for _, r := range removed {
@@ -127,8 +128,8 @@
 
 const probeTimeout = time.Second
 
-// probeAll asks the replicas that no query reaches for their holdings, so that versions are known before the first
-// query and while none runs.
+// probeAll reads the health endpoint of each replica without a recent reply, so that index versions are known before
+// the first query and while no queries run.
 func (s *Service) probeAll(ctx context.Context) {
 	for _, r := range s.table.Unheard() {
 		s.probes.Go(func() {
@@ -143,11 +144,11 @@
 	s.probes.Wait()
 }
 
-// retryUnknown is when to come back to a host that knows no index version; it reads the list and asks new replicas each
-// second.
-const retryUnknown = 500 * time.Millisecond
+// retryAfterNoVersion is the retry delay given to clients while the host knows no index version. The host reads the
+// replica list and probes new replicas each second.
+const retryAfterNoVersion = 500 * time.Millisecond
 
-// QueryRequest is one query as it arrived at the host.
+// QueryRequest is one query as received by the host.
 type QueryRequest struct {
 	ID       string
 	Caller   string
@@ -156,46 +157,46 @@
 	Query    caller.Query
 }
 
-// Query admits, runs and explains one query.
+// Query admits and runs one query, and stores its explanation.
 func (s *Service) Query(ctx context.Context, req QueryRequest) caller.Answer {
 	gen := s.Generation()
 	ans := caller.Answer{RequestID: req.ID, Service: s.name, Generation: gen.Number, ExplanationID: s.opts.NewID(), Hits: []caller.Hit{}}
 	rec := &explain.Record{ID: ans.ExplanationID, RequestID: req.ID, Service: s.name, Caller: req.Caller, Arrived: req.Arrived}
 	defer func() { s.finish(rec, ans) }()
-	verdict := s.crashers.Check(s.fingerprint(req.Query))
+	verdict := s.quarantine.Check(s.fingerprint(req.Query))
 	if verdict.Refused {
-		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, quarantined, retryMS(verdict.RetryAfter)
+		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, reasonQuarantined, retryAfterMS(verdict.RetryAfter)
 		return ans
 	}
 	place, refusal := s.gate.Enter(ctx, admission.Request{Caller: req.Caller, Key: req.Query.Key, Deadline: req.Deadline})
 	if refusal != nil {
-		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, string(refusal.Reason), retryMS(refusal.RetryAfter)
-		rec.Decisions = []explain.Decision{s.refused(req, refusal)}
+		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, string(refusal.Reason), retryAfterMS(refusal.RetryAfter)
+		rec.Decisions = []explain.Decision{s.refusalDecision(req, refusal)}
 		return ans
 	}
 	defer func() { place.Leave(ans.Outcome == caller.OutcomeComplete) }()
-	vm, ok := s.pick()
+	vm, ok := s.pickVersion()
 	if !ok {
-		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryMS(retryUnknown)
+		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryAfterMS(retryAfterNoVersion)
 		return ans
 	}
-	// The tries are named after an id of our own: callers repeat theirs, and an upstream or a late reply could not tell
-	// two such requests apart.
+	// Attempts carry an id generated by this host: callers reuse their request ids, so that an upstream or the check of
+	// a late reply could confuse two requests.
 	report := s.runner.Run(ctx, fanout.Request{
-		ID: ans.ExplanationID, Arrived: req.Arrived, Deadline: req.Deadline, Query: req.Query, Document: gen.Document, Map: vm, Replan: s.pick,
+		ID: ans.ExplanationID, Arrived: req.Arrived, Deadline: req.Deadline, Query: req.Query, Document: gen.Document, Map: vm, Replan: s.pickVersion,
 		Suspect: verdict.Suspect,
 	})
-	rec.Decisions = append(admitted(place), report.Decisions...)
+	rec.Decisions = append(waitDecision(place), report.Decisions...)
 	s.logRoute(rec, report)
-	s.opts.Metrics.ran(s.name, report)
+	s.opts.Metrics.observeRun(s.name, report)
 	ans.Snapshot = report.Snapshot
 	ans.Coverage, ans.Hits = report.Coverage, report.Hits
 	ans.Outcome, ans.Reason = report.Coverage.Outcome(), report.Reason
-	ans.RetryAfterMS = retryMS(report.RetryAfter)
+	ans.RetryAfterMS = retryAfterMS(report.RetryAfter)
 	return ans
 }
 
-func (s *Service) pick() (replica.VersionMap, bool) { return s.picker.Pick(s.table.View()) }
+func (s *Service) pickVersion() (replica.VersionMap, bool) { return s.picker.Pick(s.table.View()) }
 
 func (s *Service) finish(rec *explain.Record, ans caller.Answer) {
 	took := s.opts.Clock.Now().Sub(rec.Arrived)
@@ -209,12 +210,12 @@
 		"answered", ans.Coverage.Answered, "shards", ans.Coverage.Shards, "took_ms", rec.TookMS, "explanation", ans.ExplanationID)
 }
 
-func limits(doc document.Document) admission.Limits {
+func admissionLimits(doc document.Document) admission.Limits {
 	return admission.Limits{Running: doc.Admission.Concurrency, Waiting: doc.Admission.Queue, CallerShare: doc.Admission.CallerShare}
 }
 
-// seats is this host's share of a replica's connections; the share is fixed, so the sum holds however much hosts
-// disagree on who is a member.
-func seats(doc document.Document) int {
+// connectionLimit returns this host's share of the connections to a replica. The share doesn't depend on the member
+// list, so that the hosts together stay within the replica's limit even while they disagree on membership.
+func connectionLimit(doc document.Document) int {
 	return max(1, doc.Upstream.Connections/doc.Upstream.EntryHosts)
 }
