--- a/entry/internal/fanout/answered_test.go
+++ b/entry/internal/fanout/answered_test.go
@@ -13,9 +13,9 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// The replicas of a shard are full: what a query spends on it passes inside the host, before the try that is
-// answered. Admission saw only that try, took the upstream for idle and let in more, and the others' lookups
-// waited behind them.
+// If the replicas of a shard are full, a query spends most of its time on the host, before the attempt that is answered.
+// If only that attempt is measured, admission takes the upstream for idle and admits more queries, which delay the
+// others.
 func TestTimeOfAShardCountsFromTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tries, took := 0, []time.Duration(nil)
--- a/entry/internal/fanout/crash_test.go
+++ b/entry/internal/fanout/crash_test.go
@@ -15,9 +15,9 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// A request takes down one replica of each shard while twelve lookups of others run there, and for some milliseconds
-// more each new connection is refused. Every lookup has two healthy replicas left at each shard, but forty tries fail
-// at once, the retry budget keeps ten, and the greeters get pages with holes.
+// A crash of one replica of each shard breaks the attempts of twelve queries at once, and new connections are refused for
+// some milliseconds more. Every shard has two healthy replicas left, but forty attempts fail at once and the retry
+// budget holds ten, so charging them all to the budget would leave shards missing from the responses.
 func TestCrashSpendsNoRetryBudget(t *testing.T) {
 	for _, kind := range []upstream.Kind{upstream.KindBroken, upstream.KindNotSent} {
 		synctest.Test(t, func(t *testing.T) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Every replica resets what it runs, as when an overload makes all of them fail after the work was done. Retries
-// without a budget would then double the load on them for as long as it lasts.
+// Every replica breaks its attempts, as in an overload in which all fail after the work is done. Retries without a budget
+// would double the load for as long as the overload lasts.
 func TestBreaksOfEveryReplicaAreNotSentAgainForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &sent{}
@@ -66,12 +66,12 @@
 			needed += rep.Needed
 		}
 		qt.Assert(t, needed, qt.Equals, 800)
-		// The burst of ten, one percent, and at most the three strikes for each of twelve replicas.
+		// The budget's burst of ten, one percent of 800, and at most three strikes for each of twelve replicas.
 		qt.Assert(t, sends <= 10+8+3*12, qt.IsTrue, qt.Commentf("%d retries", sends))
 	})
 }
 
-// holders lists the replicas of every shard.
+// holders returns the replicas of all shards.
 func holders(tab *replica.Table) []*replica.Replica {
 	var list []*replica.Replica
 	for _, h := range tab.View().Versions[0].Holders {
--- a/entry/internal/fanout/doc.go
+++ b/entry/internal/fanout/doc.go
@@ -1,2 +1,3 @@
-// Package fanout runs one query over every shard of its snapshot and merges what comes back in time.
+// Package fanout sends one query to a replica of every shard of an index version and merges the replies that arrive
+// before the deadline.
 package fanout
--- a/entry/internal/fanout/fanout.go
+++ b/entry/internal/fanout/fanout.go
@@ -16,41 +16,43 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// What a decision of a query is called in its explanation.
+// Names of the decisions in the explanation of a query.
 const (
-	// WhatRoute sends the first try of a shard.
+	// WhatRoute sends the first attempt of a shard.
 	WhatRoute = "route"
-	// WhatRetry sends a try after one that failed.
+	// WhatRetry sends an attempt after a failed one.
 	WhatRetry = "retry"
-	// WhatHedge sends a try beside one that is late.
+	// WhatHedge sends an attempt beside one that is late.
 	WhatHedge = "hedge"
-	// WhatTrial sends a single try to a replica that is out, beside the first.
+	// WhatTrial sends a probe to an ejected replica, beside the first attempt of the shard.
 	WhatTrial = "trial"
-	// WhatWait holds a shard back until one of its replicas is free.
+	// WhatWait queues a shard until one of its replicas is free.
 	WhatWait = "wait"
-	// WhatMiss gives a shard up.
+	// WhatMiss gives up a shard, which is then missing from the response.
 	WhatMiss = "miss"
-	// WhatReplan starts the query again on another version.
+	// WhatReplan restarts the query on another index version.
 	WhatReplan = "replan"
 )
 
-// spareDecisions is the room for decisions beyond the first tries, so that a usual query's list doesn't grow.
+// spareDecisions is the capacity reserved for decisions beyond the first attempts, so that the slice of a usual query is
+// not reallocated.
 const spareDecisions = 8
 
 // Options configures a Runner.
 type Options struct {
-	// Clock tells the time.
+	// Clock returns the current time and the timers.
 	Clock clock.Clock
-	// Send sends one try to a replica and returns how it ended.
+	// Send sends one attempt to a replica and returns its result.
 	Send func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result
-	// Heard is told what the result of a try at a version said of its replica, before the next decision; it may be nil.
+	// Heard is called with the replica, index version and result of each attempt, before the query's next decision. It
+	// may be nil.
 	Heard func(r *replica.Replica, version int64, res upstream.Result)
-	// Answered is told how long a shard took to answer from the start of the run, the wait for a free replica included;
-	// it may be nil.
+	// Answered is called with the time from the start of the run to the reply of a shard, including the wait for a free
+	// replica. It may be nil.
 	Answered func(took time.Duration)
-	// Judged is told when a replica was taken out or brought back, and why; it may be nil.
+	// Judged is called with the reason when a replica is ejected (out is true) or returns to rotation. It may be nil.
 	Judged func(r *replica.Replica, out bool, why string)
-	// IntN draws the candidates for each try and must be safe for concurrent use; nil means rand.IntN.
+	// IntN draws the candidate replicas of each attempt. It must be safe for concurrent use; nil means rand.IntN.
 	IntN func(n int) int
 }
 
@@ -62,7 +64,7 @@
 	retries *budget.Budget
 }
 
-// New returns a runner; Clock and Send must be set.
+// New returns a Runner; Clock and Send must be set.
 func New(opts Options) *Runner {
 	if opts.IntN == nil {
 		opts.IntN = rand.IntN
@@ -79,39 +81,39 @@
 	return &Runner{opts: opts, policy: hedge.New(), hedges: budget.New(), retries: budget.New()}
 }
 
-// Request is one query, pinned to the shard map of one version.
+// Request is one query, pinned to the shard map of one index version.
 type Request struct {
-	// ID starts the id of every try; it must be unique to this run, since a reply is known by it. An id that a caller
-	// chose is not: callers reuse theirs.
+	// ID is the prefix of the id of every attempt. It must be unique to this run, since replies are matched by it; ids
+	// chosen by callers are not, because callers reuse them.
 	ID       string
 	Arrived  time.Time
 	Deadline time.Time
 	Query    caller.Query
 	Document document.Document
 	Map      replica.VersionMap
-	// Suspect says that the request may be what breaks upstreams: it gets no second try beside another, and none after
-	// a broken one.
+	// Suspect marks a request that may itself crash upstreams: it is not hedged, nor retried after an attempt that may
+	// have run.
 	Suspect bool
-	// Replan returns the map that a query would be pinned to now; nil means that the query is never started again.
+	// Replan returns the shard map that a new query would be pinned to; if nil, the query is never restarted.
 	Replan func() (replica.VersionMap, bool)
 }
 
-// Report is what a query came to, with the decisions taken on the way.
+// Report holds the merged hits and the coverage of a query, with the decisions taken during its run.
 type Report struct {
-	// Snapshot names the version and map that every hit comes from.
+	// Snapshot is the index version and number of shards that every hit comes from.
 	Snapshot  caller.Snapshot
 	Hits      []caller.Hit
 	Coverage  caller.Coverage
 	Decisions []explain.Decision
-	// Reason says what the caller should know of how the answer came about; it is empty where nothing is unusual.
+	// Reason is sent to the caller if the run was unusual, and empty otherwise.
 	Reason string
-	// Sent counts the tries sent upstream; Needed is what a run without hedges and retries sends.
+	// Sent counts the attempts; Needed is the number without hedges, retries and probes.
 	Sent, Needed int
-	// RetryAfter is when the caller should come back for what is missing, zero where nothing is.
+	// RetryAfter is the delay after which the caller should retry for the missing shards, zero if none is missing.
 	RetryAfter time.Duration
 }
 
-// Run sends the query to every shard and returns when none can answer any more or the deadline has passed.
+// Run sends the query to every shard. It returns when no shard is pending, or at the deadline.
 func (run *Runner) Run(ctx context.Context, req Request) Report {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -145,11 +147,11 @@
 	decisions []explain.Decision
 	sent      int
 	replanned bool
-	// now is the time of the event that is being handled.
+	// now is the time of the current event.
 	now time.Time
 }
 
-// replan returns a complete map to start again on, once a query.
+// replan returns the complete shard map to restart the query on. A query is restarted at most once.
 func (q *query) replan(pinned replica.VersionMap) (replica.VersionMap, bool) {
 	q.replanned = true
 	if q.req.Replan == nil || q.ctx.Err() != nil {
@@ -163,8 +165,8 @@
 	return vm, true
 }
 
-// better runs the second plan and returns the report of the one that covers more. The two are never merged, since they
-// are of two snapshots.
+// better runs the second plan and returns the report with the higher coverage. The two are never merged, since their
+// hits are of different snapshots.
 func (q *query) better(first, second *plan) Report {
 	a := first.finish("the query was started again")
 	second.collect()
--- a/entry/internal/fanout/fanout_test.go
+++ b/entry/internal/fanout/fanout_test.go
@@ -25,7 +25,7 @@
 
 const ms = time.Millisecond
 
-// table returns a table of shards x 3 replicas that all hold version 1; the ID of a replica is "shard.copy".
+// table returns a table of shards x 3 replicas that all hold index version 1; the ID of a replica is "shard.copy".
 func table(shards int) *replica.Table {
 	t := replica.New(replica.Options{})
 	var list []platform.Replica
@@ -41,7 +41,7 @@
 	return t
 }
 
-// answerer answers after a time; a time below zero means never.
+// answerer returns the kind of a reply and the delay before it; a negative delay means never.
 type answerer func(r *replica.Replica) (upstream.Kind, time.Duration)
 
 type sent struct {
@@ -81,9 +81,10 @@
 	return rep, time.Since(now)
 }
 
-// A shard never answers. A service that prefers latency answers at its soft deadline with the rest, so that
-// the queue board moves; one that prefers coverage waits. Where nothing has come by then, an empty page
-// would make the greeter start over, so the first answer is awaited. What was given up is answered at once.
+// If a shard never answers, a service that prefers latency responds with the others at its soft deadline, and one that
+// prefers coverage waits for the deadline. If no shard has answered at the soft deadline, the response waits for the
+// first one, since callers would repeat a query with an empty response. If all shards have failed, the response is sent
+// at once.
 func TestWhenTheAnswerGoesOut(t *testing.T) {
 	late := func(shard string, d time.Duration) answerer {
 		return func(r *replica.Replica) (upstream.Kind, time.Duration) {
@@ -132,8 +133,8 @@
 	}
 }
 
-// Each replica of a shard fails in its own way. The shard is tried at each other replica once, never at the
-// same one again, and its failures don't keep the others' answers back.
+// A failed attempt is retried at the shard's other replicas, once each and never at the same one again, and the failures
+// don't affect the other shards.
 func TestRetriesGoElsewhere(t *testing.T) {
 	for _, kind := range []upstream.Kind{upstream.KindBroken, upstream.KindShed, upstream.KindDraining, upstream.KindError, upstream.KindForeign, upstream.KindNotSent} {
 		synctest.Test(t, func(t *testing.T) {
@@ -152,9 +153,9 @@
 	}
 }
 
-// One try of a page is stuck. Its second try answers, the stuck one is cancelled, so that it doesn't hold a
-// slot, and the page comes after the delay and one reply. A request that may be what breaks upstreams gets
-// no second try: it would break two replicas at once.
+// If one attempt hangs, a hedge answers in its place, the hanging attempt is canceled so that it frees its slot, and the
+// response takes the hedge delay and one reply time. A suspect request is not hedged, since it might crash two replicas
+// at once.
 func TestSecondTry(t *testing.T) {
 	for _, test := range []struct {
 		suspect bool
@@ -186,8 +187,8 @@
 	}
 }
 
-// Two of a shard's three replicas go silent together, and the second try of a page goes to the other silent
-// one. The third answers at once; a page that stopped at two tries would lack the shard.
+// Two of a shard's three replicas become unresponsive together, and the hedge goes to the second of them. Without a third
+// attempt, the shard would be missing from the response although its third replica answers at once.
 func TestThirdTryWhereTwoAreSilent(t *testing.T) {
 	for first := range 3 {
 		synctest.Test(t, func(t *testing.T) {
@@ -221,8 +222,8 @@
 	return n
 }
 
-// BenchmarkRun is one query over 69 shards x 3 with replies at once; BenchmarkBare is the least that a fan-out over
-// them does.
+// BenchmarkRun measures one query over 69 shards x 3 replicas that reply at once. BenchmarkBare is its baseline: the
+// goroutines and the channel of a fan-out over 69 shards alone.
 func BenchmarkRun(b *testing.B) {
 	tab := table(69)
 	runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: func(context.Context, *replica.Replica, upstream.QueryTry) upstream.Result {
--- a/entry/internal/fanout/hedging.go
+++ b/entry/internal/fanout/hedging.go
@@ -6,8 +6,8 @@
 	"guavaspring.org/entry/internal/choice"
 )
 
-// hedge sends a second try of each shard that is late, where the policy and the budget allow it and a replica is free
-// that is not itself late.
+// hedge sends another attempt for each late shard if the policy and the budget allow it and a free replica of the shard
+// is expected to reply within the hedge delay.
 func (p *plan) hedge() {
 	delay := p.run.policy.Delay()
 	p.hedgeAt = p.now.Add(delay)
@@ -29,8 +29,8 @@
 	}
 }
 
-// late reports whether the shard's last try has run for the delay, or for twice the delay where it was sent beside
-// another: the second replica may have gone silent with the first.
+// late reports whether the last attempt of the shard has run for the delay, doubled for each other attempt in flight. A
+// hedge can be late too: its replica may have become unresponsive together with the first.
 func (s *shard) late(now time.Time, delay time.Duration) bool {
 	if s.closed || s.inflight == 0 || s.n >= maxTries {
 		return false
--- a/entry/internal/fanout/learn.go
+++ b/entry/internal/fanout/learn.go
@@ -7,10 +7,11 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// spreads is the number of steps in which a random number between 0 and 1 is drawn.
+// spreads is the number of distinct values of a random fraction.
 const spreads = 1 << 20
 
-// end takes over what a try tells of the replica's speed and room, and returns how long it took.
+// end updates the latency estimates and the concurrency limit of the replica from an ended attempt, and returns its
+// duration.
 func (run *Runner) end(r *replica.Replica, began time.Time, slots int, res upstream.Result) time.Duration {
 	now := run.opts.Clock.Now()
 	took := now.Sub(began)
@@ -33,7 +34,7 @@
 
 func (run *Runner) spread() float64 { return float64(run.opts.IntN(spreads)) / spreads }
 
-// judge counts a try for or against its replica by the time that it took, or had run when it was given up.
+// judge records a strike or a success for the replica, by the duration of an attempt that ended or was canceled.
 func (run *Runner) judge(got *result, usual time.Duration, holders []*replica.Replica, now time.Time) {
 	switch {
 	case slowOf(got.replica, got.took, usual, holders, now):
@@ -55,13 +56,13 @@
 	}
 }
 
-// judgeTrial brings a replica back whose single try was answered in the service's usual time. What was learned of it
-// before is forgotten, and it starts with one try at once.
+// judgeTrial returns an ejected replica to rotation if its probe was answered in the usual time of the service. Its
+// latency estimate and its concurrency limit are reset, so that it starts with one request in flight.
 func (run *Runner) judgeTrial(r *replica.Replica, res upstream.Result, took time.Duration) {
 	usual := run.policy.Median()
 	switch {
 	case res.Kind.NotRun() && res.Kind != upstream.KindNotSent, res.Kind == upstream.KindVersionGone:
-		// A refusal says nothing of its speed.
+		// A rejected probe gives no information on the replica's speed.
 	case res.Kind == upstream.KindOK && (usual == 0 || took <= trialFactor*usual+trialFloor):
 		r.SetLatency(took)
 		r.Limit.Reset()
@@ -72,8 +73,8 @@
 }
 
 const (
-	// trialFactor and trialFloor are how long a good single try may take beside the usual reply time: less than what
-	// counts as slow, so that a replica doesn't go in and out.
+	// trialFactor and trialFloor bound the duration of a successful probe relative to the usual reply time. The bound is
+	// below the one for slow attempts, so that a replica does not alternate between ejected and in rotation.
 	trialFactor = 2
 	trialFloor  = 2 * time.Millisecond
 )
--- a/entry/internal/fanout/plan.go
+++ b/entry/internal/fanout/plan.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxTries bounds the tries of one shard within one plan: the first, a hedge or retry, and one more.
+	// maxTries bounds the attempts of a shard in one round: the first, a hedge or retry, and one more.
 	maxTries = 3
-	// lostShare is the share of shards lost with their version above which a query that prefers latency is started
-	// again; one that prefers coverage is at the first.
+	// lostShare is the share of shards whose replicas dropped the index version above which a query that prefers
+	// latency is restarted. A query that prefers coverage is restarted at the first such shard.
 	lostShare = 0.1
 )
 
-// plan is one run of a query over the shard map of one version.
+// plan is one run of a query over the shard map of one index version.
 type plan struct {
 	*query
 	vm      replica.VersionMap
@@ -28,25 +28,24 @@
 	began   time.Time
 	shards  []shard
 	results chan *result
-	// open counts the shards that may still answer, answered those that have, waiting those that look for a free
-	// replica.
+	// open counts the pending shards, answered those with a reply, waiting those queued for a free replica.
 	open, answered, waiting int
-	// took is the sum of the times of the tries that answered.
+	// took is the sum of the durations of the successful attempts.
 	took time.Duration
-	// gone counts the shards given up because every replica tried refused the version.
+	// gone counts the shards given up after a replica rejected the index version.
 	gone int
-	// lost says that so many shards are gone that the query should be started again.
+	// lost is set when so many shards are gone that the query should be restarted.
 	lost bool
-	// busy says that a shard was given up since its replicas were full.
+	// busy is set when a shard was given up because its replicas were at their limits.
 	busy bool
-	// crowded says that shards were late at the last look and got no second try.
+	// crowded is set if shards were late at the last check for hedges.
 	crowded bool
-	// soft says that the soft deadline has passed, and that the first answer ends the plan.
+	// soft is set once the soft deadline has passed; the plan then ends as soon as one shard has answered.
 	soft bool
-	// holds and split are how a reply's header names the plan's version and number of shards.
+	// holds and split are the prefix and suffix of this plan's index version and shard count in a reply's holdings header.
 	holds, split string
 
-	// hedgeAt and lookAt are when late and waiting shards are looked at next; zero means never.
+	// hedgeAt and lookAt are the times of the next check of late and of waiting shards; zero means never.
 	hedgeAt, lookAt time.Time
 	wake            <-chan time.Time
 	wakeAt          time.Time
@@ -58,27 +57,27 @@
 	ended    [maxTries]bool
 	n        int
 	inflight int
-	// sent counts the tries ever sent, which n doesn't once replicas that shed are asked again.
+	// sent counts all attempts, while n starts again at zero with each round.
 	sent int
-	// rounds counts how often all replicas left have shed the shard, and next is when it looks again.
+	// rounds counts the rounds in which replicas shed the shard and none was left, next is the time of the next round.
 	rounds int
 	next   time.Time
 	ctx    context.Context
 	cancel context.CancelFunc
-	// wait is the decision that waits for a free replica, empty where none does, and why its reason.
+	// wait is the name of the decision that waits for a free replica, empty if none does, and why is its reason.
 	wait, why string
 	closed    bool
 	answered  bool
-	// gone says that a replica refused the version, shed that one was full.
+	// gone is set if a replica rejected the index version, shed if one shed an attempt.
 	gone, shed bool
-	// failure is how the last try failed.
+	// failure is the kind of the last failed attempt.
 	failure upstream.Kind
 	hits    []upstream.Hit
 }
 
 func (s *shard) tried() []*replica.Replica { return s.tries[:s.n] }
 
-// result is the end of try k of a shard; a trial has none of its own.
+// result is the end of attempt k of a shard; k is the constant trial for a probe.
 type result struct {
 	shard, k int
 	replica  *replica.Replica
@@ -88,7 +87,7 @@
 
 const trial = -1
 
-// newPlan sends the first try of every shard; suffix tells the tries of two plans of one query apart.
+// newPlan sends the first attempt of every shard. The suffix distinguishes the attempt ids of two plans of one query.
 func newPlan(q *query, vm replica.VersionMap, suffix string) *plan {
 	n := len(vm.Holders)
 	p := &plan{
@@ -106,7 +105,8 @@
 	return p
 }
 
-// collect takes results until no shard can answer, the time is up, or the version is lost.
+// collect handles results until no shard is pending, the deadline passes, or the query has to be restarted. After the
+// soft deadline it ends with the first answer.
 func (p *plan) collect() {
 	for p.open > 0 && !p.lost && (!p.soft || p.answered == 0) {
 		select {
@@ -125,7 +125,7 @@
 	}
 }
 
-// drain takes the results that have come meanwhile, without reading the clock and the timers for each.
+// drain handles all queued results without reading the clock and the timers for each.
 func (p *plan) drain() {
 	for p.open > 0 && !p.lost {
 		select {
@@ -137,7 +137,7 @@
 	}
 }
 
-// alarm returns a channel that receives when there is something to look at.
+// alarm returns a channel that receives at the next check for hedges, check of waiting shards or soft deadline.
 func (p *plan) alarm() <-chan time.Time {
 	next := earliest(p.hedgeAt, p.lookAt)
 	if p.req.Document.Prefer == document.PreferLatency && !p.soft {
--- a/entry/internal/fanout/report.go
+++ b/entry/internal/fanout/report.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// retryBusy is when to come back where replicas were full: a few reply times later the burst is over or the host
-	// refuses on entry.
+	// retryBusy is the retry delay for callers if replicas were at their limits: a few reply times later the burst is
+	// over, or the host rejects requests at admission.
 	retryBusy = 50 * time.Millisecond
-	// retryLost is when to come back where replicas failed: the host takes a failing replica out within a few tries,
-	// and looks at it again after a second.
+	// retryLost is the retry delay for callers if replicas failed: the host ejects a failing replica within a few
+	// attempts, and probes it after a second.
 	retryLost = 500 * time.Millisecond
 )
 
-// finish cancels what still runs and names the shards without an answer; why is empty where the time ran out.
+// finish cancels the running attempts and reports the missing shards. If why is empty, their reason is the deadline or
+// the cancellation that ended the plan.
 func (p *plan) finish(why string) Report {
 	if why == "" {
 		why = p.ended()
--- a/entry/internal/fanout/results.go
+++ b/entry/internal/fanout/results.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// failed tries the shard again at another replica, or gives it up at once where that can't help.
+// failed retries the shard at another replica, or gives it up at once if a retry can't succeed.
 func (p *plan) failed(i int, r *replica.Replica, res upstream.Result) {
 	s := &p.shards[i]
 	s.gone = s.gone || res.Kind == upstream.KindVersionGone
@@ -44,7 +44,7 @@
 	why := join(string(res.Kind), res.Detail)
 	switch {
 	case s.inflight > 0 && s.n > 1:
-		// A second try is on its way already.
+		// Another attempt is in flight.
 	case s.n >= maxTries && s.inflight > 0:
 	case s.n >= maxTries && s.shed:
 		p.again(i, why)
@@ -59,8 +59,8 @@
 	}
 }
 
-// checked turns a reply of another shard map into a foreign one. A replica that was split again under the
-// same version number would otherwise bring hits of another cut into the answer: some items twice, some never.
+// checked marks a reply from another shard map as foreign. If a replica is resharded under the same index version, its
+// reply would otherwise mix two partitionings: some items would appear twice in the response, some never.
 func (p *plan) checked(res upstream.Result) upstream.Result {
 	if res.Kind != upstream.KindOK {
 		return res
@@ -76,7 +76,7 @@
 	return res
 }
 
-// judge compares a try that ended, or that is given up, with its neighbours.
+// judge records an ended or canceled attempt for or against its replica, compared with the other shards of the query.
 func (p *plan) judge(got *result) {
 	switch got.res.Kind {
 	case upstream.KindOK, upstream.KindCanceled:
@@ -86,8 +86,8 @@
 	}
 }
 
-// usual returns the time that the tries of this query take, so that a long query is not held against its replicas;
-// before enough of them have answered it is the service's usual time.
+// usual returns the mean duration of this query's successful attempts, so that replicas get no strikes for an expensive
+// query. Until two shards and half of all shards have answered, it is the median of the service.
 func (p *plan) usual() time.Duration {
 	if p.answered < 2 || 2*p.answered < len(p.shards) {
 		return p.run.policy.Median()
@@ -106,7 +106,7 @@
 	p.lost = !p.replanned && (p.req.Document.Prefer == document.PreferCoverage || share > lostShare)
 }
 
-// close ends a shard and cancels what of it still runs, so that its replicas can serve others.
+// close ends a shard and cancels its running attempts, so that its replicas are free for other queries.
 func (p *plan) close(i int) {
 	s := &p.shards[i]
 	p.release(s)
@@ -119,9 +119,9 @@
 	s.cancel()
 }
 
-// beaten counts a strike against each replica that a later try was quicker than. Its own try is given up long
-// before it could be called slow by its age, so without this a slow replica would lose one race after another
-// and stay in use, each time at the cost of somebody's wait.
+// beaten records a strike against each replica that was overtaken by a later attempt. Its attempt is canceled long before
+// its age counts as slow, so without the strike a slow replica would stay in rotation and delay every query that it
+// gets by the hedge delay.
 func (p *plan) beaten(got *result) {
 	s := &p.shards[got.shard]
 	for k := range got.k {
@@ -132,7 +132,7 @@
 	}
 }
 
-// judgeRunning holds the age of the shard's running tries against their replicas.
+// judgeRunning judges the shard's running attempts by their age, as they are about to be canceled.
 func (p *plan) judgeRunning(i int) {
 	s := &p.shards[i]
 	for k := range s.n {
@@ -144,7 +144,7 @@
 	}
 }
 
-// join writes a reason and what follows from it.
+// join returns "why: then", or the one of the two that is not empty.
 func join(why, then string) string {
 	if why == "" || then == "" {
 		return why + then
@@ -152,9 +152,9 @@
 	return why + ": " + then
 }
 
-// slowOf reports whether a try that took so long was slow beside the query's other shards, and whether another replica
-// of the shard would have been quicker. Without the second, a shard that is slow at every replica would lose all of
-// them.
+// slowOf reports whether an attempt of this duration was slow compared with the query's other shards, while another
+// replica of the same shard is faster. Without the second condition, a shard that is slow at every replica would have
+// all of them ejected.
 func slowOf(r *replica.Replica, took, usual time.Duration, holders []*replica.Replica, now time.Time) bool {
 	if !eject.Slow(took, usual) {
 		return false
--- a/entry/internal/fanout/tries.go
+++ b/entry/internal/fanout/tries.go
@@ -9,8 +9,8 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// try sends one more try of a shard where a replica is free, waits where one may become free, and gives the shard up
-// where none is left.
+// try sends another attempt of a shard if a replica is free, queues the shard if one may become free, and gives the
+// shard up if no replica is left.
 func (p *plan) try(i int, what, why string) {
 	s := &p.shards[i]
 	r, verdict := choice.Pick(p.run.opts.IntN, p.now, p.vm.Holders[i], s.tried())
@@ -30,13 +30,14 @@
 	}
 }
 
-// mayRetry takes from the retry budget where the failed try may have cost an upstream its work.
+// mayRetry reports whether the shard may be retried at r. A retry is charged to the retry budget if the failed attempt
+// may have run.
 //
-// A try that surely did not run is sent again free of charge: a replica that leaves, has lost the version or can't be
-// reached did nothing for it, and one that sheds sets the pace itself by the limit. So is the first break of a shard
-// while r is in: a crash breaks all that a replica runs at once, more than the budget ever keeps, and answers that two
-// healthy replicas could give would go out with holes. Where every replica breaks what it runs, all are soon out, and
-// the budget bounds the load again.
+// An attempt that certainly did not run is retried free of charge: a replica that drains, has dropped the index version
+// or can't be reached did no work for it, and one that sheds is paced by its concurrency limit. The first broken attempt
+// of a shard is free too while r is in rotation: a crash breaks all attempts that a replica runs at once, more than the
+// budget ever holds, and responses would lack shards that two healthy replicas could answer. If every replica breaks its
+// attempts, all are soon ejected, and the budget bounds the load again.
 func (p *plan) mayRetry(s *shard, r *replica.Replica) bool {
 	switch {
 	case s.failure.NotRun() || s.failure == upstream.KindVersionGone:
@@ -63,8 +64,8 @@
 	p.start(s.ctx, i, k, s.sent, r)
 }
 
-// trial sends a single try to a replica that is out, beside the ordinary one and outliving the query, so that no page
-// waits for it.
+// trial sends a probe to an ejected replica of the shard, beside the first attempt. The query does not wait for it: the
+// probe may outlive the query.
 func (p *plan) trial(i int) {
 	if p.req.Suspect {
 		return
@@ -77,7 +78,7 @@
 	p.start(context.WithoutCancel(p.ctx), i, trial, 0, r)
 }
 
-// start sends try k of shard i, the nth ever sent.
+// start sends attempt k of the current round of shard i; nth counts the shard's attempts in all rounds.
 func (p *plan) start(ctx context.Context, i, k, nth int, r *replica.Replica) {
 	p.sent++
 	try := upstream.QueryTry{
--- a/entry/internal/fanout/waiting.go
+++ b/entry/internal/fanout/waiting.go
@@ -5,21 +5,21 @@
 )
 
 const (
-	// lookAgain is how soon a shard whose replicas are all at their limit looks for a free one, as one part of the
-	// usual reply time. Where all of them have shed it, each further look comes after twice the time.
+	// lookAgain divides the median reply time into the interval at which a shard whose replicas are all at their limit
+	// checks for a free one. If no replica is left after sheds, the interval doubles with each round.
 	lookAgain = 4
-	// mostRounds bounds the doubling.
+	// mostRounds is the greatest number of doublings.
 	mostRounds = 5
-	// shortestLook and longestLook bound that time.
+	// shortestLook and longestLook bound the interval before it is doubled.
 	shortestLook = 250 * time.Microsecond
 	longestLook  = 5 * time.Millisecond
 )
 
-// again lets a shard that every replica has shed ask them once more, later.
+// again starts another round of attempts, after a delay, for a shard that was shed and has no replica left to ask.
 //
-// It answers slots that many hosts share. Five slots that are used at sixty percent refuse one try in nine by
-// chance alone, and one host sees too little of the load to know which. A shard given up for that is a hole in
-// a page that a wait of a few milliseconds would have filled.
+// The slots of a replica are shared by many hosts. Five slots at sixty percent utilization shed one attempt in nine by
+// chance, and one host sees too little of the load to predict which. Giving the shard up would leave it missing from a
+// response that a few milliseconds of waiting would have completed.
 func (p *plan) again(i int, why string) {
 	s := &p.shards[i]
 	s.n, s.shed = 0, false
@@ -32,11 +32,11 @@
 	return min(max(p.run.policy.Median()/lookAgain, shortestLook), longestLook)
 }
 
-// hold makes a shard wait for a free replica while an answer can still come in time.
+// hold queues a shard until a replica is free, as long as a reply can still arrive in time.
 //
-// It answers a burst that is larger than what the replicas run at once. Giving the shard up at once thins
-// pages that a wait of a few milliseconds would fill; sending anyway is shed, and then sent again. The wait
-// ends as soon as what is left of the deadline is less than a reply usually takes.
+// It absorbs bursts beyond the concurrency of the replicas. Giving the shard up at once would reduce the coverage of
+// responses that a few milliseconds of waiting would complete; attempts sent anyway would be shed and then retried. The
+// wait ends once the time to the deadline is shorter than the median reply time.
 func (p *plan) hold(i int, what, why string) {
 	s := &p.shards[i]
 	if !p.timeLeft() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// timeLeft reports whether a try sent now would usually be answered in time.
+// timeLeft reports whether the median reply time ends before the deadline.
 func (p *plan) timeLeft() bool {
 	return p.now.Add(p.run.policy.Median()).Before(p.req.Deadline)
 }
