--- a/entry/internal/writes/model_test.go
+++ b/entry/internal/writes/model_test.go
@@ -27,16 +27,17 @@
 	modelSeeds = "1500"
 	modelSeed  = "20261202"
 	operations = 8
-	// records is the size of a host's book, small enough to be full now and then.
+	// records is the capacity of a host's book, small enough to be full at times.
 	records = 2
-	// longest is how long the record of a short ticket is kept.
+	// longest is how long the book keeps the record of a short-lived ticket.
 	longest = 2*time.Minute + 2*time.Second
 )
 
-// lives are those of the tickets: a long one outlives the records of short ones.
+// lives are the lifetimes of tickets; a long-lived ticket outlives the records of short-lived ones.
 var lives = []time.Duration{2 * time.Second, 2 * time.Second, 5 * time.Minute}
 
-// offsetClock is a host's wall clock: off from the others', and set forth and back while the host runs.
+// offsetClock is the wall clock of a host: it differs from the others', and is set forward and back while the host
+// runs.
 type offsetClock struct {
 	clock.System
 	mu  sync.Mutex
@@ -55,18 +56,18 @@
 	c.off = d
 }
 
-// step is one thing that happens in the model, after a delay.
+// step is one action of the model, taken after a delay.
 type step struct {
 	after time.Duration
 	what  string
 	host  int
 	op    int
-	// late is the time the request spends on its way; lost drops the reply; twice duplicates the request.
+	// late is the network delay of the request; lost drops the response; twice duplicates the request.
 	late  time.Duration
 	lost  bool
 	twice bool
-	// sends says how the tries of this request end at the replicas, in turn; pause holds the host before the first
-	// byte.
+	// sends holds the results of the attempts of this request, in order; pause stops the host before the first byte of
+	// an attempt.
 	sends []string
 	pause time.Duration
 	off   time.Duration
@@ -92,7 +93,8 @@
 	}), 10, 60).Draw(rt, "plan")
 }
 
-// world is three hosts, three replicas with the upstream's own record, and callers that resend.
+// world is the state of the model: three hosts, three replicas with a count of the runs of each write, and callers that
+// resend.
 type world struct {
 	mu      sync.Mutex
 	hosts   [modelHosts]*modelHost
@@ -102,7 +104,7 @@
 	told    map[string][]caller.WriteOutcome
 	serial  int
 	tasks   sync.WaitGroup
-	// all holds every incarnation there ever was.
+	// all holds every incarnation of every host, those that were restarted too.
 	all []*modelHost
 }
 
@@ -116,7 +118,7 @@
 
 type planKey struct{}
 
-// plan is how the tries of one request end.
+// plan holds the results of the attempts of one request.
 type plan struct {
 	sends []string
 	pause time.Duration
@@ -150,7 +152,8 @@
 	return &replica.Replica{ID: fmt.Sprint(len(tried)), Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 }
 
-// send keeps the contract of upstream.Client: after a pause the deadline is read again, and not_sent means no byte.
+// send follows the contract of upstream.Client: the deadline is checked again after a pause, and not_sent means that no
+// byte was sent.
 func (w *world) send(ctx context.Context, h *modelHost, id, body string) upstream.Result {
 	p := ctx.Value(planKey{}).(plan)
 	time.Sleep(p.pause)
@@ -192,7 +195,7 @@
 	time.Sleep(s.after)
 	h := w.hosts[s.host]
 	if w.tickets[s.op] == "" && (s.what == "mint" || s.what == "send") {
-		// Any host may mint for any other; its clock is its own.
+		// Any host may mint tickets for any other, by its own clock.
 		by := w.hosts[(s.host+1)%modelHosts]
 		w.tickets[s.op] = ticket.Mint(h.id, "donor-desk", by.clock.Now(), lives[s.op%len(lives)])
 		w.home[s.op] = s.host
@@ -205,7 +208,7 @@
 	case "set_clock":
 		h.clock.set(s.off)
 	case "send":
-		// Most requests go to the host that the ticket names; the rest go astray.
+		// Most requests go to the host that the ticket names, the others to another host.
 		if s.op%4 != 0 {
 			h = w.hosts[home]
 		}
@@ -236,7 +239,7 @@
 	w.told[op] = append(w.told[op], ans.Outcome)
 }
 
-// settle waits for every request and for every effect that a replica still holds back.
+// settle waits for all requests and for all writes that replicas run late.
 func (w *world) settle() {
 	w.tasks.Wait()
 	for _, h := range w.all {
@@ -267,9 +270,9 @@
 	return ""
 }
 
-// A coordinator's booking is sent, its reply is lost, and she sends it again: to the same host, to another one, twice,
-// out of order, late. Meanwhile hosts are paused, restarted and have their clocks set, replicas refuse, crash after the
-// booking took effect or run it late. She must never be booked twice, and never be told not_run of a booking that runs.
+// A caller resends a write whose response was lost: to the same host, to another one, twice, out of order, late.
+// Meanwhile hosts are paused, restarted and have their clocks set, and replicas reject the write, crash after it took
+// effect or run it late. No write may run twice, and none that runs may be answered with not_run.
 func TestWritesRunAtMostOnce(t *testing.T) {
 	qt.Assert(t, flag.Set("rapid.checks", modelSeeds), qt.IsNil)
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/entry/internal/writes/writer.go
+++ b/entry/internal/writes/writer.go
@@ -21,21 +21,24 @@
 )
 
 const (
-	// maxTries bounds the replicas that are asked while each says that it did not run the write.
+	// maxTries bounds the attempts of a write, each at another replica. An attempt is followed by another one only if
+	// it certainly did not run the write.
 	maxTries = 3
-	// busyRetry is when to come back after every replica asked refused: a few times the run of a write.
+	// busyRetry is the retry delay for callers after every replica asked has rejected the write, or after the deadline:
+	// a few times the duration of a write.
 	busyRetry = 100 * time.Millisecond
 )
 
-// Upstream is what the Writer needs of a service.
+// Upstream holds the functions by which a Writer reaches the replicas of a service.
 type Upstream struct {
-	// Enabled says whether the document in force lets the service take writes.
+	// Enabled is set if the document in force enables writes for the service.
 	Enabled bool
-	// Enter waits for a place among what runs on this host; where it is refused, leave is nil.
+	// Enter admits the write on this host, waiting in the admission queue if need be. If the write is rejected, leave
+	// is nil and refused is the outcome; otherwise leave must be called when the write ends.
 	Enter func(ctx context.Context, req Request) (leave func(done bool), refused ticket.Outcome)
 	// Pick returns a replica that is not in tried, or nil.
 	Pick func(tried []*replica.Replica) *replica.Replica
-	// Send sends one try.
+	// Send sends one attempt to a replica and returns its result.
 	Send func(ctx context.Context, r *replica.Replica, id string, body []byte) upstream.Result
 }
 
@@ -45,21 +48,21 @@
 	Log     logr.Logger
 	Explain *explain.Store
 	NewID   func() string
-	// Book is the record of this incarnation.
+	// Book records the outcomes of the tickets of this incarnation of the host.
 	Book *ticket.Book
-	// Upstream returns what is needed of a service, and false where it is not configured here.
+	// Upstream returns the Upstream of a service, and false if the service is not configured on this host.
 	Upstream func(service string) (Upstream, bool)
-	// Where returns the address for callers of a host that is alive, by incarnation; it may be nil.
+	// Where returns the address for callers of the live host with the incarnation. It may be nil.
 	Where func(incarnation string) (addr string, ok bool)
 }
 
-// Writer runs the writes that are presented to this host.
+// Writer runs the writes that arrive at this host, each at most once.
 type Writer struct {
 	opts Options
 	runs sync.WaitGroup
 }
 
-// New returns a writer; every option but Where must be set.
+// New returns a Writer; every option but Where must be set.
 func New(opts Options) *Writer {
 	if opts.Where == nil {
 		opts.Where = func(string) (string, bool) { return "", false }
@@ -78,7 +81,8 @@
 	Write    caller.Write
 }
 
-// Write runs the write of an unused ticket, and answers any other from the record or from the ticket alone.
+// Write runs the write if its ticket is unused. Otherwise it answers with the recorded outcome, or from the ticket
+// alone.
 func (w *Writer) Write(ctx context.Context, req Request) caller.WriteAnswer {
 	body := encode(req.Write)
 	rec := &explain.Record{ID: w.opts.NewID(), RequestID: req.ID, Service: req.Service, Caller: req.Caller, Arrived: req.Arrived}
@@ -96,10 +100,11 @@
 	return w.finish(req, rec, string(claim.Action), out)
 }
 
-// Wait returns once every write that was begun has its outcome.
+// Wait blocks until every running write has its outcome.
 func (w *Writer) Wait() { w.runs.Wait() }
 
-// start runs the write apart from its caller: one that goes away must find the outcome recorded when it resends.
+// start runs the write detached from its caller's request, so that a caller that disconnects finds the outcome recorded
+// when it resends the write.
 func (w *Writer) start(ctx context.Context, req Request, body []byte, e *ticket.Entry, rec *explain.Record) ticket.Outcome {
 	got := make(chan ticket.Outcome, 1)
 	decisions := make(chan []explain.Decision, 1)
@@ -132,7 +137,8 @@
 	return ticket.Outcome{Outcome: caller.WriteUnknown, Reason: "the deadline passed while the write ran; ask again with the same ticket", RetryAfter: busyRetry}
 }
 
-// elsewhere never runs the write and never says not_run: the incarnation that the ticket names may run it, or has.
+// elsewhere answers a ticket of another incarnation. It neither runs the write nor returns not_run, since that
+// incarnation may run the write or may have run it.
 func (w *Writer) elsewhere(t ticket.Ticket) ticket.Outcome {
 	if addr, ok := w.opts.Where(t.Incarnation); ok {
 		return ticket.Outcome{Outcome: caller.WriteUnknown, Reason: fmt.Sprintf("only the host at %s can run this ticket or tell its outcome", addr)}
@@ -160,17 +166,19 @@
 	return d
 }
 
-// run is one write on its way to the replicas.
+// run is the state of one running write.
 type run struct {
 	w   *Writer
 	req Request
-	// id is this host's own: callers repeat theirs, and a reply must belong to one try alone.
+	// id is the prefix of the attempt ids, generated by this host: callers repeat theirs, and a reply must belong to
+	// exactly one attempt.
 	id        string
 	body      []byte
 	decisions []explain.Decision
 }
 
-// do tries replicas until one runs the write or the outcome can't be known; the ticket is used up whatever it returns.
+// do admits the write and sends it to replicas until one runs it or the outcome can't be determined. The ticket is used
+// up whatever the outcome.
 func (r *run) do(ctx context.Context) ticket.Outcome {
 	up, ok := r.w.opts.Upstream(r.req.Service)
 	if !ok || !up.Enabled {
@@ -206,7 +214,8 @@
 	return ticket.Outcome{Outcome: caller.WriteNotRun, Reason: "no replica took the write: " + why, RetryAfter: busyRetry}
 }
 
-// inTime reads the right to send again: the host may have been paused since it was last read.
+// inTime reports whether the deadline has not passed. It reads the clock before each attempt, since the host may have
+// been paused since the last reading.
 func (r *run) inTime() bool { return r.w.opts.Clock.Now().Before(r.req.Deadline) }
 
 func (r *run) send(ctx context.Context, up Upstream, rep *replica.Replica, n int) upstream.Result {
@@ -219,7 +228,8 @@
 	return res
 }
 
-// judge turns the end of one try into an outcome, or reports that another replica may be asked.
+// judge returns the outcome of a write after an attempt. If last is false, the attempt did not run and another replica
+// may be asked.
 func judge(res upstream.Result) (out ticket.Outcome, last bool) {
 	switch res.Kind {
 	case upstream.KindOK:
@@ -236,8 +246,8 @@
 func encode(w caller.Write) []byte {
 	b, err := json.Marshal(upstream.Write{OpID: w.OpID, Payload: w.Payload})
 	if err != nil {
-		// The payload was parsed as part of a JSON body, so it encodes.
-		panic("writes: a decoded write can't be encoded: " + err.Error())
+		// Unreachable: the payload was decoded from a JSON body, so it can be encoded.
+		panic("writes: encoding a decoded write: " + err.Error())
 	}
 	return b
 }
--- a/entry/internal/writes/writer_test.go
+++ b/entry/internal/writes/writer_test.go
@@ -44,8 +44,8 @@
 	return f.writer.Write(ctx, Request{ID: "r", Service: "donor-desk", Ticket: raw, Arrived: now, Deadline: now.Add(time.Second), Write: caller.Write{OpID: op}})
 }
 
-// A greeter's tablet loses its connection while the booking runs, and sends it again at once. The host must neither
-// drop the booking with the caller nor run it again: the resend waits and gets the outcome, with the result.
+// A caller loses its connection while its write runs, and resends the write at once. The host must neither cancel the
+// write with the first request nor run it twice: the resent one waits and gets the outcome with the result.
 func TestResendOfARunningWriteGetsItsOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake(8)
@@ -57,13 +57,13 @@
 		qt.Assert(t, got.Outcome, qt.Equals, caller.WriteDone)
 		qt.Assert(t, string(got.Result), qt.Equals, `{"booked":1}`)
 		qt.Assert(t, f.ran, qt.Equals, 1)
-		// The same ticket with another body is another write, which never ran.
+		// The same ticket with another body is another write, which must not run.
 		qt.Assert(t, f.write(t.Context(), raw, "b").Outcome, qt.Equals, caller.WriteNotRun)
 	})
 }
 
-// A write is refused: the document doesn't enable writes, or the record is full. A duplicate of the request comes late,
-// after the operators have enabled writes or the record has room. The caller was told not_run, so it must not run now.
+// A write is rejected because the document doesn't enable writes or the book is full. A duplicate of the request
+// arrives after writes were enabled or the book has room. Since the caller got not_run, the duplicate must not run.
 func TestNotRunIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake(1)
