--- a/entry/internal/replica/count.go
+++ b/entry/internal/replica/count.go
@@ -1,6 +1,6 @@
 package replica
 
-// Count returns how many replicas are known, and how many of them are leaving.
+// Count returns the number of replicas in the table and the number of those that are draining.
 func (t *Table) Count() (known, draining int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/internal/replica/doc.go
+++ b/entry/internal/replica/doc.go
@@ -1,2 +1,2 @@
-// Package replica keeps what this host knows of the replicas of one service.
+// Package replica holds the state of a service's replicas as seen by this host, and the shard maps built from it.
 package replica
--- a/entry/internal/replica/replica.go
+++ b/entry/internal/replica/replica.go
@@ -10,39 +10,39 @@
 	"guavaspring.org/entry/internal/limit"
 )
 
-// goneHold is how long a version that a replica refused is not asked of it again, whatever its headers say; a version
-// that is loaded again is rare, a header that lags is not.
+// goneHold is the time for which an index version that a replica rejected is not requested from it again, whatever its
+// headers name. Outdated headers are common, while replicas rarely load a dropped version again.
 const goneHold = 10 * time.Second
 
-// Replica is one replica as this host sees it; its methods may be used from any goroutine.
+// Replica is one replica as seen by this host. Its methods are safe for concurrent use.
 type Replica struct {
 	ID   string
 	Addr netip.AddrPort
 	Zone string
-	// Near says that the replica is in this host's availability zone.
+	// Near is set if the replica is in this host's availability zone.
 	Near bool
-	// Eject says whether it gets ordinary tries.
+	// Eject is the state of its outlier ejection; an ejected replica gets only probes.
 	Eject eject.State
-	// Limit says how many tries of this host it may run.
+	// Limit bounds the attempts of this host in flight at the replica.
 	Limit limit.Limit
 
-	// epoch is when this host first heard of the replica; running counts from it.
+	// epoch is when this host added the replica; running and ended count from it.
 	epoch time.Time
-	// running holds the number of tries in its low 16 bits and the sum of their starts, in microseconds after
-	// epoch and modulo 2^48, above: one addition keeps both right together without a lock.
+	// running holds the number of attempts in flight in its low 16 bits and, above them, the sum of their start times
+	// in microseconds after epoch, modulo 2^48. One atomic addition updates both without a lock.
 	running atomic.Uint64
 	latency atomic.Int64
-	// ended is when the last try ended, in microseconds after epoch.
+	// ended is the end time of the last attempt, in microseconds after epoch.
 	ended    atomic.Int64
 	draining atomic.Bool
 	claimed  atomic.Bool
-	// heard is when the last reply named its holdings, answered when the replica last answered anything, in nanoseconds
-	// since 1970.
+	// heard is the time of the last reply that named the replica's holdings, answered that of its last reply or health
+	// check, both in nanoseconds since 1970.
 	heard    atomic.Int64
 	answered atomic.Int64
 	raw      atomic.Pointer[string]
 
-	// The table's lock guards what follows.
+	// The fields below are guarded by Table.mu.
 	holdings []upstream.Holding
 	gone     map[int64]time.Time
 }
@@ -51,12 +51,12 @@
 	countBits = 16
 	countMask = 1<<countBits - 1
 	sumMask   = 1<<(64-countBits) - 1
-	// forget is how long a replica must be idle for what was learned of it to count half: a few single tries then find
-	// a recovered replica within seconds, and cost a slow one's queries little.
+	// forget is the half-life of the latency estimate of an idle replica. With it, a few single attempts find a
+	// recovered replica within seconds, and cost little if the replica is still slow.
 	forget = time.Second
-	// mostHalves bounds the halving.
+	// mostHalves is the greatest number of halvings.
 	mostHalves = 16
-	// smoothing is the weight of a new sample in the mean latency, as one part in smoothing.
+	// smoothing is the divisor of a new sample's weight in the mean latency: a sample counts 1/smoothing.
 	smoothing = 8
 )
 
@@ -64,10 +64,11 @@
 	return uint64(began.Sub(r.epoch).Microseconds())<<countBits | 1
 }
 
-// Begin counts a try that is sent to the replica now; End with the same time must follow.
+// Begin counts an attempt that starts now. End must follow with the same start time.
 func (r *Replica) Begin(now time.Time) { r.running.Add(r.entry(now)) }
 
-// End counts the end of a try that began then and, where it was answered, the time it took.
+// End counts the end of the attempt that started at began and, if it was answered, adds its duration to the mean
+// latency.
 func (r *Replica) End(began time.Time, took time.Duration, answered bool) {
 	r.running.Add(-r.entry(began))
 	r.ended.Store(began.Add(took).Sub(r.epoch).Microseconds())
@@ -79,25 +80,24 @@
 		r.latency.Store(int64(took))
 		return
 	}
-	// Two tries that end at once may overwrite each other's sample; the mean of many hardly moves.
+	// Two attempts that end at once may overwrite each other's sample; one lost sample hardly changes the mean.
 	r.latency.Store(old + (int64(took)-old)/smoothing)
 }
 
-// Running returns how many tries of this host the replica has now.
+// Running returns the number of attempts of this host in flight at the replica.
 func (r *Replica) Running() int { return int(r.running.Load() & countMask) }
 
-// Latency returns the smoothed time of its answers, zero before the first.
+// Latency returns the moving average of its reply times, zero before the first reply.
 func (r *Replica) Latency() time.Duration { return time.Duration(r.latency.Load()) }
 
-// SetLatency replaces the smoothed time, where a single try tells more than what was learned long ago.
+// SetLatency replaces the average reply time, for example after a probe, whose sample is better than an old average.
 func (r *Replica) SetLatency(took time.Duration) { r.latency.Store(int64(took)) }
 
-// Estimate returns how long a try is expected to take, zero where nothing is known, and how many run.
+// Estimate returns the expected duration of an attempt, zero if unknown, and the number of attempts in flight.
 //
-// It is the larger of the mean of past answers and the mean age of the tries that run. A replica that has
-// become slow gives few answers to learn from, but its running tries grow old at once. While none runs, what
-// was learned counts half after each second: a replica that was slow and is avoided for it would otherwise
-// never be seen to have recovered.
+// The estimate is the larger of the average reply time and the mean age of the attempts in flight. A replica that has
+// become slow sends few replies to measure, but the age of its attempts in flight grows at once. While none is in
+// flight, the estimate is halved each second: otherwise a slow replica would be avoided and its recovery never noticed.
 func (r *Replica) Estimate(now time.Time) (time.Duration, int) {
 	v := r.running.Load()
 	n := v & countMask
@@ -108,16 +108,16 @@
 	}
 	ages := (n*uint64(at) - v>>countBits) & sumMask
 	if ages > sumMask/2 {
-		// A try that began after now was read makes the sum less than zero.
+		// The sum is negative if an attempt started after now was read.
 		ages = 0
 	}
 	return max(est, time.Duration(ages/n)*time.Microsecond), int(n)
 }
 
-// Draining reports whether the replica is known to be leaving or claims to be.
+// Draining reports whether the replica is draining, or its health endpoint says so.
 func (r *Replica) Draining() bool { return r.draining.Load() || r.claimed.Load() }
 
-// takeHoldings stores what the header names and reports whether it could be read.
+// takeHoldings parses and stores the holdings of a header and reports whether they are valid.
 func (r *Replica) takeHoldings(raw string) bool {
 	list, err := upstream.ParseHoldings(raw)
 	if err != nil {
--- a/entry/internal/replica/table.go
+++ b/entry/internal/replica/table.go
@@ -13,24 +13,25 @@
 	"guavaspring.org/core/upstream"
 )
 
-// claimsYield is how long a reply's own headers outrank what the health endpoint claims, which lags or misleads.
+// claimsYield is the time for which the headers of a reply take precedence over the health endpoint, whose data may be
+// outdated or wrong.
 const claimsYield = 5 * time.Second
 
-// VersionMap is the shard map of one index version with the replicas known to hold each shard.
+// VersionMap is the shard map of one index version, with the replicas that hold each shard.
 type VersionMap struct {
 	Version int64
 	// Holders lists the replicas of each shard; its length is the number of shards.
 	Holders [][]*Replica
-	// Least is the number of replicas of the shard that has fewest; zero means that a shard has none.
+	// Least is the number of replicas of the shard with the fewest; zero means that a shard has none.
 	Least int
-	// Held is the number of shards that have a replica.
+	// Held is the number of shards with at least one replica.
 	Held int
 }
 
 // Complete reports whether every shard has a replica.
 func (vm VersionMap) Complete() bool { return vm.Least > 0 }
 
-// Share returns the share of shards that have a replica, between 0 and 1.
+// Share returns the share of shards with at least one replica, between 0 and 1.
 func (vm VersionMap) Share() float64 {
 	if len(vm.Holders) == 0 {
 		return 0
@@ -38,34 +39,35 @@
 	return float64(vm.Held) / float64(len(vm.Holders))
 }
 
-// Same reports whether both are maps of one version with one number of shards.
+// Same reports whether both maps have the same index version and number of shards.
 func (vm VersionMap) Same(other VersionMap) bool {
 	return vm.Version == other.Version && len(vm.Holders) == len(other.Holders)
 }
 
-// View is an immutable picture of a service's replicas.
+// View is an immutable snapshot of a service's replicas and shard maps.
 type View struct {
-	// Replicas lists every replica that is not known to be leaving or gone.
+	// Replicas lists every replica that is not draining.
 	Replicas []*Replica
-	// Versions lists the shard maps, newest version first; of two maps of one version the fuller comes first.
+	// Versions lists the shard maps, newest version first. Of two maps of one version, the one whose least replicated
+	// shard has more replicas comes first, then the one with more shards held.
 	Versions []VersionMap
 }
 
 // Options configures a Table.
 type Options struct {
-	// Clock tells the time; nil means the system's.
+	// Clock returns the current time; nil means the system's clock.
 	Clock clock.Clock
 	// Zone is this host's availability zone.
 	Zone string
-	// Draining is told once of each replica that is found to be leaving, and by which sign; it may be nil and must not
-	// call the table.
+	// Draining is called once for each replica that starts to drain, with the source of that information. It may be nil
+	// and must not call the table.
 	Draining func(r *Replica, sign string)
-	// Doubted is told when a list omitted so many of the live replicas that those which still answer were kept; it may
+	// Doubted is called when a list omits so many of the live replicas that those which still answer are kept. It may
 	// be nil.
 	Doubted func(omitted, live int)
 }
 
-// Table holds the replicas of one service; readers take a View without locking.
+// Table holds the replicas of one service. View returns its current state without locking.
 type Table struct {
 	opts Options
 	mu   sync.Mutex
@@ -89,10 +91,10 @@
 	return t
 }
 
-// View returns the current picture; it must not be changed.
+// View returns the current snapshot, which must not be changed.
 func (t *Table) View() *View { return t.view.Load() }
 
-// Unheard returns the replicas of which no recent reply is known, and so those whose health endpoint is worth asking.
+// Unheard returns the replicas without a recent reply, whose health endpoints are to be polled.
 func (t *Table) Unheard() []*Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,14 +108,14 @@
 	return list
 }
 
-// recent reports whether a reply's own headers are fresh enough to outrank a claim.
+// recent reports whether the headers of r's last reply are recent enough to take precedence over its health endpoint.
 func (t *Table) recent(r *Replica) bool { return t.since(&r.heard) < claimsYield }
 
 func (t *Table) since(at *atomic.Int64) time.Duration {
 	return t.opts.Clock.Now().Sub(time.Unix(0, at.Load()))
 }
 
-// Update takes over the platform's list of the service's replicas and returns those added and removed.
+// Update applies the platform's list of the service's replicas and returns the replicas added and removed.
 func (t *Table) Update(list []platform.Replica) (added, removed []*Replica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,11 +128,11 @@
 			if ok {
 				removed = append(removed, r)
 			}
-			// Another ID at the same address is another process: nothing learned of the old one holds for it.
+			// Another ID at the same address is another process, so the state of the old one is discarded.
 			r = &Replica{ID: row.ID, Addr: row.Addr, Zone: row.Zone, Near: row.Zone == t.opts.Zone, epoch: now}
 			if !first {
-				// It has just started, and its caches are cold; at the host's own start nothing is known of any
-				// replica, and all are used.
+				// The replica has just started and its caches are cold. In the first list after the start of this
+				// host, replicas are of unknown age, and all are used.
 				r.Eject.Hold(now)
 			}
 			t.all[addr] = r
@@ -145,9 +147,9 @@
 	return added, removed
 }
 
-// rowsOf returns one row for each address. A list that lags names both the process that left an address and
-// the one that came; taking each in turn would forget, at every reading of the list, all that was learned of
-// the second. A live row goes before a leaving one, and of two live ones the one that is in use.
+// rowsOf returns one row for each address. An outdated list names both the old and the new process at an address;
+// applying both rows in turn would discard the state of the new process at every update. A live row takes precedence
+// over a leaving one, and of two live rows the one that is in use.
 func (t *Table) rowsOf(list []platform.Replica) map[netip.AddrPort]platform.Replica {
 	rows := make(map[netip.AddrPort]platform.Replica, len(list))
 	for _, row := range list {
@@ -176,10 +178,10 @@
 
 // dropOmitted removes the replicas that the list no longer names.
 //
-// It answers a list that is suddenly short or empty, as after an outage of the platform. Believed, it would
-// leave the service without replicas while all of them serve. Where a list omits more than half at once,
-// those that still answer are kept; a replica that has truly gone doesn't answer, and goes then. A few
-// omissions are believed at once, since they may be the only sign that a replica is leaving.
+// After an outage of the platform the list may be short or empty for a while, although all replicas serve; applied as
+// it is, it would leave the service without replicas. If a list omits more than half of the live replicas, those that
+// still answer are therefore kept; a replica that has stopped does not answer and is removed. Fewer omissions are
+// applied at once, since they may be the only sign that a replica is leaving.
 func (t *Table) dropOmitted(rows map[netip.AddrPort]platform.Replica) []*Replica {
 	var omitted []*Replica
 	live := 0
@@ -208,7 +210,7 @@
 	return removed
 }
 
-// MarkDraining takes over that the replica with the id is leaving, and reports whether it is known here.
+// MarkDraining marks the replica with the id as draining and reports whether it is in the table.
 func (t *Table) MarkDraining(id, sign string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,7 +225,7 @@
 	return false
 }
 
-// Heard takes over what a reply said of its replica: the raw version header, and whether it is leaving.
+// Heard applies the headers of a reply of r: the holdings, unparsed, and whether r is draining.
 func (t *Table) Heard(r *Replica, holdings string, draining bool) {
 	if holdings != "" {
 		now := t.opts.Clock.Now().UnixNano()
@@ -246,10 +248,10 @@
 	}
 }
 
-// Claimed takes over what the health endpoint says, but nothing that contradicts a recent reply.
+// Claimed applies the data of r's health endpoint, unless there is a recent reply of r.
 //
-// The endpoint lags or misleads: it names versions that the replica refuses, and replicas that serve as
-// leaving. A claim to be leaving is therefore kept only as long as the endpoint repeats it.
+// The endpoint may be outdated or wrong: it may name index versions that the replica rejects, or report a serving
+// replica as draining. A replica therefore counts as draining by its endpoint only as long as the endpoint repeats it.
 func (t *Table) Claimed(r *Replica, holdings string, draining bool) {
 	r.answered.Store(t.opts.Clock.Now().UnixNano())
 	if t.recent(r) {
@@ -266,7 +268,8 @@
 	}
 }
 
-// Gone takes over that the replica refused the version; what it did outranks what any header or endpoint names.
+// Gone records that the replica rejected the index version. A rejection takes precedence over the holdings named by its
+// headers and its health endpoint.
 func (t *Table) Gone(r *Replica, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -277,7 +280,7 @@
 	t.rebuild()
 }
 
-// drain notes that r is leaving and reports whether that is news.
+// drain marks r as draining and reports whether it was not marked before.
 func (t *Table) drain(r *Replica, sign string) bool {
 	if r.draining.Swap(true) {
 		return false
@@ -286,7 +289,7 @@
 	return true
 }
 
-// mapKey tells two maps of one version apart: replicas that disagree on the number of shards never share a map.
+// mapKey identifies a shard map. Replicas that disagree on the number of shards of a version never share a map.
 type mapKey struct {
 	version int64
 	shards  int
--- a/entry/internal/replica/table_test.go
+++ b/entry/internal/replica/table_test.go
@@ -25,9 +25,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 9000)
 }
 
-// One replica of thirty comes up with version 7 cut into 11 shards, the others with 10. If whoever is heard
-// first decides the cut, one wrong replica that starts early takes every other one out of version 7, and
-// pages come back almost empty until it is found.
+// One replica of thirty starts with index version 7 split into 11 shards, the others with 10. If the first reply
+// decided the number of shards, one misconfigured replica that starts early would take all others out of version 7, and
+// responses would be almost empty.
 func TestOneReplicaThatDisagreesOnTheCut(t *testing.T) {
 	for first := range 2 {
 		table := replica.New(replica.Options{})
@@ -45,8 +45,8 @@
 	}
 }
 
-// A replica drops version 7; its health endpoint still names it a while later. If the endpoint were
-// believed over the refusal, queries would be pinned to version 7 again and come back thin.
+// A replica drops index version 7, and its health endpoint still names it for a while. If the endpoint took precedence
+// over the rejection, queries would be pinned to version 7 again and their coverage would drop.
 func TestRefusedVersionIsNotBelievedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := replica.New(replica.Options{})
@@ -65,9 +65,8 @@
 	})
 }
 
-// A replica begins to leave. The sign comes by a reply, by the list, or from another host, in any order;
-// after any one of them a donor's search must not be sent there. The same address comes back with a new
-// process, which must get work.
+// A replica starts to drain. This becomes known by a reply, the platform's list or another host; after any of these no
+// query may be sent to it. A new process at the same address must get queries.
 func TestLeavingReplicaGetsNoWork(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -91,7 +90,7 @@
 			qt.Assert(t, table.View().Versions, qt.HasLen, 0)
 			qt.Assert(t, signs, qt.DeepEquals, []string{test.name})
 
-			// The list lags and still calls it live; what was seen stands.
+			// An outdated list still names it live; it stays draining.
 			table.Update(rows(1))
 			qt.Assert(t, table.View().Replicas, qt.HasLen, 0)
 
@@ -105,9 +104,8 @@
 	}
 }
 
-// A health endpoint calls a replica leaving while the replica serves. If the claim were final, one lying
-// endpoint would take a replica out for good; it counts only while nothing better is known, and only as
-// long as it is repeated.
+// A health endpoint reports a serving replica as draining. If that were final, one faulty endpoint would remove a
+// replica for good; it counts only without a recent reply, and only as long as the endpoint repeats it.
 func TestClaimToBeLeavingIsNotFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := replica.New(replica.Options{})
@@ -125,9 +123,9 @@
 	})
 }
 
-// The platform comes back from an outage with an empty list, for a minute. Every replica serves all the time;
-// if the list were believed, every page in that minute would be refused. Replicas that have truly gone don't
-// answer, and are dropped; and one or two that a list omits are leaving.
+// After an outage the platform's list is empty for a minute while every replica serves; if the list were applied, every
+// query in that minute would be rejected. Replicas that have stopped don't answer and are dropped. If a list omits only
+// a few replicas, they are leaving.
 func TestShortListIsDoubted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		doubts := 0
@@ -154,8 +152,9 @@
 	})
 }
 
-// A replica was replaced by a new process at its address, and the list names both for a while. If each row
-// were taken in turn, the new one would be unknown again at every reading, its shard thin for good.
+// A new process replaces a replica at its address, and the list names both for a while. If both rows were applied in
+// turn, each update would discard the state of the new process, and its shard would lack a replica as long as both are
+// listed.
 func TestTwoProcessesListedAtOneAddress(t *testing.T) {
 	table := replica.New(replica.Options{})
 	table.Update(rows(1))
