--- a/entry/internal/replicatest/doc.go
+++ b/entry/internal/replicatest/doc.go
@@ -1,3 +1,3 @@
-// Package replicatest plays replicas over in-memory connections, so that tests of what is sent to them run in virtual
-// time.
+// Package replicatest simulates replicas over in-memory connections, so that tests of the requests to them run in the
+// virtual time of synctest.
 package replicatest
--- a/entry/internal/replicatest/farm.go
+++ b/entry/internal/replicatest/farm.go
@@ -17,25 +17,25 @@
 	"guavaspring.org/platform/platformtest"
 )
 
-// Answer is what a replica does with one request.
+// Answer describes how a replica handles one request.
 type Answer struct {
-	// After is how long it works.
+	// After is the processing time.
 	After time.Duration
-	// Raw is written as it is; where it is empty the connection breaks without a reply.
+	// Raw is the reply, written unchanged. If it is empty, the connection is closed without a reply.
 	Raw []byte
-	// Late is written on the same connection LateAfter the reply.
+	// Late is written on the same connection, LateAfter after the reply.
 	Late      []byte
 	LateAfter time.Duration
-	// NotRun says that the request did not run, and Silent that nothing ever comes.
+	// NotRun is set if the request does not run. Silent leaves the connection open without a reply.
 	NotRun, Silent bool
-	// Close ends the connection after the reply.
+	// Close closes the connection after the reply.
 	Close bool
-	// CrashFor takes the replica down after the work instead of a reply: all its connections break, and new ones are
-	// refused for so long.
+	// CrashFor crashes the replica instead of a reply, after the processing time: all its connections break, and new
+	// ones are refused for this time.
 	CrashFor time.Duration
 }
 
-// Replica is one replica that answers as Handle says.
+// Replica is one simulated replica. Handle returns its answer to a request.
 type Replica struct {
 	Row    platform.Replica
 	Handle func(r *http.Request, body []byte) Answer
@@ -44,7 +44,7 @@
 	runs     []string
 	arrivals int
 	crashes  int
-	// downUntil is when a replica that crashed accepts connections again, conns holds those that are open.
+	// downUntil is when a crashed replica accepts connections again; conns holds the open connections.
 	downUntil time.Time
 	conns     map[net.Conn]bool
 }
@@ -56,21 +56,21 @@
 	return append([]string(nil), r.runs...)
 }
 
-// Arrivals returns how many requests came, those that did not run included.
+// Arrivals returns the number of requests received, including those that did not run.
 func (r *Replica) Arrivals() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.arrivals
 }
 
-// TurnedAway returns how many requests came that did not run.
+// TurnedAway returns the number of requests received that did not run.
 func (r *Replica) TurnedAway() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.arrivals - len(r.runs)
 }
 
-// Crashes returns how often the replica went down.
+// Crashes returns the number of crashes of the replica.
 func (r *Replica) Crashes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	clear(r.conns)
 }
 
-// open takes a new connection, unless the replica is down.
+// open registers a new connection and reports whether the replica accepts it; a crashed replica does not.
 func (r *Replica) open(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,14 +106,14 @@
 	delete(r.conns, c)
 }
 
-// Farm holds replicas by address.
+// Farm is a set of simulated replicas, by address.
 type Farm struct {
 	mu       sync.Mutex
 	replicas map[netip.AddrPort]*Replica
 	dark     map[netip.AddrPort]bool
 	dials    int
 	conns    []net.Conn
-	// DialTime is how long a new connection takes.
+	// DialTime is the time to open a connection.
 	DialTime time.Duration
 }
 
@@ -122,7 +122,7 @@
 	return &Farm{replicas: map[netip.AddrPort]*Replica{}, dark: map[netip.AddrPort]bool{}}
 }
 
-// Add adds replica n of a service, which answers as handle says.
+// Add adds replica n of a service, whose answers are those of handle.
 func (f *Farm) Add(service string, n int, handle func(r *http.Request, body []byte) Answer) *Replica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,21 +132,21 @@
 	return r
 }
 
-// Dark makes the replica's address silent: connections to it hang.
+// Dark makes the replica's address unresponsive: new connections to it block until the context of the dial ends.
 func (f *Farm) Dark(r *Replica) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dark[r.Row.Addr] = true
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of dials, including those that failed.
 func (f *Farm) Dials() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dials
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (f *Farm) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// Batch returns the list of all replicas.
+// Batch returns all replicas as a batch of the platform's feed.
 func (f *Farm) Batch() feed.Batch[platform.Replica] {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,7 +208,7 @@
 			return
 		}
 		if a.Silent {
-			// The connection stays open and says nothing more.
+			// The connection stays open without a reply until the client closes it.
 			_, _ = io.Copy(io.Discard, br)
 			return
 		}
@@ -233,7 +233,7 @@
 	}
 }
 
-// OK answers with a body after some time; the stamp names the replica and the request.
+// OK returns a handler that replies with the body after a delay. The reply's stamp is name and the request id.
 func OK(name string, after time.Duration, body string) func(*http.Request, []byte) Answer {
 	return func(req *http.Request, _ []byte) Answer {
 		id := platformtest.Read(req).ID
@@ -241,24 +241,24 @@
 	}
 }
 
-// Broken runs the request and loses the answer.
+// Broken returns a handler that runs the request and closes the connection without a reply.
 func Broken(after time.Duration) func(*http.Request, []byte) Answer {
 	return func(*http.Request, []byte) Answer { return Answer{After: after} }
 }
 
-// Crash takes the replica down after some time of work.
+// Crash returns a handler that crashes the replica after a delay, for the time down.
 func Crash(after, down time.Duration) func(*http.Request, []byte) Answer {
 	return func(*http.Request, []byte) Answer { return Answer{After: after, CrashFor: down} }
 }
 
-// Full refuses each request without running it.
+// Full returns a handler that sheds each request without running it.
 func Full() func(*http.Request, []byte) Answer {
 	return func(req *http.Request, _ []byte) Answer {
 		return Answer{NotRun: true, Raw: platformtest.NotRun(platformtest.Read(req).ID)}
 	}
 }
 
-// Misdirected answers that another replica has the address.
+// Misdirected returns a handler that replies that the address belongs to another replica.
 func Misdirected() func(*http.Request, []byte) Answer {
 	return func(req *http.Request, _ []byte) Answer {
 		return Answer{NotRun: true, Raw: platformtest.Misdirected(platformtest.Read(req).ID)}
