--- a/entry/internal/fanout/answered_test.go
+++ b/entry/internal/fanout/answered_test.go
@@ -13,13 +13,13 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// If the replicas of a shard are full, a query spends most of its time on the host, before the attempt that is answered.
-// If only that attempt is measured, admission takes the upstream for idle and admits more queries, which delay the
-// others.
+// If the replicas of a shard are full, a query spends most of its time on the host, before the attempt that is
+// answered. If only that attempt is measured, admission takes the upstream for idle and admits more queries, which
+// delay the others.
 func TestTimeOfAShardCountsFromTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tries, took := 0, []time.Duration(nil)
-		s := &sent{}
+		s := &fakeSender{}
 		runner := fanout.New(fanout.Options{
 			Clock: clock.System{}, Answered: func(d time.Duration) { took = append(took, d) },
 			Send: s.send(func(*replica.Replica) (upstream.Kind, time.Duration) {
--- a/entry/internal/fanout/crash_test.go
+++ b/entry/internal/fanout/crash_test.go
@@ -15,13 +15,13 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-// A crash of one replica of each shard breaks the attempts of twelve queries at once, and new connections are refused for
-// some milliseconds more. Every shard has two healthy replicas left, but forty attempts fail at once and the retry
+// A crash of one replica of each shard breaks the attempts of twelve queries at once, and new connections are refused
+// for some milliseconds more. Every shard has two healthy replicas left, but forty attempts fail at once and the retry
 // budget holds ten, so charging them all to the budget would leave shards missing from the responses.
 func TestCrashSpendsNoRetryBudget(t *testing.T) {
 	for _, kind := range []upstream.Kind{upstream.KindBroken, upstream.KindNotSent} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &sent{}
+			s := &fakeSender{}
 			runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: s.send(func(r *replica.Replica) (upstream.Kind, time.Duration) {
 				if strings.HasSuffix(r.ID, ".0") {
 					return kind, 5 * ms
@@ -46,11 +46,11 @@
 	}
 }
 
-// Every replica breaks its attempts, as in an overload in which all fail after the work is done. Retries without a budget
-// would double the load for as long as the overload lasts.
+// Every replica breaks its attempts, as in an overload in which all fail after the work is done. Retries without a
+// budget would double the load for as long as the overload lasts.
 func TestBreaksOfEveryReplicaAreNotSentAgainForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sent{}
+		s := &fakeSender{}
 		runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: s.send(func(*replica.Replica) (upstream.Kind, time.Duration) {
 			return upstream.KindBroken, ms
 		})})
--- a/entry/internal/fanout/fanout.go
+++ b/entry/internal/fanout/fanout.go
@@ -34,9 +34,9 @@
 	WhatReplan = "replan"
 )
 
-// spareDecisions is the capacity reserved for decisions beyond the first attempts, so that the slice of a usual query is
-// not reallocated.
-const spareDecisions = 8
+// extraDecisions is the capacity reserved for decisions beyond the first attempts, so that the slice of a usual query
+// is not reallocated.
+const extraDecisions = 8
 
 // Options configures a Runner.
 type Options struct {
@@ -122,19 +122,19 @@
 	run.policy.SetQuantile(doc.Hedge.Quantile, doc.Hedge.BudgetPercent)
 	run.hedges.Earn(len(req.Map.Holders), doc.Hedge.BudgetPercent)
 	run.retries.Earn(len(req.Map.Holders), doc.Retry.BudgetPercent)
-	q := &query{run: run, req: req, ctx: ctx, body: body, slots: doc.Upstream.Slots, now: run.opts.Clock.Now(), decisions: make([]explain.Decision, 0, len(req.Map.Holders)+spareDecisions)}
+	q := &query{run: run, req: req, ctx: ctx, body: body, slots: doc.Upstream.Slots, now: run.opts.Clock.Now(), decisions: make([]explain.Decision, 0, len(req.Map.Holders)+extraDecisions)}
 	first := newPlan(q, req.Map, "")
 	first.collect()
-	if !first.lost {
+	if !first.needsReplan {
 		return first.finish("")
 	}
 	next, ok := q.replan(req.Map)
 	if !ok {
-		first.lost = false
+		first.needsReplan = false
 		first.collect()
 		return first.finish("")
 	}
-	return q.better(first, newPlan(q, next, "b"))
+	return q.finishReplanned(first, newPlan(q, next, "b"))
 }
 
 // query is the state of one run, owned by the goroutine that called Run.
@@ -165,9 +165,9 @@
 	return vm, true
 }
 
-// better runs the second plan and returns the report with the higher coverage. The two are never merged, since their
-// hits are of different snapshots.
-func (q *query) better(first, second *plan) Report {
+// finishReplanned runs the second plan and returns the report with the higher coverage. The two are never merged, since
+// their hits are of different snapshots.
+func (q *query) finishReplanned(first, second *plan) Report {
 	a := first.finish("the query was started again")
 	second.collect()
 	b := second.finish("")
--- a/entry/internal/fanout/fanout_test.go
+++ b/entry/internal/fanout/fanout_test.go
@@ -41,16 +41,16 @@
 	return t
 }
 
-// answerer returns the kind of a reply and the delay before it; a negative delay means never.
-type answerer func(r *replica.Replica) (upstream.Kind, time.Duration)
+// replyFunc returns the kind of a reply and the delay before it; a negative delay means never.
+type replyFunc func(r *replica.Replica) (upstream.Kind, time.Duration)
 
-type sent struct {
+type fakeSender struct {
 	mu       sync.Mutex
 	to       []string
 	canceled int
 }
 
-func (s *sent) send(answer answerer) func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
+func (s *fakeSender) send(answer replyFunc) func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
 	return func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
 		s.mu.Lock()
 		s.to = append(s.to, r.ID)
@@ -86,7 +86,7 @@
 // first one, since callers would repeat a query with an empty response. If all shards have failed, the response is sent
 // at once.
 func TestWhenTheAnswerGoesOut(t *testing.T) {
-	late := func(shard string, d time.Duration) answerer {
+	late := func(shard string, d time.Duration) replyFunc {
 		return func(r *replica.Replica) (upstream.Kind, time.Duration) {
 			if strings.HasPrefix(r.ID, shard) {
 				return upstream.KindOK, d
@@ -94,10 +94,10 @@
 			return upstream.KindOK, 5 * ms
 		}
 	}
-	all := func(kind upstream.Kind, d time.Duration) answerer {
+	all := func(kind upstream.Kind, d time.Duration) replyFunc {
 		return func(*replica.Replica) (upstream.Kind, time.Duration) { return kind, d }
 	}
-	after := func(d time.Duration) answerer {
+	after := func(d time.Duration) replyFunc {
 		return func(r *replica.Replica) (upstream.Kind, time.Duration) {
 			return upstream.KindOK, d + time.Duration(r.ID[0]-'0')*ms
 		}
@@ -105,7 +105,7 @@
 	for _, test := range []struct {
 		name     string
 		prefer   document.Preference
-		answer   answerer
+		answer   replyFunc
 		want     time.Duration
 		answered int
 	}{
@@ -118,7 +118,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &sent{}
+				s := &fakeSender{}
 				runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: s.send(test.answer)})
 				rep, took := run(t, runner, table(4), func(req *fanout.Request) {
 					req.Document.Prefer = test.prefer
@@ -133,12 +133,12 @@
 	}
 }
 
-// A failed attempt is retried at the shard's other replicas, once each and never at the same one again, and the failures
-// don't affect the other shards.
+// A failed attempt is retried at the shard's other replicas, once each and never at the same one again, and the
+// failures don't affect the other shards.
 func TestRetriesGoElsewhere(t *testing.T) {
 	for _, kind := range []upstream.Kind{upstream.KindBroken, upstream.KindShed, upstream.KindDraining, upstream.KindError, upstream.KindForeign, upstream.KindNotSent} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &sent{}
+			s := &fakeSender{}
 			runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: s.send(func(r *replica.Replica) (upstream.Kind, time.Duration) {
 				if r.ID == "1.2" || strings.HasPrefix(r.ID, "0.") {
 					return upstream.KindOK, 5 * ms
@@ -153,9 +153,9 @@
 	}
 }
 
-// If one attempt hangs, a hedge answers in its place, the hanging attempt is canceled so that it frees its slot, and the
-// response takes the hedge delay and one reply time. A suspect request is not hedged, since it might crash two replicas
-// at once.
+// If one attempt hangs, a hedge answers in its place, the hanging attempt is canceled so that it frees its slot, and
+// the response takes the hedge delay and one reply time. A suspect request is not hedged, since it might crash two
+// replicas at once.
 func TestSecondTry(t *testing.T) {
 	for _, test := range []struct {
 		suspect bool
@@ -163,7 +163,7 @@
 		extra   int
 	}{{false, 10 * ms, 1}, {true, 100 * ms, 0}} {
 		synctest.Test(t, func(t *testing.T) {
-			s, stuck := &sent{}, false
+			s, stuck := &fakeSender{}, false
 			runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: s.send(func(r *replica.Replica) (upstream.Kind, time.Duration) {
 				if stuck && strings.HasPrefix(r.ID, "3.") {
 					stuck = false
@@ -187,12 +187,12 @@
 	}
 }
 
-// Two of a shard's three replicas become unresponsive together, and the hedge goes to the second of them. Without a third
-// attempt, the shard would be missing from the response although its third replica answers at once.
+// Two of a shard's three replicas become unresponsive together, and the hedge goes to the second of them. Without a
+// third attempt, the shard would be missing from the response although its third replica answers at once.
 func TestThirdTryWhereTwoAreSilent(t *testing.T) {
 	for first := range 3 {
 		synctest.Test(t, func(t *testing.T) {
-			s, silent := &sent{}, false
+			s, silent := &fakeSender{}, false
 			runner := fanout.New(fanout.Options{Clock: clock.System{}, IntN: func(n int) int { return first % n }, Send: s.send(func(r *replica.Replica) (upstream.Kind, time.Duration) {
 				if silent && (r.ID == "3.0" || r.ID == "3.1") {
 					return upstream.KindOK, -1
--- a/entry/internal/fanout/hedging.go
+++ b/entry/internal/fanout/hedging.go
@@ -17,14 +17,14 @@
 			late++
 		}
 	}
-	again := p.crowded
-	p.crowded = late > 0
+	again := p.hadLate
+	p.hadLate = late > 0
 	if late == 0 || !p.run.policy.Allow(late, p.answered, len(p.shards), again) {
 		return
 	}
 	for i := range p.shards {
 		if p.shards[i].late(p.now, delay) {
-			p.second(i, delay)
+			p.sendHedge(i, delay)
 		}
 	}
 }
@@ -32,13 +32,13 @@
 // late reports whether the last attempt of the shard has run for the delay, doubled for each other attempt in flight. A
 // hedge can be late too: its replica may have become unresponsive together with the first.
 func (s *shard) late(now time.Time, delay time.Duration) bool {
-	if s.closed || s.inflight == 0 || s.n >= maxTries {
+	if s.closed || s.inflight == 0 || s.n >= maxAttempts {
 		return false
 	}
 	return now.Sub(s.began[s.n-1]) >= delay<<(s.inflight-1)
 }
 
-func (p *plan) second(i int, delay time.Duration) {
+func (p *plan) sendHedge(i int, delay time.Duration) {
 	s := &p.shards[i]
 	r, verdict := choice.Pick(p.run.opts.IntN, p.now, p.vm.Holders[i], s.tried())
 	if verdict != choice.Found || !r.Eject.In() || !p.timeLeft() {
--- a/entry/internal/fanout/plan.go
+++ b/entry/internal/fanout/plan.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxTries bounds the attempts of a shard in one round: the first, a hedge or retry, and one more.
-	maxTries = 3
-	// lostShare is the share of shards whose replicas dropped the index version above which a query that prefers
+	// maxAttempts bounds the attempts of a shard in one round: the first, a hedge or retry, and one more.
+	maxAttempts = 3
+	// replanShare is the share of shards whose replicas dropped the index version above which a query that prefers
 	// latency is restarted. A query that prefers coverage is restarted at the first such shard.
-	lostShare = 0.1
+	replanShare = 0.1
 )
 
 // plan is one run of a query over the shard map of one index version.
@@ -30,44 +30,46 @@
 	results chan *result
 	// open counts the pending shards, answered those with a reply, waiting those queued for a free replica.
 	open, answered, waiting int
-	// took is the sum of the durations of the successful attempts.
-	took time.Duration
-	// gone counts the shards given up after a replica rejected the index version.
-	gone int
-	// lost is set when so many shards are gone that the query should be restarted.
-	lost bool
+	// totalTook is the sum of the durations of the successful attempts.
+	totalTook time.Duration
+	// goneShards counts the shards given up after a replica rejected the index version.
+	goneShards int
+	// needsReplan is set when so many shards are gone that the query should be restarted.
+	needsReplan bool
 	// busy is set when a shard was given up because its replicas were at their limits.
 	busy bool
-	// crowded is set if shards were late at the last check for hedges.
-	crowded bool
-	// soft is set once the soft deadline has passed; the plan then ends as soon as one shard has answered.
-	soft bool
-	// holds and split are the prefix and suffix of this plan's index version and shard count in a reply's holdings header.
-	holds, split string
-
-	// hedgeAt and lookAt are the times of the next check of late and of waiting shards; zero means never.
-	hedgeAt, lookAt time.Time
-	wake            <-chan time.Time
-	wakeAt          time.Time
+	// hadLate is set if shards were late at the last check for hedges.
+	hadLate bool
+	// softPassed is set once the soft deadline has passed; the plan then ends as soon as one shard has answered.
+	softPassed bool
+	// holdingPrefix and holdingSuffix are the prefix and suffix of this plan's index version and shard count in a
+	// reply's holdings header.
+	holdingPrefix, holdingSuffix string
+
+	// hedgeAt and recheckAt are the times of the next check of late and of waiting shards; zero means never.
+	hedgeAt, recheckAt time.Time
+	wake               <-chan time.Time
+	wakeAt             time.Time
 }
 
 type shard struct {
-	tries    [maxTries]*replica.Replica
-	began    [maxTries]time.Time
-	ended    [maxTries]bool
+	attempts [maxAttempts]*replica.Replica
+	began    [maxAttempts]time.Time
+	ended    [maxAttempts]bool
 	n        int
 	inflight int
 	// sent counts all attempts, while n starts again at zero with each round.
 	sent int
 	// rounds counts the rounds in which replicas shed the shard and none was left, next is the time of the next round.
-	rounds int
-	next   time.Time
-	ctx    context.Context
-	cancel context.CancelFunc
-	// wait is the name of the decision that waits for a free replica, empty if none does, and why is its reason.
-	wait, why string
-	closed    bool
-	answered  bool
+	rounds    int
+	nextRound time.Time
+	ctx       context.Context
+	cancel    context.CancelFunc
+	// waitDecision is the name of the decision that waits for a free replica, empty if none does, and waitReason is its
+	// reason.
+	waitDecision, waitReason string
+	closed                   bool
+	answered                 bool
 	// gone is set if a replica rejected the index version, shed if one shed an attempt.
 	gone, shed bool
 	// failure is the kind of the last failed attempt.
@@ -75,9 +77,9 @@
 	hits    []upstream.Hit
 }
 
-func (s *shard) tried() []*replica.Replica { return s.tries[:s.n] }
+func (s *shard) tried() []*replica.Replica { return s.attempts[:s.n] }
 
-// result is the end of attempt k of a shard; k is the constant trial for a probe.
+// result is the end of attempt k of a shard; k is probeIndex for a probe.
 type result struct {
 	shard, k int
 	replica  *replica.Replica
@@ -85,22 +87,22 @@
 	took     time.Duration
 }
 
-const trial = -1
+const probeIndex = -1
 
 // newPlan sends the first attempt of every shard. The suffix distinguishes the attempt ids of two plans of one query.
 func newPlan(q *query, vm replica.VersionMap, suffix string) *plan {
 	n := len(vm.Holders)
 	p := &plan{
-		query: q, vm: vm, id: q.req.ID + suffix, began: q.now, shards: make([]shard, n), results: make(chan *result, n*(maxTries+1)), open: n,
-		holds: strconv.FormatInt(vm.Version, 10) + "=", split: "/" + strconv.Itoa(n),
+		query: q, vm: vm, id: q.req.ID + suffix, began: q.now, shards: make([]shard, n), results: make(chan *result, n*(maxAttempts+1)), open: n,
+		holdingPrefix: strconv.FormatInt(vm.Version, 10) + "=", holdingSuffix: "/" + strconv.Itoa(n),
 	}
 	p.ctx, p.cancel = context.WithCancel(q.ctx)
 	if delay := q.run.policy.Delay(); delay > 0 && !q.req.Suspect && q.req.Document.Hedge.BudgetPercent > 0 {
 		p.hedgeAt = q.now.Add(delay)
 	}
 	for i := range p.shards {
-		p.try(i, WhatRoute, "")
-		p.trial(i)
+		p.attempt(i, WhatRoute, "")
+		p.sendProbe(i)
 	}
 	return p
 }
@@ -108,16 +110,16 @@
 // collect handles results until no shard is pending, the deadline passes, or the query has to be restarted. After the
 // soft deadline it ends with the first answer.
 func (p *plan) collect() {
-	for p.open > 0 && !p.lost && (!p.soft || p.answered == 0) {
+	for p.open > 0 && !p.needsReplan && (!p.softPassed || p.answered == 0) {
 		select {
 		case got := <-p.results:
 			p.now = p.run.opts.Clock.Now()
-			p.take(got)
+			p.handleResult(got)
 			p.drain()
-		case <-p.alarm():
+		case <-p.nextTimer():
 			p.wake = nil
 			p.now = p.run.opts.Clock.Now()
-			p.tick()
+			p.handleTimer()
 		case <-p.ctx.Done():
 			p.now = p.run.opts.Clock.Now()
 			return
@@ -127,21 +129,21 @@
 
 // drain handles all queued results without reading the clock and the timers for each.
 func (p *plan) drain() {
-	for p.open > 0 && !p.lost {
+	for p.open > 0 && !p.needsReplan {
 		select {
 		case got := <-p.results:
-			p.take(got)
+			p.handleResult(got)
 		default:
 			return
 		}
 	}
 }
 
-// alarm returns a channel that receives at the next check for hedges, check of waiting shards or soft deadline.
-func (p *plan) alarm() <-chan time.Time {
-	next := earliest(p.hedgeAt, p.lookAt)
-	if p.req.Document.Prefer == document.PreferLatency && !p.soft {
-		next = earliest(next, p.softAt())
+// nextTimer returns a channel that receives at the next check for hedges, check of waiting shards or soft deadline.
+func (p *plan) nextTimer() <-chan time.Time {
+	next := earliest(p.hedgeAt, p.recheckAt)
+	if p.req.Document.Prefer == document.PreferLatency && !p.softPassed {
+		next = earliest(next, p.softDeadline())
 	}
 	if next.IsZero() {
 		return nil
@@ -152,15 +154,15 @@
 	return p.wake
 }
 
-func (p *plan) softAt() time.Time { return p.req.Arrived.Add(p.req.Document.Deadline.Soft.Std()) }
+func (p *plan) softDeadline() time.Time { return p.req.Arrived.Add(p.req.Document.Deadline.Soft.Std()) }
 
-func (p *plan) tick() {
-	if p.req.Document.Prefer == document.PreferLatency && !p.now.Before(p.softAt()) {
-		p.soft = true
+func (p *plan) handleTimer() {
+	if p.req.Document.Prefer == document.PreferLatency && !p.now.Before(p.softDeadline()) {
+		p.softPassed = true
 	}
-	if !p.lookAt.IsZero() && !p.now.Before(p.lookAt) {
-		p.lookAt = time.Time{}
-		p.look()
+	if !p.recheckAt.IsZero() && !p.now.Before(p.recheckAt) {
+		p.recheckAt = time.Time{}
+		p.recheckWaiting()
 	}
 	if !p.hedgeAt.IsZero() && !p.now.Before(p.hedgeAt) {
 		p.hedge()
--- a/entry/internal/fanout/report.go
+++ b/entry/internal/fanout/report.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// retryBusy is the retry delay for callers if replicas were at their limits: a few reply times later the burst is
-	// over, or the host rejects requests at admission.
-	retryBusy = 50 * time.Millisecond
-	// retryLost is the retry delay for callers if replicas failed: the host ejects a failing replica within a few
-	// attempts, and probes it after a second.
-	retryLost = 500 * time.Millisecond
+	// retryAfterBusy is the retry delay for callers if replicas were at their limits: a few reply times later the burst
+	// is over, or the host rejects requests at admission.
+	retryAfterBusy = 50 * time.Millisecond
+	// retryAfterFailure is the retry delay for callers if replicas failed: the host ejects a failing replica within a
+	// few attempts, and probes it after a second.
+	retryAfterFailure = 500 * time.Millisecond
 )
 
 // finish cancels the running attempts and reports the missing shards. If why is empty, their reason is the deadline or
 // the cancellation that ended the plan.
 func (p *plan) finish(why string) Report {
 	if why == "" {
-		why = p.ended()
+		why = p.endReason()
 	}
 	cov := caller.Coverage{Shards: len(p.shards)}
 	for i := range p.shards {
@@ -33,7 +33,7 @@
 		cov.Missing = append(cov.Missing, i)
 		if !s.closed {
 			p.judgeRunning(i)
-			p.decide(WhatMiss, i, nil, join(s.wait, why))
+			p.decide(WhatMiss, i, nil, join(s.waitDecision, why))
 		}
 	}
 	p.cancel()
@@ -47,11 +47,11 @@
 	}
 }
 
-func (p *plan) ended() string {
+func (p *plan) endReason() string {
 	switch {
 	case errors.Is(p.ctx.Err(), context.Canceled):
 		return "the caller went away"
-	case p.soft:
+	case p.softPassed:
 		return "the soft deadline passed"
 	default:
 		return "the deadline passed"
@@ -63,8 +63,8 @@
 	case cov.Answered == cov.Shards:
 		return 0
 	case p.busy:
-		return retryBusy
+		return retryAfterBusy
 	default:
-		return retryLost
+		return retryAfterFailure
 	}
 }
--- a/entry/internal/fanout/results.go
+++ b/entry/internal/fanout/results.go
@@ -10,9 +10,9 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-func (p *plan) take(got *result) {
+func (p *plan) handleResult(got *result) {
 	s := &p.shards[got.shard]
-	if got.k != trial {
+	if got.k != probeIndex {
 		s.inflight--
 		s.ended[got.k] = true
 		p.judge(got)
@@ -20,23 +20,23 @@
 	if s.closed {
 		return
 	}
-	res := p.checked(got.res)
+	res := p.checkHoldings(got.res)
 	if res.Kind == upstream.KindOK {
 		s.answered, s.hits = true, res.Query.Hits
 		p.answered++
-		p.took += got.took
+		p.totalTook += got.took
 		p.run.opts.Answered(p.now.Sub(p.began))
-		p.beaten(got)
+		p.strikeOvertaken(got)
 		p.close(got.shard)
 		return
 	}
-	if got.k != trial && !s.closed {
-		p.failed(got.shard, got.replica, res)
+	if got.k != probeIndex && !s.closed {
+		p.retryOrMiss(got.shard, got.replica, res)
 	}
 }
 
-// failed retries the shard at another replica, or gives it up at once if a retry can't succeed.
-func (p *plan) failed(i int, r *replica.Replica, res upstream.Result) {
+// retryOrMiss retries the shard at another replica, or gives it up at once if a retry can't succeed.
+func (p *plan) retryOrMiss(i int, r *replica.Replica, res upstream.Result) {
 	s := &p.shards[i]
 	s.gone = s.gone || res.Kind == upstream.KindVersionGone
 	s.shed = s.shed || res.Kind == upstream.KindShed
@@ -45,31 +45,31 @@
 	switch {
 	case s.inflight > 0 && s.n > 1:
 		// Another attempt is in flight.
-	case s.n >= maxTries && s.inflight > 0:
-	case s.n >= maxTries && s.shed:
-		p.again(i, why)
-	case s.n >= maxTries:
+	case s.n >= maxAttempts && s.inflight > 0:
+	case s.n >= maxAttempts && s.shed:
+		p.startRound(i, why)
+	case s.n >= maxAttempts:
 		p.miss(i, r, join(why, "three tries failed"))
 	case p.req.Suspect && !res.Kind.NotRun():
 		p.miss(i, r, join(why, "the request may be the cause, and isn't sent again"))
 	case !p.timeLeft():
 		p.miss(i, r, join(why, "too little time is left for another try"))
 	default:
-		p.try(i, WhatRetry, why)
+		p.attempt(i, WhatRetry, why)
 	}
 }
 
-// checked marks a reply from another shard map as foreign. If a replica is resharded under the same index version, its
-// reply would otherwise mix two partitionings: some items would appear twice in the response, some never.
-func (p *plan) checked(res upstream.Result) upstream.Result {
+// checkHoldings marks a reply from another shard map as foreign. If a replica is resharded under the same index
+// version, its reply would otherwise mix two partitionings: some items would appear twice in the response, some never.
+func (p *plan) checkHoldings(res upstream.Result) upstream.Result {
 	if res.Kind != upstream.KindOK {
 		return res
 	}
 	for rest := res.Holdings; rest != ""; {
 		var part string
 		part, rest, _ = strings.Cut(rest, ",")
-		if strings.HasPrefix(part, p.holds) && !strings.HasSuffix(part, p.split) {
-			res.Kind, res.Detail = upstream.KindForeign, "the replica holds "+part+", not a map of "+p.split[1:]+" shards"
+		if strings.HasPrefix(part, p.holdingPrefix) && !strings.HasSuffix(part, p.holdingSuffix) {
+			res.Kind, res.Detail = upstream.KindForeign, "the replica holds "+part+", not a map of "+p.holdingSuffix[1:]+" shards"
 			return res
 		}
 	}
@@ -80,7 +80,7 @@
 func (p *plan) judge(got *result) {
 	switch got.res.Kind {
 	case upstream.KindOK, upstream.KindCanceled:
-		p.run.judge(got, p.usual(), p.vm.Holders[got.shard], p.now)
+		p.run.recordSpeed(got, p.usual(), p.vm.Holders[got.shard], p.now)
 	case upstream.KindBroken, upstream.KindForeign, upstream.KindError, upstream.KindNotSent:
 		p.run.strike(got.replica, p.now, got.res.Detail)
 	}
@@ -92,7 +92,7 @@
 	if p.answered < 2 || 2*p.answered < len(p.shards) {
 		return p.run.policy.Median()
 	}
-	return p.took / time.Duration(p.answered)
+	return p.totalTook / time.Duration(p.answered)
 }
 
 func (p *plan) miss(i int, r *replica.Replica, why string) {
@@ -101,15 +101,15 @@
 	if !p.shards[i].gone {
 		return
 	}
-	p.gone++
-	share := float64(p.gone) / float64(len(p.shards))
-	p.lost = !p.replanned && (p.req.Document.Prefer == document.PreferCoverage || share > lostShare)
+	p.goneShards++
+	share := float64(p.goneShards) / float64(len(p.shards))
+	p.needsReplan = !p.replanned && (p.req.Document.Prefer == document.PreferCoverage || share > replanShare)
 }
 
 // close ends a shard and cancels its running attempts, so that its replicas are free for other queries.
 func (p *plan) close(i int) {
 	s := &p.shards[i]
-	p.release(s)
+	p.stopWaiting(s)
 	s.closed = true
 	p.open--
 	if s.inflight == 0 {
@@ -119,15 +119,15 @@
 	s.cancel()
 }
 
-// beaten records a strike against each replica that was overtaken by a later attempt. Its attempt is canceled long before
-// its age counts as slow, so without the strike a slow replica would stay in rotation and delay every query that it
-// gets by the hedge delay.
-func (p *plan) beaten(got *result) {
+// strikeOvertaken records a strike against each replica that was overtaken by a later attempt. Its attempt is canceled
+// long before its age counts as slow, so without the strike a slow replica would stay in rotation and delay every query
+// that it gets by the hedge delay.
+func (p *plan) strikeOvertaken(got *result) {
 	s := &p.shards[got.shard]
 	for k := range got.k {
 		if !s.ended[k] {
 			s.ended[k] = true
-			p.run.strike(s.tries[k], p.now, "a second try was quicker, though sent later")
+			p.run.strike(s.attempts[k], p.now, "a second try was quicker, though sent later")
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		if !s.ended[k] {
 			s.ended[k] = true
 			age := p.now.Sub(s.began[k])
-			p.run.judge(&result{shard: i, replica: s.tries[k], res: upstream.Result{Kind: upstream.KindCanceled}, took: age}, p.usual(), p.vm.Holders[i], p.now)
+			p.run.recordSpeed(&result{shard: i, replica: s.attempts[k], res: upstream.Result{Kind: upstream.KindCanceled}, took: age}, p.usual(), p.vm.Holders[i], p.now)
 		}
 	}
 }
@@ -152,10 +152,10 @@
 	return why + ": " + then
 }
 
-// slowOf reports whether an attempt of this duration was slow compared with the query's other shards, while another
+// isSlow reports whether an attempt of this duration was slow compared with the query's other shards, while another
 // replica of the same shard is faster. Without the second condition, a shard that is slow at every replica would have
 // all of them ejected.
-func slowOf(r *replica.Replica, took, usual time.Duration, holders []*replica.Replica, now time.Time) bool {
+func isSlow(r *replica.Replica, took, usual time.Duration, holders []*replica.Replica, now time.Time) bool {
 	if !eject.Slow(took, usual) {
 		return false
 	}
