--- a/entry/internal/fanout/record.go
+++ b/entry/internal/fanout/record.go
@@ -40,9 +40,9 @@
 func (run *Runner) recordSpeed(got *result, usual time.Duration, holders []*replica.Replica, now time.Time) {
 	switch {
 	case isSlow(got.replica, got.took, usual, holders, now):
-		run.strike(got.replica, now, "slow: "+got.took.String()+", where others of the query take "+usual.String())
+		run.strike(got.replica, now, "slow attempt: "+got.took.String()+"; usual is "+usual.String())
 	case got.res.Kind == upstream.KindOK:
-		run.recordSuccess(got.replica, "an answer in good time")
+		run.recordSuccess(got.replica, "a reply within the usual time")
 	}
 }
 
@@ -68,9 +68,9 @@
 	case res.Kind == upstream.KindOK && (usual == 0 || took <= probeFactor*usual+probeFloor):
 		r.SetLatency(took)
 		r.Limit.Reset()
-		run.recordSuccess(r, "a single try was answered in "+took.String())
+		run.recordSuccess(r, "probe answered in "+took.String())
 	default:
-		run.strike(r, run.opts.Clock.Now(), "a single try was "+string(res.Kind)+" after "+took.String()+"; usual is "+usual.String())
+		run.strike(r, run.opts.Clock.Now(), "probe ended as "+string(res.Kind)+" after "+took.String()+"; usual is "+usual.String())
 	}
 }
 
--- a/entry/internal/fanout/results.go
+++ b/entry/internal/fanout/results.go
@@ -127,7 +127,7 @@
 	for k := range got.k {
 		if !s.ended[k] {
 			s.ended[k] = true
-			p.run.strike(s.attempts[k], p.now, "a second try was quicker, though sent later")
+			p.run.strike(s.attempts[k], p.now, "overtaken by a later attempt")
 		}
 	}
 }
