--- a/entry/internal/writes/model_test.go
+++ b/entry/internal/writes/model_test.go
@@ -29,31 +29,31 @@
 	operations = 8
 	// records is the capacity of a host's book, small enough to be full at times.
 	records = 2
-	// longest is how long the book keeps the record of a short-lived ticket.
-	longest = 2*time.Minute + 2*time.Second
+	// recordLifetime is how long the book keeps the record of a short-lived ticket.
+	recordLifetime = 2*time.Minute + 2*time.Second
 )
 
-// lives are the lifetimes of tickets; a long-lived ticket outlives the records of short-lived ones.
-var lives = []time.Duration{2 * time.Second, 2 * time.Second, 5 * time.Minute}
+// ticketLifetimes are the lifetimes of tickets; a long-lived ticket outlives the records of short-lived ones.
+var ticketLifetimes = []time.Duration{2 * time.Second, 2 * time.Second, 5 * time.Minute}
 
 // offsetClock is the wall clock of a host: it differs from the others', and is set forward and back while the host
 // runs.
 type offsetClock struct {
 	clock.System
-	mu  sync.Mutex
-	off time.Duration
+	mu     sync.Mutex
+	offset time.Duration
 }
 
 func (c *offsetClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Add(c.off)
+	return time.Now().Add(c.offset)
 }
 
 func (c *offsetClock) set(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.off = d
+	c.offset = d
 }
 
 // step is one action of the model, taken after a delay.
@@ -62,15 +62,16 @@
 	what  string
 	host  int
 	op    int
-	// late is the network delay of the request; lost drops the response; twice duplicates the request.
-	late  time.Duration
-	lost  bool
-	twice bool
+	// requestDelay is the network delay of the request; dropReply drops the response; duplicate sends the request
+	// twice.
+	requestDelay time.Duration
+	dropReply    bool
+	duplicate    bool
 	// sends holds the results of the attempts of this request, in order; pause stops the host before the first byte of
 	// an attempt.
-	sends []string
-	pause time.Duration
-	off   time.Duration
+	sends       []string
+	pause       time.Duration
+	clockOffset time.Duration
 }
 
 func drawPlan(rt *rapid.T) []step {
@@ -79,31 +80,30 @@
 	}
 	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
 		return step{
-			after: rapid.OneOf(ms(50), ms(50), ms(300), ms(300), ms(4000), rapid.Just(longest)).Draw(rt, "after"),
-			what:  rapid.SampledFrom([]string{"mint", "send", "send", "send", "send", "send", "send", "restart", "set_clock"}).Draw(rt, "what"),
-			host:  rapid.IntRange(0, modelHosts-1).Draw(rt, "host"),
-			op:    rapid.IntRange(0, operations-1).Draw(rt, "op"),
-			late:  rapid.OneOf(rapid.Just(time.Duration(0)), ms(300), ms(3000)).Draw(rt, "late"),
-			lost:  rapid.Bool().Draw(rt, "lost"),
-			twice: rapid.Bool().Draw(rt, "twice"),
-			sends: rapid.SliceOfN(rapid.SampledFrom([]string{"ok", "ok", "shed", "draining", "not_sent", "refused", "crash", "lost", "late", "error"}), 3, 3).Draw(rt, "sends"),
-			pause: rapid.OneOf(rapid.Just(time.Duration(0)), ms(500)).Draw(rt, "pause"),
-			off:   rapid.OneOf(ms(1000), ms(3000), rapid.Just(-3*time.Second), rapid.Just(-time.Minute)).Draw(rt, "off"),
+			after:        rapid.OneOf(ms(50), ms(50), ms(300), ms(300), ms(4000), rapid.Just(recordLifetime)).Draw(rt, "after"),
+			what:         rapid.SampledFrom([]string{"mint", "send", "send", "send", "send", "send", "send", "restart", "set_clock"}).Draw(rt, "what"),
+			host:         rapid.IntRange(0, modelHosts-1).Draw(rt, "host"),
+			op:           rapid.IntRange(0, operations-1).Draw(rt, "op"),
+			requestDelay: rapid.OneOf(rapid.Just(time.Duration(0)), ms(300), ms(3000)).Draw(rt, "late"),
+			dropReply:    rapid.Bool().Draw(rt, "lost"),
+			duplicate:    rapid.Bool().Draw(rt, "twice"),
+			sends:        rapid.SliceOfN(rapid.SampledFrom([]string{"ok", "ok", "shed", "draining", "not_sent", "refused", "crash", "lost", "late", "error"}), 3, 3).Draw(rt, "sends"),
+			pause:        rapid.OneOf(rapid.Just(time.Duration(0)), ms(500)).Draw(rt, "pause"),
+			clockOffset:  rapid.OneOf(ms(1000), ms(3000), rapid.Just(-3*time.Second), rapid.Just(-time.Minute)).Draw(rt, "off"),
 		}
 	}), 10, 60).Draw(rt, "plan")
 }
 
-// world is the state of the model: three hosts, three replicas with a count of the runs of each write, and callers that
-// resend.
-type world struct {
-	mu      sync.Mutex
-	hosts   [modelHosts]*modelHost
-	tickets map[int]string
-	home    map[int]int
-	ran     map[string]int
-	told    map[string][]caller.WriteOutcome
-	serial  int
-	tasks   sync.WaitGroup
+// model simulates three hosts, three replicas with a count of the runs of each write, and callers that resend.
+type model struct {
+	mu       sync.Mutex
+	hosts    [modelHosts]*modelHost
+	tickets  map[int]string
+	home     map[int]int
+	ran      map[string]int
+	outcomes map[string][]caller.WriteOutcome
+	serial   int
+	tasks    sync.WaitGroup
 	// all holds every incarnation of every host, those that were restarted too.
 	all []*modelHost
 }
@@ -112,7 +112,7 @@
 	id     string
 	clock  *offsetClock
 	writer *Writer
-	gone   context.Context
+	ctx    context.Context
 	kill   context.CancelFunc
 }
 
@@ -124,10 +124,10 @@
 	pause time.Duration
 }
 
-func (w *world) boot(i int, off time.Duration) {
+func (w *model) startHost(i int, off time.Duration) {
 	w.serial++
-	h := &modelHost{id: fmt.Sprintf("H%d", w.serial), clock: &offsetClock{off: off}}
-	h.gone, h.kill = context.WithCancel(context.Background())
+	h := &modelHost{id: fmt.Sprintf("H%d", w.serial), clock: &offsetClock{offset: off}}
+	h.ctx, h.kill = context.WithCancel(context.Background())
 	h.writer = New(Options{
 		Clock: h.clock, Log: logr.Discard(), Explain: explain.New(4), NewID: func() string { return "x" },
 		Book: ticket.NewBook(h.id, records),
@@ -154,76 +154,76 @@
 
 // send follows the contract of upstream.Client: the deadline is checked again after a pause, and not_sent means that no
 // byte was sent.
-func (w *world) send(ctx context.Context, h *modelHost, id, body string) upstream.Result {
+func (w *model) send(ctx context.Context, h *modelHost, id, body string) upstream.Result {
 	p := ctx.Value(planKey{}).(plan)
 	time.Sleep(p.pause)
-	if ctx.Err() != nil || h.gone.Err() != nil {
+	if ctx.Err() != nil || h.ctx.Err() != nil {
 		return upstream.Result{Kind: upstream.KindNotSent}
 	}
 	switch what := p.sends[int(id[len(id)-1]-'1')]; what {
 	case "shed", "draining", "not_sent", "refused":
 		return upstream.Result{Kind: upstream.Kind(what)}
 	case "crash":
-		w.effect(body)
+		w.recordRun(body)
 		return upstream.Result{Kind: upstream.KindBroken}
 	case "lost":
-		w.effect(body)
+		w.recordRun(body)
 		<-ctx.Done()
 		return upstream.Result{Kind: upstream.KindCanceled}
 	case "late":
 		w.tasks.Go(func() {
 			time.Sleep(5 * time.Second)
-			w.effect(body)
+			w.recordRun(body)
 		})
 		return upstream.Result{Kind: upstream.KindBroken}
 	case "error":
 		return upstream.Result{Kind: upstream.KindError}
 	default:
 		time.Sleep(20 * time.Millisecond)
-		w.effect(body)
+		w.recordRun(body)
 		return upstream.Result{Kind: upstream.KindOK}
 	}
 }
 
-func (w *world) effect(body string) {
+func (w *model) recordRun(body string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ran[body]++
 }
 
-func (w *world) play(s step) {
+func (w *model) apply(s step) {
 	time.Sleep(s.after)
 	h := w.hosts[s.host]
 	if w.tickets[s.op] == "" && (s.what == "mint" || s.what == "send") {
 		// Any host may mint tickets for any other, by its own clock.
 		by := w.hosts[(s.host+1)%modelHosts]
-		w.tickets[s.op] = ticket.Mint(h.id, "donor-desk", by.clock.Now(), lives[s.op%len(lives)])
+		w.tickets[s.op] = ticket.Mint(h.id, "donor-desk", by.clock.Now(), ticketLifetimes[s.op%len(ticketLifetimes)])
 		w.home[s.op] = s.host
 	}
 	raw, home := w.tickets[s.op], w.home[s.op]
 	switch s.what {
 	case "restart":
 		h.kill()
-		w.boot(s.host, time.Until(h.clock.Now()))
+		w.startHost(s.host, time.Until(h.clock.Now()))
 	case "set_clock":
-		h.clock.set(s.off)
+		h.clock.set(s.clockOffset)
 	case "send":
 		// Most requests go to the host that the ticket names, the others to another host.
 		if s.op%4 != 0 {
 			h = w.hosts[home]
 		}
-		for range map[bool]int{false: 1, true: 2}[s.twice] {
+		for range map[bool]int{false: 1, true: 2}[s.duplicate] {
 			w.tasks.Go(func() { w.request(h, s, raw) })
 		}
 	}
 }
 
-func (w *world) request(h *modelHost, s step, raw string) {
-	time.Sleep(s.late)
-	if h.gone.Err() != nil {
+func (w *model) request(h *modelHost, s step, raw string) {
+	time.Sleep(s.requestDelay)
+	if h.ctx.Err() != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithValue(h.gone, planKey{}, plan{s.sends, s.pause}), 200*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.WithValue(h.ctx, planKey{}, plan{s.sends, s.pause}), 200*time.Millisecond)
 	defer cancel()
 	now := h.clock.Now()
 	op := fmt.Sprintf("op%d", s.op)
@@ -231,16 +231,16 @@
 		ID: "r", Service: "donor-desk", Ticket: raw, Arrived: now, Deadline: now.Add(200 * time.Millisecond),
 		Write: caller.Write{OpID: op},
 	})
-	if s.lost || h.gone.Err() != nil {
+	if s.dropReply || h.ctx.Err() != nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told[op] = append(w.told[op], ans.Outcome)
+	w.outcomes[op] = append(w.outcomes[op], ans.Outcome)
 }
 
 // settle waits for all requests and for all writes that replicas run late.
-func (w *world) settle() {
+func (w *model) settle() {
 	w.tasks.Wait()
 	for _, h := range w.all {
 		h.kill()
@@ -249,7 +249,7 @@
 	w.tasks.Wait()
 }
 
-func (w *world) violation() string {
+func (w *model) violation() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for op := range operations {
@@ -258,7 +258,7 @@
 		if ran > 1 {
 			return fmt.Sprintf("%s ran %d times", name, ran)
 		}
-		for _, told := range w.told[name] {
+		for _, told := range w.outcomes[name] {
 			if told == caller.WriteDone && ran != 1 {
 				return fmt.Sprintf("%s: told done, ran %d times", name, ran)
 			}
@@ -284,16 +284,16 @@
 		steps := drawPlan(rt)
 		var wrong string
 		synctest.Test(t, func(*testing.T) {
-			w := &world{tickets: map[int]string{}, home: map[int]int{}, ran: map[string]int{}, told: map[string][]caller.WriteOutcome{}}
+			w := &model{tickets: map[int]string{}, home: map[int]int{}, ran: map[string]int{}, outcomes: map[string][]caller.WriteOutcome{}}
 			for i := range w.hosts {
-				w.boot(i, time.Duration(i-1)*time.Second)
+				w.startHost(i, time.Duration(i-1)*time.Second)
 			}
 			for _, s := range steps {
-				w.play(s)
+				w.apply(s)
 			}
 			w.settle()
 			wrong = w.violation()
-			for _, told := range w.told {
+			for _, told := range w.outcomes {
 				for _, o := range told {
 					seen[o]++
 				}
--- a/entry/internal/writes/writer.go
+++ b/entry/internal/writes/writer.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// maxTries bounds the attempts of a write, each at another replica. An attempt is followed by another one only if
-	// it certainly did not run the write.
-	maxTries = 3
-	// busyRetry is the retry delay for callers after every replica asked has rejected the write, or after the deadline:
-	// a few times the duration of a write.
-	busyRetry = 100 * time.Millisecond
+	// maxAttempts bounds the attempts of a write, each at another replica. An attempt is followed by another one only
+	// if it certainly did not run the write.
+	maxAttempts = 3
+	// retryAfterBusy is the retry delay for callers after every replica asked has rejected the write, or after the
+	// deadline: a few times the duration of a write.
+	retryAfterBusy = 100 * time.Millisecond
 )
 
 // Upstream holds the functions by which a Writer reaches the replicas of a service.
@@ -91,11 +91,11 @@
 	out := claim.Outcome
 	switch claim.Action {
 	case ticket.ActionRun:
-		out = w.start(ctx, req, body, claim.Entry, rec)
+		out = w.runDetached(ctx, req, body, claim.Entry, rec)
 	case ticket.ActionWait:
 		out = wait(ctx, claim.Entry)
 	case ticket.ActionElsewhere:
-		out = w.elsewhere(claim.Ticket)
+		out = w.otherIncarnation(claim.Ticket)
 	}
 	return w.finish(req, rec, string(claim.Action), out)
 }
@@ -103,9 +103,9 @@
 // Wait blocks until every running write has its outcome.
 func (w *Writer) Wait() { w.runs.Wait() }
 
-// start runs the write detached from its caller's request, so that a caller that disconnects finds the outcome recorded
-// when it resends the write.
-func (w *Writer) start(ctx context.Context, req Request, body []byte, e *ticket.Entry, rec *explain.Record) ticket.Outcome {
+// runDetached runs the write detached from its caller's request, so that a caller that disconnects finds the outcome
+// recorded when it resends the write.
+func (w *Writer) runDetached(ctx context.Context, req Request, body []byte, e *ticket.Entry, rec *explain.Record) ticket.Outcome {
 	got := make(chan ticket.Outcome, 1)
 	decisions := make(chan []explain.Decision, 1)
 	w.runs.Go(func() {
@@ -120,7 +120,7 @@
 		rec.Decisions = append(rec.Decisions, <-decisions...)
 		return out
 	case <-ctx.Done():
-		return tooLate()
+		return deadlineOutcome()
 	}
 }
 
@@ -129,17 +129,17 @@
 	case <-e.Done():
 		return e.Outcome()
 	case <-ctx.Done():
-		return tooLate()
+		return deadlineOutcome()
 	}
 }
 
-func tooLate() ticket.Outcome {
-	return ticket.Outcome{Outcome: caller.WriteUnknown, Reason: "the deadline passed while the write ran; ask again with the same ticket", RetryAfter: busyRetry}
+func deadlineOutcome() ticket.Outcome {
+	return ticket.Outcome{Outcome: caller.WriteUnknown, Reason: "the deadline passed while the write ran; ask again with the same ticket", RetryAfter: retryAfterBusy}
 }
 
-// elsewhere answers a ticket of another incarnation. It neither runs the write nor returns not_run, since that
+// otherIncarnation answers a ticket of another incarnation. It neither runs the write nor returns not_run, since that
 // incarnation may run the write or may have run it.
-func (w *Writer) elsewhere(t ticket.Ticket) ticket.Outcome {
+func (w *Writer) otherIncarnation(t ticket.Ticket) ticket.Outcome {
 	if addr, ok := w.opts.Where(t.Incarnation); ok {
 		return ticket.Outcome{Outcome: caller.WriteUnknown, Reason: fmt.Sprintf("only the host at %s can run this ticket or tell its outcome", addr)}
 	}
@@ -190,33 +190,33 @@
 	if leave == nil {
 		return refused
 	}
-	out := r.tries(ctx, up)
+	out := r.attemptReplicas(ctx, up)
 	leave(out.Outcome == caller.WriteDone)
 	return out
 }
 
-func (r *run) tries(ctx context.Context, up Upstream) ticket.Outcome {
+func (r *run) attemptReplicas(ctx context.Context, up Upstream) ticket.Outcome {
 	var tried []*replica.Replica
 	why := "none is known, or the deadline passed before one was asked"
-	for len(tried) < maxTries && r.inTime() {
+	for len(tried) < maxAttempts && r.beforeDeadline() {
 		rep := up.Pick(tried)
 		if rep == nil {
 			break
 		}
 		tried = append(tried, rep)
 		res := r.send(ctx, up, rep, len(tried))
-		out, last := judge(res)
+		out, last := outcomeOf(res)
 		if last {
 			return out
 		}
 		why = string(res.Kind) + ": " + res.Detail
 	}
-	return ticket.Outcome{Outcome: caller.WriteNotRun, Reason: "no replica took the write: " + why, RetryAfter: busyRetry}
+	return ticket.Outcome{Outcome: caller.WriteNotRun, Reason: "no replica took the write: " + why, RetryAfter: retryAfterBusy}
 }
 
-// inTime reports whether the deadline has not passed. It reads the clock before each attempt, since the host may have
-// been paused since the last reading.
-func (r *run) inTime() bool { return r.w.opts.Clock.Now().Before(r.req.Deadline) }
+// beforeDeadline reports whether the deadline has not passed. It reads the clock before each attempt, since the host
+// may have been paused since the last reading.
+func (r *run) beforeDeadline() bool { return r.w.opts.Clock.Now().Before(r.req.Deadline) }
 
 func (r *run) send(ctx context.Context, up Upstream, rep *replica.Replica, n int) upstream.Result {
 	began := r.w.opts.Clock.Now()
@@ -228,9 +228,9 @@
 	return res
 }
 
-// judge returns the outcome of a write after an attempt. If last is false, the attempt did not run and another replica
-// may be asked.
-func judge(res upstream.Result) (out ticket.Outcome, last bool) {
+// outcomeOf returns the outcome of a write after an attempt. If last is false, the attempt did not run and another
+// replica may be asked.
+func outcomeOf(res upstream.Result) (out ticket.Outcome, last bool) {
 	switch res.Kind {
 	case upstream.KindOK:
 		return ticket.Outcome{Outcome: caller.WriteDone, Result: res.Write}, true
