--- a/entry/internal/replica/count.go
+++ b/entry/internal/replica/count.go
@@ -4,10 +4,10 @@
 func (t *Table) Count() (known, draining int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.all {
+	for _, r := range t.byAddr {
 		if r.Draining() {
 			draining++
 		}
 	}
-	return len(t.all), draining
+	return len(t.byAddr), draining
 }
--- a/entry/internal/replica/table.go
+++ b/entry/internal/replica/table.go
@@ -13,9 +13,9 @@
 	"guavaspring.org/core/upstream"
 )
 
-// claimsYield is the time for which the headers of a reply take precedence over the health endpoint, whose data may be
-// outdated or wrong.
-const claimsYield = 5 * time.Second
+// replyPrecedence is the time for which the headers of a reply take precedence over the health endpoint, whose data may
+// be outdated or wrong. It is also the time after its last answer for which a replica that a list omits may be kept.
+const replyPrecedence = 5 * time.Second
 
 // VersionMap is the shard map of one index version, with the replicas that hold each shard.
 type VersionMap struct {
@@ -69,10 +69,10 @@
 
 // Table holds the replicas of one service. View returns its current state without locking.
 type Table struct {
-	opts Options
-	mu   sync.Mutex
-	all  map[netip.AddrPort]*Replica
-	view atomic.Pointer[View]
+	opts   Options
+	mu     sync.Mutex
+	byAddr map[netip.AddrPort]*Replica
+	view   atomic.Pointer[View]
 }
 
 // New returns a table without replicas.
@@ -86,7 +86,7 @@
 	if opts.Doubted == nil {
 		opts.Doubted = func(int, int) {}
 	}
-	t := &Table{opts: opts, all: map[netip.AddrPort]*Replica{}}
+	t := &Table{opts: opts, byAddr: map[netip.AddrPort]*Replica{}}
 	t.view.Store(&View{})
 	return t
 }
@@ -99,8 +99,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []*Replica
-	for _, r := range t.all {
-		if !r.draining.Load() && !t.recent(r) {
+	for _, r := range t.byAddr {
+		if !r.draining.Load() && !t.repliedRecently(r) {
 			list = append(list, r)
 		}
 	}
@@ -108,8 +108,9 @@
 	return list
 }
 
-// recent reports whether the headers of r's last reply are recent enough to take precedence over its health endpoint.
-func (t *Table) recent(r *Replica) bool { return t.since(&r.heard) < claimsYield }
+// repliedRecently reports whether the headers of r's last reply are recent enough to take precedence over its health
+// endpoint.
+func (t *Table) repliedRecently(r *Replica) bool { return t.since(&r.holdingsAt) < replyPrecedence }
 
 func (t *Table) since(at *atomic.Int64) time.Duration {
 	return t.opts.Clock.Now().Sub(time.Unix(0, at.Load()))
@@ -119,11 +120,11 @@
 func (t *Table) Update(list []platform.Replica) (added, removed []*Replica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rows := t.rowsOf(list)
-	now, first := t.opts.Clock.Now(), len(t.all) == 0
+	rows := t.rowByAddr(list)
+	now, first := t.opts.Clock.Now(), len(t.byAddr) == 0
 	removed = t.dropOmitted(rows)
 	for addr, row := range rows {
-		r, ok := t.all[addr]
+		r, ok := t.byAddr[addr]
 		if !ok || r.ID != row.ID {
 			if ok {
 				removed = append(removed, r)
@@ -135,7 +136,7 @@
 				// host, replicas are of unknown age, and all are used.
 				r.Eject.Hold(now)
 			}
-			t.all[addr] = r
+			t.byAddr[addr] = r
 			added = append(added, r)
 		}
 		if row.State == platform.StateLeaving {
@@ -147,10 +148,10 @@
 	return added, removed
 }
 
-// rowsOf returns one row for each address. An outdated list names both the old and the new process at an address;
+// rowByAddr returns one row for each address. An outdated list names both the old and the new process at an address;
 // applying both rows in turn would discard the state of the new process at every update. A live row takes precedence
 // over a leaving one, and of two live rows the one that is in use.
-func (t *Table) rowsOf(list []platform.Replica) map[netip.AddrPort]platform.Replica {
+func (t *Table) rowByAddr(list []platform.Replica) map[netip.AddrPort]platform.Replica {
 	rows := make(map[netip.AddrPort]platform.Replica, len(list))
 	for _, row := range list {
 		other, twice := rows[row.Addr]
@@ -165,7 +166,7 @@
 	if row.State != other.State {
 		return other.State == platform.StateLeaving
 	}
-	r := t.all[row.Addr]
+	r := t.byAddr[row.Addr]
 	if r == nil {
 		return false
 	}
@@ -185,7 +186,7 @@
 func (t *Table) dropOmitted(rows map[netip.AddrPort]platform.Replica) []*Replica {
 	var omitted []*Replica
 	live := 0
-	for addr, r := range t.all {
+	for addr, r := range t.byAddr {
 		if r.draining.Load() {
 			continue
 		}
@@ -196,12 +197,12 @@
 	}
 	doubtful := 2*len(omitted) > live
 	var removed []*Replica
-	for addr, r := range t.all {
+	for addr, r := range t.byAddr {
 		_, named := rows[addr]
-		if named || (doubtful && !r.draining.Load() && t.since(&r.answered) < claimsYield) {
+		if named || (doubtful && !r.draining.Load() && t.since(&r.answeredAt) < replyPrecedence) {
 			continue
 		}
-		delete(t.all, addr)
+		delete(t.byAddr, addr)
 		removed = append(removed, r)
 	}
 	if doubtful && len(removed) < len(omitted) {
@@ -214,7 +215,7 @@
 func (t *Table) MarkDraining(id, sign string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.all {
+	for _, r := range t.byAddr {
 		if r.ID == id {
 			if t.drain(r, sign) {
 				t.rebuild()
@@ -229,10 +230,10 @@
 func (t *Table) Heard(r *Replica, holdings string, draining bool) {
 	if holdings != "" {
 		now := t.opts.Clock.Now().UnixNano()
-		r.heard.Store(now)
-		r.answered.Store(now)
+		r.holdingsAt.Store(now)
+		r.answeredAt.Store(now)
 	}
-	old := r.raw.Load()
+	old := r.rawHoldings.Load()
 	same := holdings == "" || (old != nil && *old == holdings)
 	if same && (!draining || r.Draining()) {
 		return
@@ -241,7 +242,7 @@
 	defer t.mu.Unlock()
 	changed := draining && t.drain(r, "a reply's header")
 	if !same {
-		changed = r.takeHoldings(holdings) || changed
+		changed = r.setHoldings(holdings) || changed
 	}
 	if changed {
 		t.rebuild()
@@ -253,15 +254,15 @@
 // The endpoint may be outdated or wrong: it may name index versions that the replica rejects, or report a serving
 // replica as draining. A replica therefore counts as draining by its endpoint only as long as the endpoint repeats it.
 func (t *Table) Claimed(r *Replica, holdings string, draining bool) {
-	r.answered.Store(t.opts.Clock.Now().UnixNano())
-	if t.recent(r) {
+	r.answeredAt.Store(t.opts.Clock.Now().UnixNano())
+	if t.repliedRecently(r) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	changed := r.claimed.Swap(draining) != draining
-	if old := r.raw.Load(); holdings != "" && (old == nil || *old != holdings) {
-		changed = r.takeHoldings(holdings) || changed
+	changed := r.claimedDraining.Swap(draining) != draining
+	if old := r.rawHoldings.Load(); holdings != "" && (old == nil || *old != holdings) {
+		changed = r.setHoldings(holdings) || changed
 	}
 	if changed {
 		t.rebuild()
@@ -273,10 +274,10 @@
 func (t *Table) Gone(r *Replica, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r.gone == nil {
-		r.gone = map[int64]time.Time{}
+	if r.rejected == nil {
+		r.rejected = map[int64]time.Time{}
 	}
-	r.gone[version] = t.opts.Clock.Now()
+	r.rejected[version] = t.opts.Clock.Now()
 	t.rebuild()
 }
 
@@ -297,8 +298,8 @@
 
 func (t *Table) rebuild() {
 	now := t.opts.Clock.Now()
-	view := &View{Replicas: make([]*Replica, 0, len(t.all))}
-	for _, r := range t.all {
+	view := &View{Replicas: make([]*Replica, 0, len(t.byAddr))}
+	for _, r := range t.byAddr {
 		if !r.Draining() {
 			view.Replicas = append(view.Replicas, r)
 		}
@@ -307,13 +308,13 @@
 	maps := map[mapKey]*VersionMap{}
 	for _, r := range view.Replicas {
 		for _, h := range r.holdings {
-			if !r.refused(h.Version, now) {
+			if !r.rejects(h.Version, now) {
 				addHolding(maps, r, h)
 			}
 		}
 	}
 	for _, vm := range maps {
-		vm.count()
+		vm.countHolders()
 		view.Versions = append(view.Versions, *vm)
 	}
 	slices.SortFunc(view.Versions, compareMaps)
@@ -332,7 +333,7 @@
 	}
 }
 
-func (vm *VersionMap) count() {
+func (vm *VersionMap) countHolders() {
 	vm.Least = len(vm.Holders[0])
 	for _, holders := range vm.Holders {
 		vm.Least = min(vm.Least, len(holders))
