--- a/entry/internal/replicatest/farm.go
+++ b/entry/internal/replicatest/farm.go
@@ -88,8 +88,8 @@
 	clear(r.conns)
 }
 
-// open registers a new connection and reports whether the replica accepts it; a crashed replica does not.
-func (r *Replica) open(c net.Conn) bool {
+// acceptConn registers a new connection and reports whether the replica accepts it; a crashed replica does not.
+func (r *Replica) acceptConn(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.downUntil) {
@@ -99,7 +99,7 @@
 	return true
 }
 
-func (r *Replica) closed(c net.Conn) {
+func (r *Replica) dropConn(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,18 +108,18 @@
 
 // Farm is a set of simulated replicas, by address.
 type Farm struct {
-	mu       sync.Mutex
-	replicas map[netip.AddrPort]*Replica
-	dark     map[netip.AddrPort]bool
-	dials    int
-	conns    []net.Conn
+	mu           sync.Mutex
+	replicas     map[netip.AddrPort]*Replica
+	unresponsive map[netip.AddrPort]bool
+	dials        int
+	conns        []net.Conn
 	// DialTime is the time to open a connection.
 	DialTime time.Duration
 }
 
 // New returns a farm without replicas.
 func New() *Farm {
-	return &Farm{replicas: map[netip.AddrPort]*Replica{}, dark: map[netip.AddrPort]bool{}}
+	return &Farm{replicas: map[netip.AddrPort]*Replica{}, unresponsive: map[netip.AddrPort]bool{}}
 }
 
 // Add adds replica n of a service, whose answers are those of handle.
@@ -136,7 +136,7 @@
 func (f *Farm) Dark(r *Replica) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dark[r.Row.Addr] = true
+	f.unresponsive[r.Row.Addr] = true
 }
 
 // Dials returns the number of dials, including those that failed.
@@ -169,7 +169,7 @@
 // Dial opens a connection to the replica at addr.
 func (f *Farm) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	f.mu.Lock()
-	r, dark := f.replicas[addr], f.dark[addr]
+	r, dark := f.replicas[addr], f.unresponsive[addr]
 	f.dials++
 	f.mu.Unlock()
 	if dark {
@@ -178,7 +178,7 @@
 	}
 	time.Sleep(f.DialTime)
 	here, there := net.Pipe()
-	if r == nil || !r.open(there) {
+	if r == nil || !r.acceptConn(there) {
 		return nil, syscall.ECONNREFUSED
 	}
 	f.mu.Lock()
@@ -189,7 +189,7 @@
 }
 
 func (r *Replica) serve(c net.Conn) {
-	defer r.closed(c)
+	defer r.dropConn(c)
 	br := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(br)
@@ -201,7 +201,7 @@
 			return
 		}
 		a := r.Handle(req, body)
-		r.note(req, a)
+		r.recordRequest(req, a)
 		time.Sleep(a.After)
 		if a.CrashFor > 0 {
 			r.crash(a.CrashFor)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (r *Replica) note(req *http.Request, a Answer) {
+func (r *Replica) recordRequest(req *http.Request, a Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals++
