--- a/entry/internal/replicatest/farm.go
+++ b/entry/internal/replicatest/farm.go
@@ -169,10 +169,10 @@
 // Dial opens a connection to the replica at addr.
 func (f *Farm) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	f.mu.Lock()
-	r, dark := f.replicas[addr], f.unresponsive[addr]
+	r, unresponsive := f.replicas[addr], f.unresponsive[addr]
 	f.dials++
 	f.mu.Unlock()
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
