--- a/entry/internal/fanout/plan.go
+++ b/entry/internal/fanout/plan.go
@@ -52,6 +52,7 @@
 	wakeAt             time.Time
 }
 
+// shard is the state of one shard within a plan.
 type shard struct {
 	attempts [maxAttempts]*replica.Replica
 	began    [maxAttempts]time.Time
@@ -87,6 +88,7 @@
 	took     time.Duration
 }
 
+// probeIndex stands for the index of an attempt in the result of a probe.
 const probeIndex = -1
 
 // newPlan sends the first attempt of every shard. The suffix distinguishes the attempt ids of two plans of one query.
