--- a/entry/internal/fanout/results.go
+++ b/entry/internal/fanout/results.go
@@ -10,9 +10,9 @@
 	"guavaspring.org/entry/internal/replica"
 )
 
-func (p *plan) take(got *result) {
+func (p *plan) handleResult(got *result) {
 	s := &p.shards[got.shard]
-	if got.k != trial {
+	if got.k != probeIndex {
 		s.inflight--
 		s.ended[got.k] = true
 		p.judge(got)
@@ -20,23 +20,23 @@
 	if s.closed {
 		return
 	}
-	res := p.checked(got.res)
+	res := p.checkHoldings(got.res)
 	if res.Kind == upstream.KindOK {
 		s.answered, s.hits = true, res.Query.Hits
 		p.answered++
-		p.took += got.took
+		p.totalTook += got.took
 		p.run.opts.Answered(p.now.Sub(p.began))
-		p.beaten(got)
+		p.strikeOvertaken(got)
 		p.close(got.shard)
 		return
 	}
-	if got.k != trial && !s.closed {
-		p.failed(got.shard, got.replica, res)
+	if got.k != probeIndex && !s.closed {
+		p.retryOrMiss(got.shard, got.replica, res)
 	}
 }
 
-// failed tries the shard again at another replica, or gives it up at once where that can't help.
-func (p *plan) failed(i int, r *replica.Replica, res upstream.Result) {
+// retryOrMiss retries the shard at another replica, or gives it up at once if a retry can't succeed.
+func (p *plan) retryOrMiss(i int, r *replica.Replica, res upstream.Result) {
 	s := &p.shards[i]
 	s.gone = s.gone || res.Kind == upstream.KindVersionGone
 	s.shed = s.shed || res.Kind == upstream.KindShed
@@ -44,55 +44,55 @@
 	why := join(string(res.Kind), res.Detail)
 	switch {
 	case s.inflight > 0 && s.n > 1:
-		// A second try is on its way already.
-	case s.n >= maxTries && s.inflight > 0:
-	case s.n >= maxTries && s.shed:
-		p.again(i, why)
-	case s.n >= maxTries:
+		// Another attempt is in flight.
+	case s.n >= maxAttempts && s.inflight > 0:
+	case s.n >= maxAttempts && s.shed:
+		p.startRound(i, why)
+	case s.n >= maxAttempts:
 		p.miss(i, r, join(why, "three tries failed"))
 	case p.req.Suspect && !res.Kind.NotRun():
 		p.miss(i, r, join(why, "the request may be the cause, and isn't sent again"))
 	case !p.timeLeft():
 		p.miss(i, r, join(why, "too little time is left for another try"))
 	default:
-		p.try(i, WhatRetry, why)
+		p.attempt(i, WhatRetry, why)
 	}
 }
 
-// checked turns a reply of another shard map into a foreign one. A replica that was split again under the
-// same version number would otherwise bring hits of another cut into the answer: some items twice, some never.
-func (p *plan) checked(res upstream.Result) upstream.Result {
+// checkHoldings marks a reply from another shard map as foreign. If a replica is resharded under the same index
+// version, its reply would otherwise mix two partitionings: some items would appear twice in the response, some never.
+func (p *plan) checkHoldings(res upstream.Result) upstream.Result {
 	if res.Kind != upstream.KindOK {
 		return res
 	}
 	for rest := res.Holdings; rest != ""; {
 		var part string
 		part, rest, _ = strings.Cut(rest, ",")
-		if strings.HasPrefix(part, p.holds) && !strings.HasSuffix(part, p.split) {
-			res.Kind, res.Detail = upstream.KindForeign, "the replica holds "+part+", not a map of "+p.split[1:]+" shards"
+		if strings.HasPrefix(part, p.holdingPrefix) && !strings.HasSuffix(part, p.holdingSuffix) {
+			res.Kind, res.Detail = upstream.KindForeign, "the replica holds "+part+", not a map of "+p.holdingSuffix[1:]+" shards"
 			return res
 		}
 	}
 	return res
 }
 
-// judge compares a try that ended, or that is given up, with its neighbours.
+// judge records an ended or canceled attempt for or against its replica, compared with the other shards of the query.
 func (p *plan) judge(got *result) {
 	switch got.res.Kind {
 	case upstream.KindOK, upstream.KindCanceled:
-		p.run.judge(got, p.usual(), p.vm.Holders[got.shard], p.now)
+		p.run.recordSpeed(got, p.usual(), p.vm.Holders[got.shard], p.now)
 	case upstream.KindBroken, upstream.KindForeign, upstream.KindError, upstream.KindNotSent:
 		p.run.strike(got.replica, p.now, got.res.Detail)
 	}
 }
 
-// usual returns the time that the tries of this query take, so that a long query is not held against its replicas;
-// before enough of them have answered it is the service's usual time.
+// usual returns the mean duration of this query's successful attempts, so that replicas get no strikes for an expensive
+// query. Until two shards and half of all shards have answered, it is the median of the service.
 func (p *plan) usual() time.Duration {
 	if p.answered < 2 || 2*p.answered < len(p.shards) {
 		return p.run.policy.Median()
 	}
-	return p.took / time.Duration(p.answered)
+	return p.totalTook / time.Duration(p.answered)
 }
 
 func (p *plan) miss(i int, r *replica.Replica, why string) {
@@ -101,15 +101,15 @@
 	if !p.shards[i].gone {
 		return
 	}
-	p.gone++
-	share := float64(p.gone) / float64(len(p.shards))
-	p.lost = !p.replanned && (p.req.Document.Prefer == document.PreferCoverage || share > lostShare)
+	p.goneShards++
+	share := float64(p.goneShards) / float64(len(p.shards))
+	p.needsReplan = !p.replanned && (p.req.Document.Prefer == document.PreferCoverage || share > replanShare)
 }
 
-// close ends a shard and cancels what of it still runs, so that its replicas can serve others.
+// close ends a shard and cancels its running attempts, so that its replicas are free for other queries.
 func (p *plan) close(i int) {
 	s := &p.shards[i]
-	p.release(s)
+	p.stopWaiting(s)
 	s.closed = true
 	p.open--
 	if s.inflight == 0 {
@@ -119,32 +119,32 @@
 	s.cancel()
 }
 
-// beaten counts a strike against each replica that a later try was quicker than. Its own try is given up long
-// before it could be called slow by its age, so without this a slow replica would lose one race after another
-// and stay in use, each time at the cost of somebody's wait.
-func (p *plan) beaten(got *result) {
+// strikeOvertaken records a strike against each replica that was overtaken by a later attempt. Its attempt is canceled
+// long before its age counts as slow, so without the strike a slow replica would stay in rotation and delay every query
+// that it gets by the hedge delay.
+func (p *plan) strikeOvertaken(got *result) {
 	s := &p.shards[got.shard]
 	for k := range got.k {
 		if !s.ended[k] {
 			s.ended[k] = true
-			p.run.strike(s.tries[k], p.now, "a second try was quicker, though sent later")
+			p.run.strike(s.attempts[k], p.now, "overtaken by a later attempt")
 		}
 	}
 }
 
-// judgeRunning holds the age of the shard's running tries against their replicas.
+// judgeRunning judges the shard's running attempts by their age, as they are about to be canceled.
 func (p *plan) judgeRunning(i int) {
 	s := &p.shards[i]
 	for k := range s.n {
 		if !s.ended[k] {
 			s.ended[k] = true
 			age := p.now.Sub(s.began[k])
-			p.run.judge(&result{shard: i, replica: s.tries[k], res: upstream.Result{Kind: upstream.KindCanceled}, took: age}, p.usual(), p.vm.Holders[i], p.now)
+			p.run.recordSpeed(&result{shard: i, replica: s.attempts[k], res: upstream.Result{Kind: upstream.KindCanceled}, took: age}, p.usual(), p.vm.Holders[i], p.now)
 		}
 	}
 }
 
-// join writes a reason and what follows from it.
+// join returns "why: then", or the one of the two that is not empty.
 func join(why, then string) string {
 	if why == "" || then == "" {
 		return why + then
@@ -152,10 +152,10 @@
 	return why + ": " + then
 }
 
-// slowOf reports whether a try that took so long was slow beside the query's other shards, and whether another replica
-// of the shard would have been quicker. Without the second, a shard that is slow at every replica would lose all of
-// them.
-func slowOf(r *replica.Replica, took, usual time.Duration, holders []*replica.Replica, now time.Time) bool {
+// isSlow reports whether an attempt of this duration was slow compared with the query's other shards, while another
+// replica of the same shard is faster. Without the second condition, a shard that is slow at every replica would have
+// all of them ejected.
+func isSlow(r *replica.Replica, took, usual time.Duration, holders []*replica.Replica, now time.Time) bool {
 	if !eject.Slow(took, usual) {
 		return false
 	}
