--- a/entry/internal/source/collect.go
+++ b/entry/internal/source/collect.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// leastCollect and collectPart bound how long a watch is put off after one that brought changes, the second as a
-	// part of the bound. It doubles while each watch ends sooner than it would be put off for at the most: changes that
-	// come alone are known at once, and of many in a row one call brings all that came meanwhile. 282 replicas that
-	// register in the first second of a fleet were 375 watches of two hosts, of 496 calls of the whole day.
+	// leastCollect and collectPart bound the delay of the next watch after one that returned changes, the latter as a
+	// fraction of Options.Bound. The delay doubles while watches end sooner than its maximum: a single change is applied
+	// at once, and of many in a row one call returns all that arrived meanwhile. Without the delay, 282 replicas that
+	// registered in the first second of a fleet caused 375 watches by two hosts, of 496 calls of the whole day.
 	leastCollect = 20 * time.Millisecond
 	collectPart  = 0.06
 )
 
-// putOff waits after a watch that took some time, so that the next one brings together what changes meanwhile.
+// putOff delays the next watch after one that took the given time, so that one call returns all changes of the
+// meantime.
 func (f *Follower[T]) putOff(ctx context.Context, took time.Duration) {
 	most := part(collectPart, f.opts.Bound)
 	if took >= most {
--- a/entry/internal/source/doc.go
+++ b/entry/internal/source/doc.go
@@ -1,2 +1,2 @@
-// Package source follows the objects of one kind in the platform's store.
+// Package source follows the objects of one kind in the platform's store, directly or through other hosts.
 package source
--- a/entry/internal/source/era.go
+++ b/entry/internal/source/era.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// eraConsults is how often a host that has read the store in a new era asks others what they keep from earlier ones.
-	// They come to the new era within the time of a watch or two.
+	// eraConsults is the number of times that a host that read a new restart era from the store asks other hosts for the
+	// entries that they retain from earlier eras. These hosts enter the new era within one or two watches.
 	eraConsults = 4
-	// consultIn bounds the time that this may take.
+	// consultIn is the time limit of one such round of requests.
 	consultIn = 300 * time.Millisecond
 )
 
-// keptSum is the checksum of what one host keeps from earlier eras, as received with its last reply.
+// keptSum is the checksum of the entries that a host retains from earlier eras, as received with its last reply.
 type keptSum struct {
 	host string
 	sum  uint64
 }
 
-// of returns the checksum received from a host, zero for none.
+// of returns the checksum received from host, or zero if there is none.
 func (s keptSum) of(host string) uint64 {
 	if s.host != host {
 		return 0
@@ -32,7 +32,9 @@
 	return s.sum
 }
 
-// noteEra logs that the store has come back from a copy since a state of what is known, and reports whether it has.
+// noteEra compares the era of the copy with that before an update. In a new era, or after the first update, it logs the
+// era and resets the state that belongs to the old one. It reports whether the store was restored from a backup since
+// before.
 func (f *Follower[T]) noteEra(from string, before relay.State) bool {
 	f.older = false
 	after, _ := f.opts.Copy.State()
@@ -51,8 +53,8 @@
 	return before.Revision > 0
 }
 
-// noteUnsaid logs, once until that changes, that the store doesn't say its era: one that comes back from a copy is not
-// recognized then.
+// noteUnsaid logs a reply of the store without an era, once until a reply has one: a restore from a backup is not
+// detected meanwhile.
 func (f *Follower[T]) noteUnsaid(era int64) {
 	if era == 0 && !f.unsaid {
 		st, _ := f.opts.Copy.State()
@@ -61,11 +63,11 @@
 	f.unsaid = era == 0
 }
 
-// errEraOver means that the store has come back from a copy since the revision that was to be watched from.
+// errEraOver means that the store was restored from a backup since the revision to watch from.
 var errEraOver = errors.New("source: another kind of object was read in a newer era of the store")
 
-// watchInEra watches the store until another follower of this host has entered a newer era. All kinds are listed anew at
-// once then: what is written to the store before its list is read can't be told from what its copy had.
+// watchInEra watches the store until another follower of this host enters a newer era. All kinds have to be listed at
+// once then: an object written before the list of its kind can't be told apart from one of the backup.
 func (f *Follower[T]) watchInEra(ctx context.Context, st relay.State, wait time.Duration) (feed.Batch[T], error) {
 	newest, entered := f.opts.Outage.newestEra()
 	if newest > st.Era {
@@ -87,7 +89,7 @@
 	return batch, err
 }
 
-// mergeKept takes over what another host keeps from earlier eras.
+// mergeKept merges the entries that another host retains from earlier eras.
 func (f *Follower[T]) mergeKept(from string, rep relay.Reply[T]) {
 	f.received = keptSum{host: from, sum: rep.KeptSum}
 	if len(rep.Kept) == 0 {
@@ -100,10 +102,10 @@
 	}
 }
 
-// consult asks other hosts what they keep from earlier eras.
+// consult asks other hosts for the entries that they retain from earlier eras.
 //
-// A host that has just started and reads the store itself has no more than the copy that the store came back from. Hosts
-// that ask a parent receive the rest with its replies; those that watch the store ask nobody.
+// A host that has just started and reads the store itself has only the objects of the backup. Hosts that ask a parent
+// receive the rest with its replies; those that watch the store ask nobody else.
 func (f *Follower[T]) consult(ctx context.Context) {
 	if f.consults == 0 {
 		return
--- a/entry/internal/source/era_test.go
+++ b/entry/internal/source/era_test.go
@@ -18,26 +18,25 @@
 	"guavaspring.org/entry/internal/source"
 )
 
-// storeTakes is how long the store takes for an answer.
+// storeTakes is the latency of the store.
 const storeTakes = 4 * time.Millisecond
 
-// eraStore is a store that holds one object, whose versions rise, and that comes back from copies.
+// eraStore is a store with one object whose versions rise, and that can be restored from backups.
 type eraStore struct {
 	mu       sync.Mutex
 	era      int64
 	revision int64
 	object   feed.Entry[int64]
 	changed  chan struct{}
-	// away holds the hosts that the store turns away; all says that it is away for each, and cut how often watches were
-	// cut.
+	// away holds the hosts that the store rejects; all makes it reject every host.
 	away  map[string]bool
 	all   bool
 	calls map[string]int
-	// silent says that the store doesn't say its era.
+	// silent leaves the era out of replies.
 	silent bool
 }
 
-// eraCopy is what the store held at one moment.
+// eraCopy is a backup of the store.
 type eraCopy struct {
 	revision int64
 	object   feed.Entry[int64]
@@ -57,7 +56,7 @@
 	s.changed = make(chan struct{})
 }
 
-// write stores a version.
+// write stores a version of the object.
 func (s *eraStore) write(version int64) {
 	s.set(func() {
 		s.revision++
@@ -65,7 +64,7 @@
 	})
 }
 
-// others moves the counter on, as writes of other kinds do.
+// others advances the revision counter, as writes of other kinds do.
 func (s *eraStore) others(n int64) { s.set(func() { s.revision += n }) }
 
 func (s *eraStore) copy() eraCopy {
@@ -81,7 +80,7 @@
 	})
 }
 
-// batch returns what the store says now of what changed since a revision; s.mu must be held.
+// batch returns the changes since a revision; s.mu must be held.
 func (s *eraStore) batch(since int64) feed.Batch[int64] {
 	b := feed.Batch[int64]{Era: s.era, Revision: s.revision}
 	if s.silent {
@@ -93,8 +92,8 @@
 	return b
 }
 
-// look waits for the store's answer and returns whether it is away, what has changed since a revision, and what is closed
-// when something else does.
+// look returns the changes since a revision and a channel that is closed at the next change of the store, or an error
+// if the store rejects the host or lacks the revision.
 func (s *eraStore) look(ctx context.Context, name string, since int64) (feed.Batch[int64], <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,29 +131,29 @@
 	}
 }
 
-// eraHost is a host of a fleet.
+// eraHost is a host of an eraFleet.
 type eraHost struct {
 	*host
 	frozen bool
-	// lowest is the newest version ever in force, and undone those that went back.
+	// newest is the highest version applied so far, undone lists the updates that went back to a lower one.
 	newest int64
 	undone []string
 }
 
-// eraFleet is hosts that follow one store: the first two watch it, the others hear from these.
+// eraFleet is a set of hosts that follow one store: the first two watch it, the others ask these.
 type eraFleet struct {
 	store *eraStore
 	hosts []*eraHost
-	// delay is how long a message between two hosts takes, and asked how often hosts were asked.
+	// delay is the latency of a message between two hosts, asked the number of such messages.
 	delay time.Duration
 	asked int
-	// outage is shared with the fleet of another kind on the same hosts, nil for none.
+	// outage is shared with the fleet of another kind on the same hosts; it may be nil.
 	outage *source.Outage
 }
 
 func (f *eraFleet) setDelay(d time.Duration) { f.store.set(func() { f.delay = d }) }
 
-// travel takes as long as a message between two hosts.
+// travel waits for the latency of a message between two hosts.
 func (f *eraFleet) travel(ctx context.Context) {
 	f.store.mu.Lock()
 	d := f.delay
@@ -199,7 +198,7 @@
 	return h
 }
 
-// thaw holds a host up while it is frozen.
+// thaw blocks while a host is frozen.
 func (f *eraFleet) thaw(ctx context.Context, h *eraHost) {
 	for ctx.Err() == nil && h.isFrozen() {
 		clock.Sleep(ctx, clock.System{}, 10*time.Millisecond)
@@ -253,7 +252,7 @@
 	}}
 }
 
-// replace lets a new host take the place of one, whose process is gone.
+// replace starts a new host in place of one whose process is gone.
 func (f *eraFleet) replace(ctx context.Context, i int) *eraHost {
 	h := f.start(ctx, f.hosts[i].name+"-again")
 	f.store.set(func() {
@@ -263,7 +262,7 @@
 	return h
 }
 
-// playEras plays a fleet whose hosts know version 1.
+// playEras runs f with a fleet whose hosts have applied version 1.
 func playEras(t *testing.T, hosts int, f func(ctx context.Context, fleet *eraFleet, s *eraStore)) {
 	play(t, func(ctx context.Context) {
 		s := newEraStore()
@@ -281,7 +280,7 @@
 	})
 }
 
-// inForce checks that a version is in force on all hosts, or a newer one.
+// inForce checks that all hosts have applied a version or a newer one.
 func (f *eraFleet) inForce(t *testing.T, version int64, when string) {
 	t.Helper()
 	for _, h := range f.hosts {
@@ -289,8 +288,8 @@
 	}
 }
 
-// Guards against versions that are undone, or not taken over, by a store that comes back from an older copy; the drill
-// falls on any moment of a watch, cuts watches or not, and lasts no time or two seconds.
+// Guards against versions that are undone or never applied after the store is restored from an older backup. The
+// restore falls on any moment of a watch, with or without a host cut off, and takes no time or two seconds.
 func TestConfirmedVersionsOutliveRestore(t *testing.T) {
 	for step := range 20 {
 		for _, away := range []time.Duration{0, 2 * time.Second} {
@@ -302,7 +301,7 @@
 					s.others(3)
 					s.write(3)
 					time.Sleep(bound + time.Duration(step)*100*time.Millisecond)
-					fleet.inForce(t, 3, when+", before it")
+					fleet.inForce(t, 3, when+", before the restore")
 					s.set(func() { s.all, s.away[cut] = away > 0, cut != "" })
 					time.Sleep(away)
 					s.restore(old)
@@ -318,7 +317,7 @@
 	}
 }
 
-// Guards against revisions of two eras that are compared: each new version has the revision that an older one had.
+// Guards against comparing revisions of two eras: after a restore each new version has the revision of an older one.
 func TestRevisionsAreGivenOutAgain(t *testing.T) {
 	for _, lost := range []int64{1, 2, 5} {
 		playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
@@ -340,7 +339,7 @@
 	}
 }
 
-// Guards against hosts that mix eras up after two drills in short order, of which one host sleeps through one or both.
+// Guards against mixing up eras after two restores in quick succession, with one host frozen during one or both.
 func TestTwoRestoresInShortOrder(t *testing.T) {
 	for _, sleeper := range []int{0, 1, 4} {
 		for _, wake := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
@@ -358,13 +357,13 @@
 				fleet.hosts[sleeper].freeze(false)
 				s.write(4)
 				time.Sleep(bound)
-				fleet.inForce(t, 4, fmt.Sprintf("host-%d slept, woke after %s", sleeper, wake))
+				fleet.inForce(t, 4, fmt.Sprintf("host-%d frozen, restored again after %s", sleeper, wake))
 			})
 		}
 	}
 }
 
-// Guards against half of a fleet that can't reach the store and stays in its old era.
+// Guards against hosts that stay in the old era after a restore: the store rejects half of the fleet.
 func TestRestoreWhileHalfIsTurnedAway(t *testing.T) {
 	for _, first := range []int{0, 1} {
 		playEras(t, 8, func(_ context.Context, fleet *eraFleet, s *eraStore) {
@@ -381,7 +380,7 @@
 			time.Sleep(time.Second)
 			s.write(3)
 			time.Sleep(bound)
-			fleet.inForce(t, 3, fmt.Sprintf("host-%d and each second one turned away", first))
+			fleet.inForce(t, 3, fmt.Sprintf("host-%d and every second host rejected", first))
 			for _, h := range fleet.hosts {
 				st, _ := h.copy.State()
 				qt.Check(t, st.Era, qt.Equals, int64(2), qt.Commentf("%s", h.name))
@@ -390,8 +389,8 @@
 	}
 }
 
-// Guards against a host that starts after the drill and knows only the store's copy, while the others know more; the
-// hosts that watch the store are such as well.
+// Guards against a host that starts after a restore and has only the objects of the backup, while the others have newer
+// ones. Hosts that watch the store are among those that start.
 func TestHostsThatStartAfterRestore(t *testing.T) {
 	for _, started := range [][]int{{0}, {1}, {4}, {0, 1}, {0, 1, 4}} {
 		for _, after := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
@@ -406,7 +405,7 @@
 					fleet.replace(ctx, i)
 				}
 				time.Sleep(bound)
-				fleet.inForce(t, 2, fmt.Sprintf("%v started %s after it", started, after))
+				fleet.inForce(t, 2, fmt.Sprintf("%v started %s after the restore", started, after))
 				s.write(3)
 				time.Sleep(bound)
 				fleet.inForce(t, 3, "after the next write")
@@ -415,7 +414,7 @@
 	}
 }
 
-// Guards against hosts that wait for a newer version than the store has, where all of them start after the drill.
+// Guards against hosts that wait for a newer version than the store has, when all of them start after a restore.
 func TestAllHostsStartAfterRestore(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		s := newEraStore()
@@ -427,15 +426,15 @@
 			fleet.start(ctx, fmt.Sprint("host-", i))
 		}
 		time.Sleep(time.Second)
-		fleet.inForce(t, 1, "as good as the copy")
+		fleet.inForce(t, 1, "as in the backup")
 		s.write(3)
 		time.Sleep(bound)
 		fleet.inForce(t, 3, "the next write")
 	})
 }
 
-// Guards against a fleet whose hosts all call the store when it comes back from a copy: the two that watch it read it
-// anew, and all others hear from them.
+// Guards against all hosts calling the store after a restore: only the two that watch it list it again, the others ask
+// these.
 func TestRestoreCostsFewCalls(t *testing.T) {
 	for _, hosts := range []int{10, 60, 200} {
 		playEras(t, hosts, func(_ context.Context, fleet *eraFleet, s *eraStore) {
@@ -452,7 +451,7 @@
 					total += n - before[name]
 				}
 			})
-			// Two hosts make one list each, and a watch each second or so.
+			// Each of the two hosts lists once and watches about once a second.
 			qt.Check(t, total <= 2*(2+6), qt.IsTrue, qt.Commentf("%d calls of %d hosts", total, hosts))
 			s.write(3)
 			time.Sleep(bound)
@@ -461,7 +460,7 @@
 	}
 }
 
-// Guards against a change of behaviour where the store never says its era.
+// Guards against changed behavior with a store that never sends its era.
 func TestStoreWithoutEras(t *testing.T) {
 	playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 		s.set(func() { s.silent = true })
@@ -473,8 +472,8 @@
 	})
 }
 
-// Guards against two hosts that hear from each other and take that for news of the store: both are turned away by it, and
-// those that hear from them wait for a change that neither can know.
+// Guards against two watching hosts that the store rejects and that take each other's replies for fresh data of the
+// store: the hosts that ask them wait for a change that neither receives.
 func TestHostsThatHearFromEachOtherGrowOld(t *testing.T) {
 	for step := range 20 {
 		playEras(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
@@ -489,7 +488,8 @@
 	}
 }
 
-// Guards against hosts that hear from each other and take what a message travels for news of the store, which is away.
+// Guards against hosts that ask each other during an outage and count the travel time of messages as confirmation by
+// the store.
 func TestAgeGrowsWhileHostsHearFromEachOther(t *testing.T) {
 	for step := range 20 {
 		playEras(t, 4, func(_ context.Context, fleet *eraFleet, s *eraStore) {
@@ -498,21 +498,21 @@
 			away, asked := time.Now(), 0
 			s.set(func() { s.all, asked = true, fleet.asked })
 			time.Sleep(30 * time.Second)
-			// Each host asks another once in each wait, which is 100 ms at the least, and each answer counts as well.
+			// Each host asks another one once per wait, which is at least 100 ms, and replies count as well.
 			s.set(func() {
 				qt.Check(t, fleet.asked-asked <= 4*30*10*2, qt.IsTrue, qt.Commentf("%d messages in 30 s", fleet.asked-asked))
 			})
 			for _, h := range fleet.hosts {
 				st, _ := h.copy.State()
-				qt.Check(t, st.Confirmed.After(away), qt.IsFalse, qt.Commentf("%s, moment %d: the store was away for %s", h.name, step, st.Confirmed.Sub(away)))
+				qt.Check(t, st.Confirmed.After(away), qt.IsFalse, qt.Commentf("%s, moment %d: confirmed %s after the start of the outage", h.name, step, st.Confirmed.Sub(away)))
 			}
 			s.set(func() { s.all = false })
 		})
 	}
 }
 
-// Guards against a kind of object that is read seconds after the others in a new era: what is written to the store before
-// its list can't be told from what the copy had.
+// Guards against a kind of objects that is listed seconds after the others in a new era: an object written before the
+// list can't be told apart from one of the backup.
 func TestKindsEnterANewEraTogether(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		outage := source.NewOutage()
--- a/entry/internal/source/follower.go
+++ b/entry/internal/source/follower.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// listPart bounds a list, as a part of the bound, and mostList in time. The store answers in milliseconds, and in a
-	// third of a second when it is slow. One that was silent never answers what it was asked before: the list that
-	// hangs and the rest after it are what its return may cost, and leave a third of the bound.
+	// listPart limits the time of a list as a fraction of the bound, mostList absolutely. The store replies in
+	// milliseconds, in a third of a second when it is slow. After it has hung, it never replies to the calls from before:
+	// the hanging list and the backoff after it are the delay that a recovery may cost, and leave a third of the bound.
 	listPart = 0.4
 	mostList = 2 * time.Second
-	// watchMargin is how long after its wait a watch may still answer; one that says nothing then sits on a silent
-	// connection.
+	// watchMargin is the time that a watch may take beyond its wait; without a reply by then its connection is taken for
+	// dead.
 	watchMargin = 700 * time.Millisecond
-	// waitPart is the part of the bound that one watch waits, and stalePart the part after which a host that hears
-	// nothing from others asks the store itself; the rest is for one list.
+	// waitPart is the fraction of the bound that one watch waits. stalePart is the fraction after which a host without
+	// fresh replies of other hosts asks the store itself; the rest is for one list.
 	waitPart  = 0.55
 	stalePart = 0.75
-	// leadPart is the part of the bound that is left to a host that watches, from the moment it knows that a watch was
-	// lost, to read all again before the others find what they know too old.
+	// leadPart is the fraction of the bound that a watching host has, after it detects a lost watch, to list all objects
+	// before the copies of the other hosts are stale.
 	leadPart = 0.1
-	// confirmIn is how long the end of a watch takes to be known on all hosts, on one that has slept through it too.
+	// confirmIn is the time until the end of a watch has confirmed the copies of all hosts, also of one that was paused
+	// meanwhile.
 	confirmIn = 400 * time.Millisecond
-	// askMargin is how much sooner a parent answers than this host gives up on it.
+	// askMargin is how much earlier than the timeout of this host a parent replies.
 	askMargin = 150 * time.Millisecond
-	// firstPause and watchPause bound the wait after a call that failed, the second that of the two hosts that watch.
-	// Each call is paid for, though theirs are few whatever the number of hosts, and until they find the store again
-	// all others go on to call it by themselves.
+	// firstPause is the first backoff after a failed call, watchPause the longest backoff of the two hosts that watch.
+	// Each call is paid for, but theirs are few whatever the number of hosts, and until they reach the store again all
+	// other hosts keep calling it themselves.
 	firstPause = 100 * time.Millisecond
 	watchPause = 250 * time.Millisecond
-	// hearPause is the longest wait of a host that the watching hosts tell when the store is back: its own calls are
-	// for the case that those are cut off, and would all come at once at the end of an outage.
+	// hearPause is the longest backoff of the other hosts. The watching hosts notify them when the store recovers: their
+	// own calls are for the case that the watching hosts are cut off, and would all arrive at once at the end of an
+	// outage.
 	hearPause = 2 * time.Second
-	// blindPause is the longest wait after a call that failed while nothing is known: every request is refused
-	// meanwhile.
+	// blindPause is the longest backoff while the copy is empty: every request is refused meanwhile.
 	blindPause = 250 * time.Millisecond
-	// settleStep is how often a host that has just started looks whether it knows the others.
+	// settleStep is the interval at which a starting host checks whether its member list is complete.
 	settleStep = 50 * time.Millisecond
-	// staleAsk bounds the wait for a host that is asked by one that knows nothing fresh.
+	// staleAsk is the timeout of a request to another host while the copy of this host is stale.
 	staleAsk = 500 * time.Millisecond
-	// tryAgain is how soon a host that was turned away by the store tries it again while others keep it up to date.
+	// tryAgain is the backoff of a host that the store rejects while other hosts keep it up to date.
 	tryAgain = 3 * time.Second
-	// returnedFor is how long after an outage what vanishes may be the outage's doing.
+	// returnedFor is the time after an outage in which objects may be missing because of the outage.
 	returnedFor = time.Second
 )
 
-// fromStore names the store in logs, where another host is named by its address.
+// fromStore is the name of the store in logs, where other hosts are named by their address.
 const fromStore = "store"
 
-// Parent is a host from which this one hears.
+// Parent is a host that this host asks for changes.
 type Parent[T any] struct {
 	// Name identifies the host in logs.
 	Name string
-	// Ask returns what is newer than a revision, or that nothing is, within the wait.
+	// Ask returns the changes after a revision as soon as there are any, or none at the end of the wait.
 	Ask func(ctx context.Context, args relay.Args) (relay.Reply[T], error)
 }
 
@@ -67,70 +68,70 @@
 type Options[T any] struct {
 	Clock clock.Clock
 	Log   logr.Logger
-	// Name is the kind's name in logs.
+	// Name is the name of the kind of objects in logs.
 	Name  string
 	List  func(ctx context.Context) (feed.Batch[T], error)
 	Watch func(ctx context.Context, since int64, wait time.Duration) (feed.Batch[T], error)
-	// First returns the hosts that are asked before the first call to the store; it may be nil.
+	// First returns the seed hosts, which are asked before the first call to the store; it may be nil.
 	First func() []Parent[T]
-	// Wanted is closed once a client waits for what is not known yet, so that the store is called without further
-	// delay; nil means never.
+	// Wanted is closed when a client request waits for data, so that the store is called at once; nil means never.
 	Wanted <-chan struct{}
-	// Settled reports whether this host knows the others well enough to know whether it has to watch the store; nil
-	// means always.
+	// Settled reports whether the member list of this host is complete enough to decide whether this host has to watch the
+	// store; nil means always.
 	Settled func() bool
-	// Parents returns the hosts to hear from, and whether this host watches the store itself.
+	// Parents returns the hosts to ask for changes, and whether this host watches the store itself.
 	Parents func() (parents []Parent[T], watches bool)
-	// Others returns a few other hosts, never the same for long; nil means that there are none.
+	// Others returns a few other hosts, chosen anew with each call; nil means that there are none.
 	Others func() []Parent[T]
-	// Copy takes what was read, for the other hosts.
+	// Copy holds the objects and serves them to other hosts.
 	Copy *relay.Copy[T]
-	// Replace takes a list of all objects, Change those that changed; returned says that the store was away until a
-	// moment ago.
+	// Replace applies a list of all objects, Change only those that changed; returned reports that the store recovered
+	// from an outage a moment ago.
 	Replace, Change func(batch feed.Batch[T], returned bool)
-	// Reconnect drops the unused connections to the store.
+	// Reconnect closes the unused connections to the store.
 	Reconnect func()
-	// Outage is shared by the followers of one host; nil means one of its own.
+	// Outage is shared by the followers of one host; nil means a separate one.
 	Outage *Outage
-	// Rejected is told how many objects were found that can't be read, each once; it may be nil.
+	// Rejected is called with the number of unreadable objects found, each counted once; it may be nil.
 	Rejected func(n int)
-	// Older is called with each answer that is older than what is known; it may be nil.
+	// Older is called for each reply that is older than the copy; it may be nil.
 	Older func()
-	// Bound is how soon a change has to be known here. A watch may hear nothing while its history is being dropped, and
-	// tells so only at its end: its wait has to be well under the bound.
+	// Bound is the time within which a change must be applied here. A watch may miss changes while the store drops its
+	// history, and reports that only at its end: its wait has to be well below the bound.
 	Bound time.Duration
 }
 
-// Follower keeps this host in step with one kind of object.
+// Follower keeps the copy of one kind of objects on this host up to date.
 type Follower[T any] struct {
 	opts Options[T]
-	// listed says that changes since the copy's revision can be watched.
+	// listed reports that changes after the revision of the copy can be watched.
 	listed bool
-	// down says that the last call to the store failed, back when calls succeeded again.
+	// down reports that the last call to the store failed, back is the time of the first success after an outage.
 	down  bool
 	back  time.Time
 	pause time.Duration
-	// returns is how often the store had come back before it was last called.
+	// returns is the number of recoveries of the store before the last call to it.
 	returns int
-	// tried is when the store was last called.
+	// tried is the time of the last call to the store.
 	tried time.Time
-	// collect is how long the last watch that brought changes was followed by a pause.
+	// collect is the delay after the last watch that returned changes.
 	collect time.Duration
-	// next is which parent is asked next, and failed how many in a row brought nothing.
+	// next is the index of the parent to ask next, failed the number of requests in a row that confirmed nothing.
 	next, failed int
-	// received is the checksum of what the host that was asked last keeps from earlier eras of the store.
+	// received is the checksum of the entries that the last parent asked retains from earlier eras.
 	received keptSum
-	// consults is how many more times other hosts are asked for that.
+	// consults is the number of rounds left in which other hosts are asked for those.
 	consults int
-	// unsaid says that the store's last answer didn't bear its era.
+	// unsaid reports that the last reply of the store had no era.
 	unsaid bool
-	// older says that the last answer was older than what is known, and olderPause is the wait after one of the store.
+	// older reports that the last reply was older than the copy, olderPause is the backoff after such a reply of the
+	// store.
 	older      bool
 	olderPause time.Duration
 	rejects    *rejects
 }
 
-// New returns a follower that does nothing until Run.
+// New returns a follower that is started by Run.
 func New[T any](opts Options[T]) *Follower[T] {
 	if opts.Settled == nil {
 		opts.Settled = func() bool { return true }
@@ -150,13 +151,13 @@
 	return &Follower[T]{opts: opts, rejects: newRejects(opts.Log, opts.Name, opts.Rejected)}
 }
 
-// Run follows until ctx ends. Most hosts hear from another; one that hears nothing fresh asks the store itself, and the
-// few that watch it hear from each other while the store turns them away.
+// Run keeps the copy up to date until ctx ends. Most hosts ask a parent. A host whose copy is stale asks the store
+// itself, and the few that watch the store ask each other while it rejects them.
 func (f *Follower[T]) Run(ctx context.Context) {
 	f.first(ctx)
 	for ctx.Err() == nil {
 		if !f.opts.Settled() && !f.stale() {
-			// A host that has just started knows only itself, and would watch the store as if it were the only one.
+			// The member list of a starting host has only itself: it would watch the store as if it were the only host.
 			clock.Sleep(ctx, f.opts.Clock, settleStep)
 			continue
 		}
@@ -164,7 +165,7 @@
 	}
 }
 
-// step hears from another host, waits, or calls the store.
+// step asks a parent, waits, or calls the store.
 func (f *Follower[T]) step(ctx context.Context) {
 	parents, watches := f.opts.Parents()
 	failed, _ := f.opts.Outage.failedAt()
@@ -177,7 +178,7 @@
 			case len(parents) == 0, watches && rest <= askMargin:
 				clock.Sleep(ctx, f.opts.Clock, rest)
 			case watches && f.stale():
-				// The other one that watches may be turned away as well.
+				// The store may reject the other watching host as well.
 				f.hear(ctx, append(f.opts.Others(), parents...), rest)
 			case watches:
 				f.hear(ctx, parents, rest)
@@ -195,8 +196,7 @@
 	}
 }
 
-// untilBack does something while the store is left alone, and ends that once another follower of this host has reached
-// it.
+// untilBack runs do during a backoff, and cancels it once another follower of this host reaches the store.
 func (f *Follower[T]) untilBack(ctx context.Context, back <-chan struct{}, do func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -215,7 +215,7 @@
 	}
 }
 
-// hearsFirst reports whether another host is asked before the store, which is not known to be away.
+// hearsFirst reports whether a parent is asked before the store while the last call to the store succeeded.
 func (f *Follower[T]) hearsFirst(parents []Parent[T], watches bool) bool {
 	return !f.down && !watches && !f.stale() && f.failed < len(parents)
 }
--- a/entry/internal/source/follower_test.go
+++ b/entry/internal/source/follower_test.go
@@ -22,16 +22,16 @@
 
 const bound = 3 * time.Second
 
-// world is a store with one object that holds a number, and hosts that follow it.
+// world is a store with one object that holds a number.
 type world struct {
 	mu       sync.Mutex
 	revision int64
 	changed  chan struct{}
-	// deaf lets watches hear nothing until their wait is over, and then tells that the history is gone.
+	// deaf makes watches miss all changes until their wait is over, and then fail because the history is gone.
 	deaf bool
-	// away holds the hosts that the store turns away.
+	// away holds the hosts that the store rejects.
 	away map[string]bool
-	// silent lets every call hang until its caller gives up, and mute every watch.
+	// silent makes every call hang until its caller gives up, mute every watch.
 	silent, mute bool
 	calls        map[string]int
 }
@@ -54,7 +54,7 @@
 	f()
 }
 
-var errAway = errors.New("the store is away")
+var errAway = errors.New("store unavailable")
 
 func (w *world) call(ctx context.Context, name string) (int64, <-chan struct{}, bool, error) {
 	w.mu.Lock()
@@ -82,17 +82,17 @@
 	return feed.Batch[int64]{Revision: revision, Entries: []feed.Entry[int64]{{Name: "main", Revision: revision, Value: revision}}}
 }
 
-// host follows the world.
+// host is a host that follows the store.
 type host struct {
 	name string
 	copy *relay.Copy[int64]
 	mu   sync.Mutex
 	seen int64
-	// parents are the hosts that it hears from; one that watches the store too hears from them only while the store
-	// turns it away.
+	// parents are the hosts that it asks for changes; a host that watches the store asks them only while the store rejects
+	// it.
 	parents []*host
 	watches bool
-	// down says that it takes no connections.
+	// down makes the host refuse connections.
 	down bool
 }
 
@@ -108,7 +108,7 @@
 	return list, h.watches
 }
 
-// hear lets a host that watches the store hear from another one as well.
+// hear makes a host that watches the store ask p as well.
 func (h *host) hear(p *host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,19 +129,19 @@
 	}
 }
 
-// follow starts a host that hears from parents, and watches the store itself where it has none.
+// follow starts a host that asks parents, or watches the store itself if there are none.
 func (w *world) follow(ctx context.Context, name string, parents ...*host) *host {
 	return w.followBeside(ctx, name, source.NewOutage(), parents...)
 }
 
-// followBeside starts a host that shares what it knows of outages with another kind of object.
+// followBeside starts a host that shares the outage state with another kind of objects.
 func (w *world) followBeside(ctx context.Context, name string, outage *source.Outage, parents ...*host) *host {
 	h := &host{name: name, copy: relay.NewCopy(relay.Options[int64]{}), parents: parents, watches: len(parents) == 0}
 	go source.New(w.options(h, outage)).Run(ctx)
 	return h
 }
 
-// start starts a host whose settings name others; wanted is closed once a client waits.
+// start starts a host with seeds; wanted is closed when a client request waits.
 func (w *world) start(ctx context.Context, name string, wanted <-chan struct{}, named ...*host) *host {
 	h := &host{name: name, copy: relay.NewCopy(relay.Options[int64]{}), parents: named}
 	opts := w.options(h, source.NewOutage())
@@ -154,7 +154,7 @@
 	return h
 }
 
-// options returns how h follows the world.
+// options returns the options with which h follows the store.
 func (w *world) options(h *host, outage *source.Outage) source.Options[int64] {
 	name := h.name
 	return source.Options[int64]{
@@ -229,8 +229,8 @@
 	})
 }
 
-// A change of configuration reaches the host that watches, and through it one that doesn't, at once; the second makes
-// no further call.
+// Guards against changes that reach a host late: they pass through the watching host to the one that asks it at once,
+// without another call to the store.
 func TestChangesPassThrough(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -245,9 +245,9 @@
 	})
 }
 
-// A hundred shards' replicas register within three seconds of a start, one after the other. Each of them ended a watch,
-// and each watch is a call that is paid for, beside the rate that all hosts share. Calls must not grow with the number
-// of changes, none of which may be known late for it; one that comes alone is known at once.
+// Guards against calls that grow with the number of changes. When replicas of a hundred shards register within three
+// seconds, each one would end a watch, a call that is paid for and counts against the rate that all hosts share. No
+// change may be late because of that, and a single one is applied at once.
 func TestManyChangesTakeFewCalls(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -266,14 +266,14 @@
 		w.set(func() {
 			qt.Check(t, w.calls["watcher"]-before < 30, qt.IsTrue, qt.Commentf("%d calls for 300 changes in 3 s", w.calls["watcher"]-before))
 		})
-		// A twelfth of the bound leaves the rest to the way through the hosts below.
+		// A twelfth of the bound leaves the rest for passing changes on to other hosts.
 		time.Sleep(bound / 12)
 		qt.Check(t, watcher.value(), qt.Equals, int64(302))
 	})
 }
 
-// All hosts of a fleet start within a third of a second. One that is up before those that its settings name must not
-// call the store for what they are about to know; where a client waits for it, it must.
+// Guards against store calls of a host that starts before its seeds. All hosts of a fleet start within a third of a
+// second: the host has to wait for the data of the seeds, unless a client request waits.
 func TestStartBeforeTheNamedHosts(t *testing.T) {
 	for _, wanted := range []bool{false, true} {
 		play(t, func(ctx context.Context) {
@@ -295,8 +295,8 @@
 	}
 }
 
-// The host that the settings name is not up yet and refuses connections; it comes 0.15 s later and knows all there is.
-// It has to be asked again before the store is.
+// Guards against a store call when a seed refuses connections at first. It is up 0.15 s later with all data, and has to
+// be asked again before the store is called.
 func TestStartBeforeTheNamedHostListens(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -313,10 +313,9 @@
 	})
 }
 
-// A fleet starts while nothing changes, as with an object that is hardly ever written. The host that the settings name
-// has read the store at once and watches it a second and a half later, when it knows the others. All others heard from
-// it what it read, and must hear from it again before that is too old: each would make a call otherwise, 5,600 of them
-// at once.
+// Guards against 5,600 store calls at once when a fleet starts and nothing changes. The seed lists the store at once,
+// and watches it a second and a half later when its member list is complete. The hosts that asked the seed need another
+// reply before their copies are stale, or each would call the store.
 func TestStartWhileNothingChanges(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -331,8 +330,8 @@
 	})
 }
 
-// A power cut took the hosts that the settings name, and they don't return. A host that starts, and that no client
-// waits for, must know all there is two seconds later.
+// Guards against a host that waits for seeds that a power cut took down: without client requests it must have all data
+// after two seconds.
 func TestStartWithoutTheNamedHosts(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -342,8 +341,8 @@
 	})
 }
 
-// The history is dropped while a configuration is written: the watch that waits hears nothing and only its end tells.
-// The change must still be in force within its bound.
+// Guards against a late change when the store drops its history during a watch: the watch misses the change and fails
+// only at its end.
 func TestDeafWatch(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -359,8 +358,8 @@
 	})
 }
 
-// The host that others hear from is cut off from the store, or stops answering. They have to ask the store themselves
-// before the bound of a change is over.
+// Guards against a late change when the parent is cut off from the store or stops replying: the hosts that ask it have
+// to ask the store themselves within the bound.
 func TestParentCutOff(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -375,8 +374,8 @@
 	})
 }
 
-// A host starts while the store turns it away and serves the others. Its neighbours know the configuration; without
-// them it would refuse every request until the store takes it again.
+// Guards against a host that refuses all requests because the store rejects it at its start, while its neighbors have
+// the configuration.
 func TestStartWhileTurnedAway(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -394,9 +393,8 @@
 	})
 }
 
-// The store falls silent for some seconds: it takes calls and answers none. An operator's change that waited for it is
-// written the moment it is back, and a client asks for the new route. Each host waits for a call of its own that will
-// never be answered, or rests after one; wherever it is in that, the change has to be in force within its bound.
+// Guards against a late change after the store has hung for some seconds. The change is written at the recovery;
+// wherever a host is in a hanging call or the backoff after it, the change must be applied within the bound.
 func TestSilentStoreComesBack(t *testing.T) {
 	for step := range 40 {
 		play(t, func(ctx context.Context) {
@@ -418,8 +416,8 @@
 	}
 }
 
-// Guards against a watch that is lost and lets all hosts read the store at once: those that watch have to read it again
-// before what the others know is too old. Of a thousand hosts each would list thousands of replicas in the same second.
+// Guards against a lost watch that makes all hosts list the store at once, thousands of replicas for each of a thousand
+// hosts: the watching hosts have to list it before the copies of the others are stale.
 func TestLostWatchCostsTheWatchersAlone(t *testing.T) {
 	for _, hosts := range []int{4, 50} {
 		for step := range 30 {
@@ -445,8 +443,8 @@
 	}
 }
 
-// The store is away for long. A host that hears nothing fresh has to try it, but not for each kind of object by itself:
-// in a fleet of hundreds that is most of what an outage costs. Its pause grows to two seconds in five calls.
+// Guards against separate calls for each kind of objects during an outage, in a fleet of hundreds most of the calls
+// that it costs. The backoff grows to two seconds in five calls.
 func TestOutageCostsOneCallARound(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		configs, replicas := newWorld(), newWorld()
@@ -477,9 +475,9 @@
 	})
 }
 
-// The store is away while the index is cut anew, and comes back. A host reads the configuration, which names new
-// shards, and the list of replicas only at its own next try, up to a second later: until then every page fails. Both
-// have to be known together, whenever the store comes back, on a host that hears from another one too.
+// Guards against a configuration that names new shards and is read up to a second before the list of their replicas:
+// every page fails meanwhile. Both kinds have to be read together whenever the store recovers, also on a host that asks
+// another one.
 func TestKindsReturnTogether(t *testing.T) {
 	for i := range 40 {
 		for _, lonely := range []bool{true, false} {
@@ -513,7 +511,7 @@
 	}
 }
 
-// Guards against answers that are refused for their age without a trace: hosts that take over nothing look healthy.
+// Guards against older replies that are rejected without a log line: hosts that apply nothing look healthy.
 func TestOlderAnswersAreReported(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -533,8 +531,8 @@
 	})
 }
 
-// Guards against a store whose answers are all too old being called without a pause, by six hosts 1,000 times a second.
-// The pause grows to two seconds in five calls.
+// Guards against calls without pause to a store whose replies are too old, by six hosts 1,000 times a second. The
+// backoff grows to two seconds in five calls.
 func TestOlderAnswersAreNotAskedForAtOnce(t *testing.T) {
 	play(t, func(ctx context.Context) {
 		w := newWorld()
@@ -561,7 +559,7 @@
 	})
 }
 
-// Guards against a host that watches the store, is turned away by it after an outage for all, and asks nobody else.
+// Guards against a watching host that the store rejects after an outage for all hosts, and that asks no other host.
 func TestWatcherTurnedAwayAfterAnOutage(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 2500 * time.Millisecond, 10 * time.Second} {
 		play(t, func(ctx context.Context) {
@@ -577,8 +575,8 @@
 			time.Sleep(time.Second)
 			w.write()
 			time.Sleep(bound)
-			qt.Check(t, first.value(), qt.Equals, int64(2), qt.Commentf("the host that is turned away, after %s", outage))
-			qt.Check(t, child.value(), qt.Equals, int64(2), qt.Commentf("one that hears from it, after %s", outage))
+			qt.Check(t, first.value(), qt.Equals, int64(2), qt.Commentf("rejected host, after an outage of %s", outage))
+			qt.Check(t, child.value(), qt.Equals, int64(2), qt.Commentf("host that asks it, after an outage of %s", outage))
 		})
 	}
 }
--- a/entry/internal/source/hear.go
+++ b/entry/internal/source/hear.go
@@ -10,8 +10,8 @@
 	"guavaspring.org/entry/internal/relay"
 )
 
-// hear asks one parent for what is new, within a time. One that is silent, behind, or without news of the store is
-// passed over next time.
+// hear asks one parent for changes, with a timeout of at most within. The next call asks another one if this one hangs,
+// is behind, or confirms nothing.
 func (f *Follower[T]) hear(ctx context.Context, parents []Parent[T], within time.Duration) {
 	parent := parents[f.next%len(parents)]
 	before, _ := f.opts.Copy.State()
@@ -30,7 +30,7 @@
 		f.failed = 0
 		return
 	case err == nil && rep.Age >= 0 && f.opts.Clock.Now().Sub(began) < wait:
-		// It answered before its time was over, with what this host had read itself meanwhile.
+		// An early reply with changes that this host has read itself meanwhile is no failure.
 		return
 	}
 	f.next++
@@ -38,14 +38,15 @@
 	if err != nil && ctx.Err() == nil {
 		events.ParentLost.Log(f.opts.Log, "kind", f.opts.Name, "host", parent.Name, "reason", err.Error())
 		if f.down {
-			// It failed at once, and the store rests: without a wait the parents would be called without end.
+			// Nothing else limits the rate here during a backoff: parents that fail at once would be asked without pause.
 			clock.Sleep(ctx, f.opts.Clock, min(wait, firstPause))
 		}
 	}
 }
 
-// heard takes over the reply of a host that was asked at began. Its age counts from the earliest moment at which it may
-// have left: hosts that hear from each other would confirm each other otherwise, by the time that messages take.
+// heard applies the reply of a host that was asked at began. The age of the reply counts from the earliest moment at
+// which it may have been sent: hosts that ask each other would otherwise keep confirming each other's copies by the
+// travel time of their messages.
 func (f *Follower[T]) heard(from string, rep relay.Reply[T], began time.Time) {
 	at := began.Add(rep.Held - rep.Age)
 	f.listed = true
@@ -60,7 +61,7 @@
 	}
 }
 
-// replace takes over a list, and reports whether it was new enough.
+// replace applies a list of all objects, and reports whether it was new enough.
 func (f *Follower[T]) replace(from string, batch feed.Batch[T], at time.Time, returned bool) bool {
 	before, _ := f.opts.Copy.State()
 	if !f.opts.Copy.Replace(batch, at, returned) {
@@ -73,7 +74,7 @@
 	return true
 }
 
-// change takes over changes, and reports whether they were new enough.
+// change applies changes, and reports whether they were new enough.
 func (f *Follower[T]) change(from string, batch feed.Batch[T], at time.Time, returned bool) bool {
 	before, _ := f.opts.Copy.State()
 	news, ok := f.opts.Copy.Change(batch, at, returned)
@@ -88,7 +89,7 @@
 	return true
 }
 
-// noteOlder logs and counts an answer that was refused for its age.
+// noteOlder counts a reply that is older than the copy and was not applied, and logs the first in a row.
 func (f *Follower[T]) noteOlder(from string, batch feed.Batch[T]) {
 	f.opts.Older()
 	if !f.older {
--- a/entry/internal/source/outage.go
+++ b/entry/internal/source/outage.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// Outage reports to the followers of one host that the store is away, that it is back, and in which era.
+// Outage shares the state of the store among the followers of one host: outages, recoveries and the restart era.
 //
-// A call that failed says so for all kinds of objects: otherwise each host that hears nothing fresh asks for each kind by
-// itself all through an outage.
+// A failed call starts a backoff for all kinds of objects: otherwise each host with a stale copy would call the store
+// for each kind separately all through an outage.
 //
-// Each kind of object has its own follower, and each leaves the store alone for up to a second after a call that
-// failed. Where the configuration is read at the store's return and names new shards, their replicas would be read later,
-// and every page fail until then.
+// A recovery ends the backoff of all followers. Otherwise the configuration may be read at the recovery and name new
+// shards, while the list of their replicas is read only after another backoff, and every page fails until then.
 type Outage struct {
 	mu   sync.Mutex
 	back chan struct{}
-	// returns counts how often back was closed.
+	// returns is the number of times that back was closed.
 	returns int
-	// failed is when a call failed last, zero where one succeeded after it.
+	// failed is the time of the last failed call, zero if a call has succeeded since.
 	failed time.Time
-	// era is the newest era of the store that a follower has entered, and entered is closed with the next.
+	// era is the newest restart era that a follower has entered, entered is closed at the next one.
 	era     int64
 	entered chan struct{}
 }
 
-// NewOutage returns an outage that nobody has seen the end of.
+// NewOutage returns the state of a store without outages so far.
 func NewOutage() *Outage {
 	return &Outage{back: make(chan struct{}), entered: make(chan struct{})}
 }
 
-// enter says that a follower has read the store in an era.
+// enter records that a follower has read the store in an era.
 func (o *Outage) enter(era int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,28 +41,28 @@
 	o.entered = make(chan struct{})
 }
 
-// newestEra returns the newest era that a follower has entered, and a channel that is closed with the next.
+// newestEra returns the newest era that a follower has entered, and a channel that is closed at the next one.
 func (o *Outage) newestEra() (int64, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.era, o.entered
 }
 
-// Back returns a channel that is closed once a follower reaches the store again.
+// Back returns a channel that is closed when a follower reaches the store again.
 func (o *Outage) Back() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.back
 }
 
-// returnCount returns how often a follower has reached the store again.
+// returnCount returns the number of recoveries of the store.
 func (o *Outage) returnCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.returns
 }
 
-// over says that a follower has reached the store after calls that failed.
+// over records that a follower has reached the store after failed calls.
 func (o *Outage) over() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -73,22 +72,23 @@
 	o.back = make(chan struct{})
 }
 
-// lost says that a call failed.
+// lost records a failed call.
 func (o *Outage) lost(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.failed = now
 }
 
-// failedAt returns when a call failed last, and whether none has succeeded since.
+// failedAt returns the time of the last failed call, and whether no call has succeeded since.
 func (o *Outage) failedAt() (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.failed, !o.failed.IsZero()
 }
 
-// claim reports whether a follower may call the store, and keeps the others from it for a while where it is away. seen
-// is what failedAt returned when the follower decided: two whose rests end at once must not both call.
+// claim reports whether a follower may call the store. During an outage a claim counts as a failed call, which keeps
+// the other followers in backoff. seen is the time that failedAt returned when the follower decided to call: of two
+// whose backoffs end at once only one may call.
 func (o *Outage) claim(seen, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/entry/internal/source/read.go
+++ b/entry/internal/source/read.go
@@ -9,7 +9,7 @@
 	"guavaspring.org/entry/internal/events"
 )
 
-// read makes one call to the store: a list where nothing is known or what is known may have a hole, a watch otherwise.
+// read makes one call to the store: a list if the copy is empty, stale or may lack changes, a watch otherwise.
 func (f *Follower[T]) read(ctx context.Context) {
 	defer func() { f.tried = f.opts.Clock.Now() }()
 	f.returns = f.opts.Outage.returnCount()
@@ -56,7 +56,7 @@
 		events.HistoryGone.Log(f.opts.Log, "kind", f.opts.Name, "since", st.Revision)
 		f.listed = false
 	case err == nil && batch.Era > st.Era:
-		// The revision that was watched from stands for another moment now.
+		// In the new era the revision to watch from stands for another state of the store.
 		f.listed = false
 	case err != nil:
 		f.listed = false
@@ -70,15 +70,15 @@
 	}
 }
 
-// watchWait returns how long one watch waits: so long that its loss is known in time to read all again. The first one
-// after a start ends sooner: what the hosts below heard is as old as the list that was read before, and each would ask
-// the store itself before it hears that nothing has changed.
+// watchWait returns the wait of one watch, short enough to list all objects in time after a lost watch. The first watch
+// after a start waits less: the copies of the other hosts are as old as the list before it, and each host would call
+// the store before a reply confirms that nothing has changed.
 func (f *Follower[T]) watchWait() time.Duration {
 	most := max(part(leadPart, f.opts.Bound), part(stalePart-leadPart, f.opts.Bound)-watchMargin)
 	return max(0, min(part(waitPart, f.opts.Bound), most, f.left()-confirmIn))
 }
 
-// lost notes an outage, after which the store is left alone for a while.
+// lost records a failed call, which starts a backoff.
 func (f *Follower[T]) lost(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -92,7 +92,7 @@
 	f.opts.Reconnect()
 }
 
-// succeeded notes that the store answered, and reports whether it was away until a moment ago.
+// succeeded records a successful call, and reports whether the store recovered from an outage a moment ago.
 func (f *Follower[T]) succeeded() bool {
 	now := f.opts.Clock.Now()
 	_, away := f.opts.Outage.failedAt()
--- a/entry/internal/source/rejects.go
+++ b/entry/internal/source/rejects.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// mostLines is how many lines one reply of the store may cause, and mostKnown how many objects are remembered as
-	// told of: another writer may leave thousands of objects that can't be read, and each list shows all of them again.
+	// mostLines limits the log lines for one reply of the store, mostKnown the number of objects marked as logged: another
+	// writer may leave thousands of unreadable objects, and each list contains all of them again.
 	mostLines = 8
 	mostKnown = 4096
 )
 
-// rejects tells of each object that can't be read once, in a bounded number of lines.
+// rejects logs each unreadable object once, in a bounded number of lines.
 type rejects struct {
 	log   logr.Logger
 	kind  string
 	count func(n int)
-	// known holds the revision at which an object was told of, by name; those without a name share one.
+	// known holds the revision at which an object was logged, by name; objects without a name share one entry.
 	known map[string]int64
 }
 
@@ -27,7 +27,7 @@
 	return &rejects{log: log, kind: kind, count: count, known: map[string]int64{}}
 }
 
-// report logs and counts the objects that were not told of yet.
+// report logs and counts the objects that were not logged yet.
 func (r *rejects) report(list []feed.Rejected) {
 	n := 0
 	for _, rej := range list {
@@ -47,11 +47,11 @@
 	}
 }
 
-// forget lets all objects be logged again: their revisions stand for something else by now.
+// forget lets all objects be logged again: in a new era their revisions stand for other states.
 func (r *rejects) forget() { clear(r.known) }
 
-// remember notes that an object was told of. Once too many are known, all are forgotten: a line too many is cheaper
-// than memory without bound.
+// remember marks an object as logged. At the limit all marks are dropped: a repeated line is cheaper than unbounded
+// memory.
 func (r *rejects) remember(rej feed.Rejected) {
 	if len(r.known) >= mostKnown {
 		clear(r.known)
--- a/entry/internal/source/rejects_test.go
+++ b/entry/internal/source/rejects_test.go
@@ -12,9 +12,8 @@
 	"guavaspring.org/core/feed"
 )
 
-// Another writer leaves ten thousand entries that can't be read, and each list of the store shows them all again. The
-// log must say so without being filled by it: a line for each of the first, one for the rest, and none for what was
-// told already.
+// Guards against a log filled by unreadable objects: another writer leaves ten thousand of them, and each list of the
+// store contains all again. The first are logged by one line each, the rest by one line, and none is logged twice.
 func TestRejectsAreToldOnce(t *testing.T) {
 	lines, counted := 0, 0
 	log := funcr.New(func(string, string) { lines++ }, funcr.Options{})
@@ -38,7 +37,7 @@
 	qt.Assert(t, len(r.known) <= mostKnown, qt.IsTrue)
 }
 
-// Guards against objects that can't be read and are never told of, since the store's revisions went back.
+// Guards against unreadable objects that are never logged because the revisions of the store went back.
 func TestRejectsOfALaterEraAreTold(t *testing.T) {
 	lines := 0
 	r := newRejects(funcr.New(func(string, string) { lines++ }, funcr.Options{}), "replicas", func(int) {})
--- a/entry/internal/source/rest.go
+++ b/entry/internal/source/rest.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// rest returns how long the store is left alone after a call that failed. Other hosts are asked meanwhile.
+// rest returns the remaining backoff after a failed call to the store. Other hosts are asked meanwhile.
 //
-// The store may turn away some hosts and serve the others. A host that starts meanwhile would refuse every request for
-// as long, though its neighbours know all that it lacks. Where it is away for all, the first host that reaches it again
-// has all others know within one call.
+// The store may reject some hosts and serve the others. A host that starts meanwhile would refuse every request until
+// the store accepts it, though its neighbors have all the data. When the store is down for all hosts, the first one
+// that reaches it again updates the others within one call.
 func (f *Follower[T]) rest(watches bool) time.Duration {
 	if f.opts.Outage.returnCount() != f.returns && f.olderPause == 0 {
-		// Another follower has reached it since.
+		// Another follower has reached the store since.
 		return 0
 	}
 	down, tried, pause := f.down || f.olderPause > 0, f.tried, max(f.pause, f.olderPause)
@@ -23,7 +23,8 @@
 	switch left := f.left(); {
 	case left <= 0:
 	case watches:
-		// The others wait for this host, and would all call the store at the moment at which it did.
+		// The other hosts wait for this one, and would all call the store at the same moment if it called only when its copy
+		// is stale.
 		pause = min(tryAgain, max(pause, left-part(leadPart, f.opts.Bound)))
 	default:
 		pause = tryAgain
@@ -31,10 +32,10 @@
 	return pause - f.opts.Clock.Now().Sub(tried)
 }
 
-// stale reports whether this host has to ask the store itself.
+// stale reports whether the copy is so old that this host has to ask the store itself.
 func (f *Follower[T]) stale() bool { return f.left() <= 0 }
 
-// left returns how long what is known here is fresh enough.
+// left returns how long the copy stays fresh.
 func (f *Follower[T]) left() time.Duration {
 	st, _ := f.opts.Copy.State()
 	if st.Confirmed.IsZero() {
@@ -45,7 +46,7 @@
 
 func part(p float64, d time.Duration) time.Duration { return time.Duration(p * float64(d)) }
 
-// longest returns the longest wait after a call that failed.
+// longest returns the longest backoff after a failed call.
 func (f *Follower[T]) longest(watches bool) time.Duration {
 	st, _ := f.opts.Copy.State()
 	switch {
@@ -57,8 +58,8 @@
 	return hearPause
 }
 
-// backOff lets the wait after an answer of the store grow while its answers are too old to be taken over. Such a call
-// confirms nothing, and would be made again at once.
+// backOff increases the backoff while replies of the store are too old to apply, and resets it otherwise. A call with
+// such a reply confirms nothing, and would be repeated at once.
 func (f *Follower[T]) backOff(taken bool) {
 	if taken {
 		f.olderPause = 0
--- a/entry/internal/source/start.go
+++ b/entry/internal/source/start.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// firstWait bounds the wait for the hosts that the settings name at a start without clients. Those are up 0.3 s
-	// after the others at the latest, have read the store a moment later, and then have hundreds of hosts to answer,
-	// each of which would call the store if it waited no longer.
+	// firstWait bounds the wait for the seed hosts at a start without client requests. Seeds are up at most 0.3 s after
+	// the other hosts and have read the store a moment later, but then have hundreds of hosts to reply to, each of which
+	// would call the store after a shorter wait.
 	firstWait = 2 * time.Second
-	// firstAgain is how soon one of those that takes no connection yet is tried again, and firstNext how long one may
-	// take to answer before the next is asked as well.
+	// firstAgain is the retry interval for a seed that refuses connections. firstNext is the time for one seed to reply
+	// before the next one is asked as well.
 	firstAgain = 40 * time.Millisecond
 	firstNext  = 120 * time.Millisecond
 )
 
-// first asks the hosts that the settings name for all there is before the store is called, one after the other.
+// first asks the seed hosts for all objects before the store is called, each a little later than the one before.
 //
-// It answers a fleet that starts at once: where each host lists each kind by itself, as those named are not up yet,
-// thousands of hosts make more calls than the store takes in a second. A client that waits ends it.
+// It is for a fleet that starts at once: if each host listed each kind by itself while the seeds are not up yet,
+// thousands of hosts would make more calls than the store accepts in a second. A waiting client request ends the wait.
 func (f *Follower[T]) first(ctx context.Context) {
 	if f.opts.First == nil {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// askFirst asks one host, from some time on, until it has all there is, and returns when it was asked. The age of its
-// reply is negative where ctx ends before that.
+// askFirst asks one seed, after a delay, until it has all objects. It returns the reply and the time of the request;
+// the age of the reply is negative if ctx ends before.
 func (f *Follower[T]) askFirst(ctx context.Context, p Parent[T], after time.Duration) (relay.Reply[T], time.Time) {
 	clock.Sleep(ctx, f.opts.Clock, after)
 	for ctx.Err() == nil {
@@ -67,7 +67,7 @@
 		if err == nil && rep.Age >= 0 && rep.Full && rep.Revision > 0 {
 			return rep, began
 		}
-		// A host that is not up yet is the usual case.
+		// A seed that is not up yet is the usual case.
 		clock.Sleep(ctx, f.opts.Clock, firstAgain)
 	}
 	return relay.Reply[T]{Age: -1}, time.Time{}
