--- a/entry/internal/source/era_test.go
+++ b/entry/internal/source/era_test.go
@@ -18,8 +18,8 @@
 	"guavaspring.org/entry/internal/source"
 )
 
-// storeTakes is the latency of the store.
-const storeTakes = 4 * time.Millisecond
+// storeLatency is the latency of the store.
+const storeLatency = 4 * time.Millisecond
 
 // eraStore is a store with one object whose versions rise, and that can be restored from backups.
 type eraStore struct {
@@ -28,22 +28,22 @@
 	revision int64
 	object   feed.Entry[int64]
 	changed  chan struct{}
-	// away holds the hosts that the store rejects; all makes it reject every host.
-	away  map[string]bool
-	all   bool
-	calls map[string]int
-	// silent leaves the era out of replies.
-	silent bool
+	// rejected holds the hosts that the store rejects; all makes it reject every host.
+	rejected map[string]bool
+	down     bool
+	calls    map[string]int
+	// omitsEra leaves the era out of replies.
+	omitsEra bool
 }
 
-// eraCopy is a backup of the store.
-type eraCopy struct {
+// eraBackup is a backup of the store.
+type eraBackup struct {
 	revision int64
 	object   feed.Entry[int64]
 }
 
 func newEraStore() *eraStore {
-	s := &eraStore{era: 1, revision: 100, changed: make(chan struct{}), away: map[string]bool{}, calls: map[string]int{}}
+	s := &eraStore{era: 1, revision: 100, changed: make(chan struct{}), rejected: map[string]bool{}, calls: map[string]int{}}
 	s.write(1)
 	return s
 }
@@ -64,16 +64,16 @@
 	})
 }
 
-// others advances the revision counter, as writes of other kinds do.
-func (s *eraStore) others(n int64) { s.set(func() { s.revision += n }) }
+// advance advances the revision counter, as writes of other kinds do.
+func (s *eraStore) advance(n int64) { s.set(func() { s.revision += n }) }
 
-func (s *eraStore) copy() eraCopy {
+func (s *eraStore) backup() eraBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return eraCopy{s.revision, s.object}
+	return eraBackup{s.revision, s.object}
 }
 
-func (s *eraStore) restore(c eraCopy) {
+func (s *eraStore) restore(c eraBackup) {
 	s.set(func() {
 		s.era++
 		s.revision, s.object = c.revision, c.object
@@ -83,7 +83,7 @@
 // batch returns the changes since a revision; s.mu must be held.
 func (s *eraStore) batch(since int64) feed.Batch[int64] {
 	b := feed.Batch[int64]{Era: s.era, Revision: s.revision}
-	if s.silent {
+	if s.omitsEra {
 		b.Era = 0
 	}
 	if s.object.Revision > since {
@@ -92,13 +92,13 @@
 	return b
 }
 
-// look returns the changes since a revision and a channel that is closed at the next change of the store, or an error
+// read returns the changes since a revision and a channel that is closed at the next change of the store, or an error
 // if the store rejects the host or lacks the revision.
-func (s *eraStore) look(ctx context.Context, name string, since int64) (feed.Batch[int64], <-chan struct{}, error) {
+func (s *eraStore) read(ctx context.Context, name string, since int64) (feed.Batch[int64], <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all || s.away[name] {
-		return feed.Batch[int64]{}, nil, errAway
+	if s.down || s.rejected[name] {
+		return feed.Batch[int64]{}, nil, errUnavailable
 	}
 	if since > s.revision {
 		return feed.Batch[int64]{}, nil, feed.ErrHistoryGone
@@ -106,18 +106,18 @@
 	return s.batch(since), s.changed, ctx.Err()
 }
 
-func (s *eraStore) called(ctx context.Context, name string) {
+func (s *eraStore) recordCall(ctx context.Context, name string) {
 	s.mu.Lock()
 	s.calls[name]++
 	s.mu.Unlock()
-	clock.Sleep(ctx, clock.System{}, storeTakes)
+	clock.Sleep(ctx, clock.System{}, storeLatency)
 }
 
 func (s *eraStore) watch(ctx context.Context, name string, since int64, wait time.Duration) (feed.Batch[int64], error) {
-	s.called(ctx, name)
+	s.recordCall(ctx, name)
 	end := time.After(wait)
 	for {
-		b, changed, err := s.look(ctx, name, since)
+		b, changed, err := s.read(ctx, name, since)
 		if err != nil || len(b.Entries) > 0 {
 			return b, err
 		}
@@ -136,8 +136,8 @@
 	*host
 	frozen bool
 	// newest is the highest version applied so far, undone lists the updates that went back to a lower one.
-	newest int64
-	undone []string
+	newest      int64
+	regressions []string
 }
 
 // eraFleet is a set of hosts that follow one store: the first two watch it, the others ask these.
@@ -153,8 +153,8 @@
 
 func (f *eraFleet) setDelay(d time.Duration) { f.store.set(func() { f.delay = d }) }
 
-// travel waits for the latency of a message between two hosts.
-func (f *eraFleet) travel(ctx context.Context) {
+// simulateLatency waits for the latency of a message between two hosts.
+func (f *eraFleet) simulateLatency(ctx context.Context) {
 	f.store.mu.Lock()
 	d := f.delay
 	f.asked++
@@ -172,7 +172,7 @@
 		defer h.mu.Unlock()
 		for _, e := range b.Entries {
 			if e.Deleted || e.Value < h.newest {
-				h.undone = append(h.undone, fmt.Sprintf("%s: version %d to %d", name, h.newest, e.Value))
+				h.regressions = append(h.regressions, fmt.Sprintf("%s: version %d to %d", name, h.newest, e.Value))
 			}
 			h.seen, h.newest = e.Value, max(h.newest, e.Value)
 		}
@@ -183,14 +183,14 @@
 		Parents: func() ([]source.Parent[int64], bool) { return f.parents(h) },
 		Others:  func() []source.Parent[int64] { return f.others(h) },
 		List: func(ctx context.Context) (feed.Batch[int64], error) {
-			f.thaw(ctx, h)
-			f.store.called(ctx, name)
-			b, _, err := f.store.look(ctx, name, 0)
+			f.waitWhileFrozen(ctx, h)
+			f.store.recordCall(ctx, name)
+			b, _, err := f.store.read(ctx, name, 0)
 			return b, err
 		},
 		Watch: func(ctx context.Context, since int64, wait time.Duration) (feed.Batch[int64], error) {
 			b, err := f.store.watch(ctx, name, since, wait)
-			f.thaw(ctx, h)
+			f.waitWhileFrozen(ctx, h)
 			return b, err
 		},
 	}).Run(ctx)
@@ -198,8 +198,8 @@
 	return h
 }
 
-// thaw blocks while a host is frozen.
-func (f *eraFleet) thaw(ctx context.Context, h *eraHost) {
+// waitWhileFrozen blocks while a host is frozen.
+func (f *eraFleet) waitWhileFrozen(ctx context.Context, h *eraHost) {
 	for ctx.Err() == nil && h.isFrozen() {
 		clock.Sleep(ctx, clock.System{}, 10*time.Millisecond)
 	}
@@ -244,10 +244,10 @@
 
 func (f *eraFleet) parent(p *eraHost) source.Parent[int64] {
 	return source.Parent[int64]{Name: p.name, Ask: func(ctx context.Context, args relay.Args) (relay.Reply[int64], error) {
-		f.travel(ctx)
-		f.thaw(ctx, p)
+		f.simulateLatency(ctx)
+		f.waitWhileFrozen(ctx, p)
 		rep, err := ask(ctx, p.host, args)
-		f.travel(ctx)
+		f.simulateLatency(ctx)
 		return rep, err
 	}}
 }
@@ -262,9 +262,9 @@
 	return h
 }
 
-// playEras runs f with a fleet whose hosts have applied version 1.
-func playEras(t *testing.T, hosts int, f func(ctx context.Context, fleet *eraFleet, s *eraStore)) {
-	play(t, func(ctx context.Context) {
+// runEraFleet runs f with a fleet whose hosts have applied version 1.
+func runEraFleet(t *testing.T, hosts int, f func(ctx context.Context, fleet *eraFleet, s *eraStore)) {
+	runInBubble(t, func(ctx context.Context) {
 		s := newEraStore()
 		fleet := &eraFleet{store: s}
 		for i := range hosts {
@@ -274,14 +274,14 @@
 		f(ctx, fleet, s)
 		for _, h := range fleet.hosts {
 			h.mu.Lock()
-			qt.Check(t, h.undone, qt.HasLen, 0)
+			qt.Check(t, h.regressions, qt.HasLen, 0)
 			h.mu.Unlock()
 		}
 	})
 }
 
-// inForce checks that all hosts have applied a version or a newer one.
-func (f *eraFleet) inForce(t *testing.T, version int64, when string) {
+// checkVersion checks that all hosts have applied a version or a newer one.
+func (f *eraFleet) checkVersion(t *testing.T, version int64, when string) {
 	t.Helper()
 	for _, h := range f.hosts {
 		qt.Check(t, h.value() >= version, qt.IsTrue, qt.Commentf("%s: version %d on %s, want %d", when, h.value(), h.name, version))
@@ -294,23 +294,23 @@
 	for step := range 20 {
 		for _, away := range []time.Duration{0, 2 * time.Second} {
 			for _, cut := range []string{"", "host-0", "host-5"} {
-				playEras(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+				runEraFleet(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 					when := fmt.Sprintf("moment %d, away for %s, %q cut off", step, away, cut)
 					s.write(2)
-					old := s.copy()
-					s.others(3)
+					old := s.backup()
+					s.advance(3)
 					s.write(3)
 					time.Sleep(bound + time.Duration(step)*100*time.Millisecond)
-					fleet.inForce(t, 3, when+", before the restore")
-					s.set(func() { s.all, s.away[cut] = away > 0, cut != "" })
+					fleet.checkVersion(t, 3, when+", before the restore")
+					s.set(func() { s.down, s.rejected[cut] = away > 0, cut != "" })
 					time.Sleep(away)
 					s.restore(old)
-					s.set(func() { s.all = false })
+					s.set(func() { s.down = false })
 					time.Sleep(time.Second)
 					// Its revision is under that of version 3.
 					s.write(4)
 					time.Sleep(bound)
-					fleet.inForce(t, 4, when)
+					fleet.checkVersion(t, 4, when)
 				})
 			}
 		}
@@ -320,8 +320,8 @@
 // Guards against comparing revisions of two eras: after a restore each new version has the revision of an older one.
 func TestRevisionsAreGivenOutAgain(t *testing.T) {
 	for _, lost := range []int64{1, 2, 5} {
-		playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-			old := s.copy()
+		runEraFleet(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+			old := s.backup()
 			version := int64(1)
 			for range lost {
 				version++
@@ -334,30 +334,30 @@
 				s.write(version)
 			}
 			time.Sleep(bound)
-			fleet.inForce(t, version, fmt.Sprintf("%d lost", lost))
+			fleet.checkVersion(t, version, fmt.Sprintf("%d lost", lost))
 		})
 	}
 }
 
 // Guards against mixing up eras after two restores in quick succession, with one host frozen during one or both.
 func TestTwoRestoresInShortOrder(t *testing.T) {
-	for _, sleeper := range []int{0, 1, 4} {
-		for _, wake := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
-			playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-				old := s.copy()
+	for _, frozenHost := range []int{0, 1, 4} {
+		for _, betweenRestores := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
+			runEraFleet(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+				old := s.backup()
 				s.write(2)
 				time.Sleep(bound)
-				fleet.hosts[sleeper].freeze(true)
+				fleet.hosts[frozenHost].freeze(true)
 				s.restore(old)
-				time.Sleep(wake)
+				time.Sleep(betweenRestores)
 				s.write(3)
-				s.others(7)
+				s.advance(7)
 				time.Sleep(200 * time.Millisecond)
 				s.restore(old)
-				fleet.hosts[sleeper].freeze(false)
+				fleet.hosts[frozenHost].freeze(false)
 				s.write(4)
 				time.Sleep(bound)
-				fleet.inForce(t, 4, fmt.Sprintf("host-%d frozen, restored again after %s", sleeper, wake))
+				fleet.checkVersion(t, 4, fmt.Sprintf("host-%d frozen, restored again after %s", frozenHost, betweenRestores))
 			})
 		}
 	}
@@ -366,13 +366,13 @@
 // Guards against hosts that stay in the old era after a restore: the store rejects half of the fleet.
 func TestRestoreWhileHalfIsTurnedAway(t *testing.T) {
 	for _, first := range []int{0, 1} {
-		playEras(t, 8, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-			old := s.copy()
+		runEraFleet(t, 8, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+			old := s.backup()
 			s.write(2)
 			time.Sleep(bound)
 			s.set(func() {
 				for i := first; i < 8; i += 2 {
-					s.away[fmt.Sprint("host-", i)] = true
+					s.rejected[fmt.Sprint("host-", i)] = true
 				}
 			})
 			time.Sleep(time.Second)
@@ -380,7 +380,7 @@
 			time.Sleep(time.Second)
 			s.write(3)
 			time.Sleep(bound)
-			fleet.inForce(t, 3, fmt.Sprintf("host-%d and every second host rejected", first))
+			fleet.checkVersion(t, 3, fmt.Sprintf("host-%d and every second host rejected", first))
 			for _, h := range fleet.hosts {
 				st, _ := h.copy.State()
 				qt.Check(t, st.Era, qt.Equals, int64(2), qt.Commentf("%s", h.name))
@@ -394,8 +394,8 @@
 func TestHostsThatStartAfterRestore(t *testing.T) {
 	for _, started := range [][]int{{0}, {1}, {4}, {0, 1}, {0, 1, 4}} {
 		for _, after := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
-			playEras(t, 6, func(ctx context.Context, fleet *eraFleet, s *eraStore) {
-				old := s.copy()
+			runEraFleet(t, 6, func(ctx context.Context, fleet *eraFleet, s *eraStore) {
+				old := s.backup()
 				s.write(2)
 				time.Sleep(bound)
 				s.restore(old)
@@ -405,10 +405,10 @@
 					fleet.replace(ctx, i)
 				}
 				time.Sleep(bound)
-				fleet.inForce(t, 2, fmt.Sprintf("%v started %s after the restore", started, after))
+				fleet.checkVersion(t, 2, fmt.Sprintf("%v started %s after the restore", started, after))
 				s.write(3)
 				time.Sleep(bound)
-				fleet.inForce(t, 3, "after the next write")
+				fleet.checkVersion(t, 3, "after the next write")
 			})
 		}
 	}
@@ -416,9 +416,9 @@
 
 // Guards against hosts that wait for a newer version than the store has, when all of them start after a restore.
 func TestAllHostsStartAfterRestore(t *testing.T) {
-	play(t, func(ctx context.Context) {
+	runInBubble(t, func(ctx context.Context) {
 		s := newEraStore()
-		old := s.copy()
+		old := s.backup()
 		s.write(2)
 		s.restore(old)
 		fleet := &eraFleet{store: s}
@@ -426,10 +426,10 @@
 			fleet.start(ctx, fmt.Sprint("host-", i))
 		}
 		time.Sleep(time.Second)
-		fleet.inForce(t, 1, "as in the backup")
+		fleet.checkVersion(t, 1, "as in the backup")
 		s.write(3)
 		time.Sleep(bound)
-		fleet.inForce(t, 3, "the next write")
+		fleet.checkVersion(t, 3, "the next write")
 	})
 }
 
@@ -437,8 +437,8 @@
 // these.
 func TestRestoreCostsFewCalls(t *testing.T) {
 	for _, hosts := range []int{10, 60, 200} {
-		playEras(t, hosts, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-			old := s.copy()
+		runEraFleet(t, hosts, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+			old := s.backup()
 			s.write(2)
 			time.Sleep(bound)
 			before := map[string]int{}
@@ -455,19 +455,19 @@
 			qt.Check(t, total <= 2*(2+6), qt.IsTrue, qt.Commentf("%d calls of %d hosts", total, hosts))
 			s.write(3)
 			time.Sleep(bound)
-			fleet.inForce(t, 3, fmt.Sprintf("%d hosts", hosts))
+			fleet.checkVersion(t, 3, fmt.Sprintf("%d hosts", hosts))
 		})
 	}
 }
 
 // Guards against changed behavior with a store that never sends its era.
 func TestStoreWithoutEras(t *testing.T) {
-	playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-		s.set(func() { s.silent = true })
+	runEraFleet(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+		s.set(func() { s.omitsEra = true })
 		for version := range int64(5) {
 			s.write(version + 2)
 			time.Sleep(bound)
-			fleet.inForce(t, version+2, "without an era")
+			fleet.checkVersion(t, version+2, "without an era")
 		}
 	})
 }
@@ -476,14 +476,14 @@
 // store: the hosts that ask them wait for a change that neither receives.
 func TestHostsThatHearFromEachOtherGrowOld(t *testing.T) {
 	for step := range 20 {
-		playEras(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+		runEraFleet(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 			fleet.setDelay(1400 * time.Microsecond)
 			time.Sleep(time.Duration(step) * 100 * time.Millisecond)
-			s.set(func() { s.away["host-0"], s.away["host-1"] = true, true })
+			s.set(func() { s.rejected["host-0"], s.rejected["host-1"] = true, true })
 			time.Sleep(bound)
 			s.write(2)
 			time.Sleep(bound)
-			fleet.inForce(t, 2, fmt.Sprintf("moment %d", step))
+			fleet.checkVersion(t, 2, fmt.Sprintf("moment %d", step))
 		})
 	}
 }
@@ -492,11 +492,11 @@
 // the store.
 func TestAgeGrowsWhileHostsHearFromEachOther(t *testing.T) {
 	for step := range 20 {
-		playEras(t, 4, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+		runEraFleet(t, 4, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 			fleet.setDelay(1400 * time.Microsecond)
 			time.Sleep(time.Duration(step) * 100 * time.Millisecond)
 			away, asked := time.Now(), 0
-			s.set(func() { s.all, asked = true, fleet.asked })
+			s.set(func() { s.down, asked = true, fleet.asked })
 			time.Sleep(30 * time.Second)
 			// Each host asks another one once per wait, which is at least 100 ms, and replies count as well.
 			s.set(func() {
@@ -506,7 +506,7 @@
 				st, _ := h.copy.State()
 				qt.Check(t, st.Confirmed.After(away), qt.IsFalse, qt.Commentf("%s, moment %d: confirmed %s after the start of the outage", h.name, step, st.Confirmed.Sub(away)))
 			}
-			s.set(func() { s.all = false })
+			s.set(func() { s.down = false })
 		})
 	}
 }
@@ -514,7 +514,7 @@
 // Guards against a kind of objects that is listed seconds after the others in a new era: an object written before the
 // list can't be told apart from one of the backup.
 func TestKindsEnterANewEraTogether(t *testing.T) {
-	play(t, func(ctx context.Context) {
+	runInBubble(t, func(ctx context.Context) {
 		outage := source.NewOutage()
 		stores := []*eraStore{newEraStore(), newEraStore()}
 		var hosts []*eraHost
@@ -524,10 +524,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, s := range stores {
-			s.restore(s.copy())
+			s.restore(s.backup())
 		}
 		stores[0].write(2)
-		time.Sleep(10 * storeTakes)
+		time.Sleep(10 * storeLatency)
 		for i, h := range hosts {
 			st, _ := h.copy.State()
 			qt.Check(t, st.Era, qt.Equals, int64(2), qt.Commentf("kind %d", i))
--- a/entry/internal/source/follower.go
+++ b/entry/internal/source/follower.go
@@ -12,45 +12,46 @@
 )
 
 const (
-	// listPart limits the time of a list as a fraction of the bound, mostList absolutely. The store replies in
-	// milliseconds, in a third of a second when it is slow. After it has hung, it never replies to the calls from before:
-	// the hanging list and the backoff after it are the delay that a recovery may cost, and leave a third of the bound.
-	listPart = 0.4
-	mostList = 2 * time.Second
+	// listTimeoutRatio limits the time of a list as a fraction of the bound, maxListTimeout absolutely. The store replies
+	// in milliseconds, in a third of a second when it is slow. After it has hung, it never replies to the calls from
+	// before: the hanging list and the backoff after it are the delay that a recovery may cost, and leave a third of the
+	// bound.
+	listTimeoutRatio = 0.4
+	maxListTimeout   = 2 * time.Second
 	// watchMargin is the time that a watch may take beyond its wait; without a reply by then its connection is taken for
 	// dead.
 	watchMargin = 700 * time.Millisecond
-	// waitPart is the fraction of the bound that one watch waits. stalePart is the fraction after which a host without
-	// fresh replies of other hosts asks the store itself; the rest is for one list.
-	waitPart  = 0.55
-	stalePart = 0.75
-	// leadPart is the fraction of the bound that a watching host has, after it detects a lost watch, to list all objects
-	// before the copies of the other hosts are stale.
-	leadPart = 0.1
-	// confirmIn is the time until the end of a watch has confirmed the copies of all hosts, also of one that was paused
+	// watchWaitRatio is the fraction of the bound that one watch waits. staleRatio is the fraction after which a host
+	// without fresh replies of other hosts asks the store itself; the rest is for one list.
+	watchWaitRatio = 0.55
+	staleRatio     = 0.75
+	// relistRatio is the fraction of the bound that a watching host has, after it detects a lost watch, to list all
+	// objects before the copies of the other hosts are stale.
+	relistRatio = 0.1
+	// confirmDelay is the time until the end of a watch has confirmed the copies of all hosts, also of one that was paused
 	// meanwhile.
-	confirmIn = 400 * time.Millisecond
+	confirmDelay = 400 * time.Millisecond
 	// askMargin is how much earlier than the timeout of this host a parent replies.
 	askMargin = 150 * time.Millisecond
-	// firstPause is the first backoff after a failed call, watchPause the longest backoff of the two hosts that watch.
-	// Each call is paid for, but theirs are few whatever the number of hosts, and until they reach the store again all
-	// other hosts keep calling it themselves.
-	firstPause = 100 * time.Millisecond
-	watchPause = 250 * time.Millisecond
-	// hearPause is the longest backoff of the other hosts. The watching hosts notify them when the store recovers: their
+	// minBackoff is the first backoff after a failed call, maxWatcherBackoff the longest backoff of the two hosts that
+	// watch. Each call is paid for, but theirs are few whatever the number of hosts, and until they reach the store again
+	// all other hosts keep calling it themselves.
+	minBackoff        = 100 * time.Millisecond
+	maxWatcherBackoff = 250 * time.Millisecond
+	// maxBackoff is the longest backoff of the other hosts. The watching hosts notify them when the store recovers: their
 	// own calls are for the case that the watching hosts are cut off, and would all arrive at once at the end of an
 	// outage.
-	hearPause = 2 * time.Second
-	// blindPause is the longest backoff while the copy is empty: every request is refused meanwhile.
-	blindPause = 250 * time.Millisecond
-	// settleStep is the interval at which a starting host checks whether its member list is complete.
-	settleStep = 50 * time.Millisecond
-	// staleAsk is the timeout of a request to another host while the copy of this host is stale.
-	staleAsk = 500 * time.Millisecond
-	// tryAgain is the backoff of a host that the store rejects while other hosts keep it up to date.
-	tryAgain = 3 * time.Second
-	// returnedFor is the time after an outage in which objects may be missing because of the outage.
-	returnedFor = time.Second
+	maxBackoff = 2 * time.Second
+	// maxEmptyBackoff is the longest backoff while the copy is empty: every request is refused meanwhile.
+	maxEmptyBackoff = 250 * time.Millisecond
+	// settlePollInterval is the interval at which a starting host checks whether its member list is complete.
+	settlePollInterval = 50 * time.Millisecond
+	// staleAskTimeout is the timeout of a request to another host while the copy of this host is stale.
+	staleAskTimeout = 500 * time.Millisecond
+	// upToDateBackoff is the backoff of a host that the store rejects while other hosts keep it up to date.
+	upToDateBackoff = 3 * time.Second
+	// recoveryWindow is the time after an outage in which objects may be missing because of the outage.
+	recoveryWindow = time.Second
 )
 
 // fromStore is the name of the store in logs, where other hosts are named by their address.
@@ -104,31 +105,32 @@
 // Follower keeps the copy of one kind of objects on this host up to date.
 type Follower[T any] struct {
 	opts Options[T]
-	// listed reports that changes after the revision of the copy can be watched.
-	listed bool
-	// down reports that the last call to the store failed, back is the time of the first success after an outage.
-	down  bool
-	back  time.Time
-	pause time.Duration
-	// returns is the number of recoveries of the store before the last call to it.
-	returns int
-	// tried is the time of the last call to the store.
-	tried time.Time
-	// collect is the delay after the last watch that returned changes.
-	collect time.Duration
-	// next is the index of the parent to ask next, failed the number of requests in a row that confirmed nothing.
-	next, failed int
-	// received is the checksum of the entries that the last parent asked retains from earlier eras.
-	received keptSum
-	// consults is the number of rounds left in which other hosts are asked for those.
-	consults int
-	// unsaid reports that the last reply of the store had no era.
-	unsaid bool
-	// older reports that the last reply was older than the copy, olderPause is the backoff after such a reply of the
+	// watchable reports that changes after the revision of the copy can be watched.
+	watchable bool
+	// down reports that the last call to the store failed, recoveredAt is the time of the first success after an outage.
+	down        bool
+	recoveredAt time.Time
+	backoff     time.Duration
+	// recoveries is the number of recoveries of the store before the last call to it.
+	recoveries int
+	// lastCall is the time of the last call to the store.
+	lastCall time.Time
+	// coalesceDelay is the delay after the last watch that returned changes.
+	coalesceDelay time.Duration
+	// nextParent is the index of the parent to ask next, failedAsks the number of requests in a row that confirmed
+	// nothing.
+	nextParent, failedAsks int
+	// parentChecksum is the checksum of the entries that the last parent asked retains from earlier eras.
+	parentChecksum retainedChecksum
+	// retainedFetches is the number of rounds left in which other hosts are asked for those.
+	retainedFetches int
+	// eraMissing reports that the last reply of the store had no era.
+	eraMissing bool
+	// lastOlder reports that the last reply was older than the copy, olderBackoff is the backoff after such a reply of the
 	// store.
-	older      bool
-	olderPause time.Duration
-	rejects    *rejects
+	lastOlder    bool
+	olderBackoff time.Duration
+	rejects      *rejectLog
 }
 
 // New returns a follower that is started by Run.
@@ -148,17 +150,17 @@
 	if opts.Others == nil {
 		opts.Others = func() []Parent[T] { return nil }
 	}
-	return &Follower[T]{opts: opts, rejects: newRejects(opts.Log, opts.Name, opts.Rejected)}
+	return &Follower[T]{opts: opts, rejects: newRejectLog(opts.Log, opts.Name, opts.Rejected)}
 }
 
 // Run keeps the copy up to date until ctx ends. Most hosts ask a parent. A host whose copy is stale asks the store
 // itself, and the few that watch the store ask each other while it rejects them.
 func (f *Follower[T]) Run(ctx context.Context) {
-	f.first(ctx)
+	f.askSeeds(ctx)
 	for ctx.Err() == nil {
 		if !f.opts.Settled() && !f.stale() {
 			// The member list of a starting host has only itself: it would watch the store as if it were the only host.
-			clock.Sleep(ctx, f.opts.Clock, settleStep)
+			clock.Sleep(ctx, f.opts.Clock, settlePollInterval)
 			continue
 		}
 		f.step(ctx)
@@ -169,53 +171,53 @@
 func (f *Follower[T]) step(ctx context.Context) {
 	parents, watches := f.opts.Parents()
 	failed, _ := f.opts.Outage.failedAt()
-	back := f.opts.Outage.Back()
-	rest := f.rest(watches)
+	recovered := f.opts.Outage.Recovered()
+	backoff := f.remainingBackoff(watches)
 	switch {
-	case rest > 0:
-		f.untilBack(ctx, back, func(ctx context.Context) {
+	case backoff > 0:
+		f.untilRecovered(ctx, recovered, func(ctx context.Context) {
 			switch {
-			case len(parents) == 0, watches && rest <= askMargin:
-				clock.Sleep(ctx, f.opts.Clock, rest)
+			case len(parents) == 0, watches && backoff <= askMargin:
+				clock.Sleep(ctx, f.opts.Clock, backoff)
 			case watches && f.stale():
 				// The store may reject the other watching host as well.
-				f.hear(ctx, append(f.opts.Others(), parents...), rest)
+				f.askParent(ctx, append(f.opts.Others(), parents...), backoff)
 			case watches:
-				f.hear(ctx, parents, rest)
+				f.askParent(ctx, parents, backoff)
 			default:
-				f.hear(ctx, parents, f.opts.Bound)
+				f.askParent(ctx, parents, f.opts.Bound)
 			}
 		})
-	case len(parents) > 0 && f.hearsFirst(parents, watches):
-		f.hear(ctx, parents, f.opts.Bound)
-	case !watches && !f.opts.Outage.claim(failed, f.opts.Clock.Now()):
+	case len(parents) > 0 && f.asksParentFirst(parents, watches):
+		f.askParent(ctx, parents, f.opts.Bound)
+	case !watches && !f.opts.Outage.claimCall(failed, f.opts.Clock.Now()):
 		// Another follower of this host is calling the store.
 	default:
-		f.failed = 0
+		f.failedAsks = 0
 		f.read(ctx)
 	}
 }
 
-// untilBack runs do during a backoff, and cancels it once another follower of this host reaches the store.
-func (f *Follower[T]) untilBack(ctx context.Context, back <-chan struct{}, do func(ctx context.Context)) {
+// untilRecovered runs do during a backoff, and cancels it once another follower of this host reaches the store.
+func (f *Follower[T]) untilRecovered(ctx context.Context, recovered <-chan struct{}, do func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-back:
+		case <-recovered:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	do(ctx)
 	select {
-	case <-back:
-		f.tried = time.Time{}
+	case <-recovered:
+		f.lastCall = time.Time{}
 	default:
 	}
 }
 
-// hearsFirst reports whether a parent is asked before the store while the last call to the store succeeded.
-func (f *Follower[T]) hearsFirst(parents []Parent[T], watches bool) bool {
-	return !f.down && !watches && !f.stale() && f.failed < len(parents)
+// asksParentFirst reports whether a parent is asked before the store while the last call to the store succeeded.
+func (f *Follower[T]) asksParentFirst(parents []Parent[T], watches bool) bool {
+	return !f.down && !watches && !f.stale() && f.failedAsks < len(parents)
 }
--- a/entry/internal/source/follower_test.go
+++ b/entry/internal/source/follower_test.go
@@ -22,25 +22,25 @@
 
 const bound = 3 * time.Second
 
-// world is a store with one object that holds a number.
-type world struct {
+// testStore is a store with one object that holds a number.
+type testStore struct {
 	mu       sync.Mutex
 	revision int64
 	changed  chan struct{}
-	// deaf makes watches miss all changes until their wait is over, and then fail because the history is gone.
-	deaf bool
-	// away holds the hosts that the store rejects.
-	away map[string]bool
-	// silent makes every call hang until its caller gives up, mute every watch.
-	silent, mute bool
-	calls        map[string]int
+	// dropsHistory makes watches miss all changes until their wait is over, and then fail because the history is gone.
+	dropsHistory bool
+	// rejected holds the hosts that the store rejects.
+	rejected map[string]bool
+	// hangs makes every call hang until its caller gives up, watchesHang every watch.
+	hangs, watchesHang bool
+	calls              map[string]int
 }
 
-func newWorld() *world {
-	return &world{revision: 1, changed: make(chan struct{}), away: map[string]bool{}, calls: map[string]int{}}
+func newTestStore() *testStore {
+	return &testStore{revision: 1, changed: make(chan struct{}), rejected: map[string]bool{}, calls: map[string]int{}}
 }
 
-func (w *world) write() {
+func (w *testStore) write() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision++
@@ -48,34 +48,34 @@
 	w.changed = make(chan struct{})
 }
 
-func (w *world) set(f func()) {
+func (w *testStore) set(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-var errAway = errors.New("store unavailable")
+var errUnavailable = errors.New("store unavailable")
 
-func (w *world) call(ctx context.Context, name string) (int64, <-chan struct{}, bool, error) {
+func (w *testStore) call(ctx context.Context, name string) (int64, <-chan struct{}, bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls[name]++
-	if w.away[name] {
-		return 0, nil, false, errAway
+	if w.rejected[name] {
+		return 0, nil, false, errUnavailable
 	}
-	if w.silent {
+	if w.hangs {
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
 		return 0, nil, false, ctx.Err()
 	}
-	return w.revision, w.changed, w.deaf, nil
+	return w.revision, w.changed, w.dropsHistory, nil
 }
 
-func (w *world) isMute() bool {
+func (w *testStore) doWatchesHang() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.mute
+	return w.watchesHang
 }
 
 func batch(revision int64) feed.Batch[int64] {
@@ -96,7 +96,7 @@
 	down bool
 }
 
-func (h *host) sources() ([]source.Parent[int64], bool) {
+func (h *host) parentList() ([]source.Parent[int64], bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := make([]source.Parent[int64], len(h.parents))
@@ -108,8 +108,8 @@
 	return list, h.watches
 }
 
-// hear makes a host that watches the store ask p as well.
-func (h *host) hear(p *host) {
+// addParent makes a host that watches the store ask p as well.
+func (h *host) addParent(p *host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.parents = []*host{p}
@@ -130,24 +130,24 @@
 }
 
 // follow starts a host that asks parents, or watches the store itself if there are none.
-func (w *world) follow(ctx context.Context, name string, parents ...*host) *host {
-	return w.followBeside(ctx, name, source.NewOutage(), parents...)
+func (w *testStore) follow(ctx context.Context, name string, parents ...*host) *host {
+	return w.followWithOutage(ctx, name, source.NewOutage(), parents...)
 }
 
-// followBeside starts a host that shares the outage state with another kind of objects.
-func (w *world) followBeside(ctx context.Context, name string, outage *source.Outage, parents ...*host) *host {
+// followWithOutage starts a host that shares the outage state with another kind of objects.
+func (w *testStore) followWithOutage(ctx context.Context, name string, outage *source.Outage, parents ...*host) *host {
 	h := &host{name: name, copy: relay.NewCopy(relay.Options[int64]{}), parents: parents, watches: len(parents) == 0}
 	go source.New(w.options(h, outage)).Run(ctx)
 	return h
 }
 
 // start starts a host with seeds; wanted is closed when a client request waits.
-func (w *world) start(ctx context.Context, name string, wanted <-chan struct{}, named ...*host) *host {
-	h := &host{name: name, copy: relay.NewCopy(relay.Options[int64]{}), parents: named}
+func (w *testStore) start(ctx context.Context, name string, wanted <-chan struct{}, seeds ...*host) *host {
+	h := &host{name: name, copy: relay.NewCopy(relay.Options[int64]{}), parents: seeds}
 	opts := w.options(h, source.NewOutage())
 	opts.Wanted = wanted
 	opts.First = func() []source.Parent[int64] {
-		list, _ := h.sources()
+		list, _ := h.parentList()
 		return list
 	}
 	go source.New(opts).Run(ctx)
@@ -155,26 +155,26 @@
 }
 
 // options returns the options with which h follows the store.
-func (w *world) options(h *host, outage *source.Outage) source.Options[int64] {
+func (w *testStore) options(h *host, outage *source.Outage) source.Options[int64] {
 	name := h.name
 	return source.Options[int64]{
 		Outage: outage,
 		Clock:  clock.System{}, Log: logr.Discard(), Name: "config", Bound: bound, Copy: h.copy, Replace: h.apply, Change: h.apply, Reconnect: func() {},
-		Parents: h.sources,
+		Parents: h.parentList,
 		List: func(ctx context.Context) (feed.Batch[int64], error) {
 			revision, _, _, err := w.call(ctx, name)
 			return batch(revision), err
 		},
 		Watch: func(ctx context.Context, since int64, wait time.Duration) (feed.Batch[int64], error) {
-			revision, changed, deaf, err := w.call(ctx, name)
+			revision, changed, historyDropped, err := w.call(ctx, name)
 			if err != nil {
 				return feed.Batch[int64]{}, err
 			}
-			if w.isMute() {
+			if w.doWatchesHang() {
 				<-ctx.Done()
 				return feed.Batch[int64]{}, ctx.Err()
 			}
-			if deaf {
+			if historyDropped {
 				clock.Sleep(ctx, clock.System{}, wait)
 				return feed.Batch[int64]{}, feed.ErrHistoryGone
 			}
@@ -220,7 +220,7 @@
 	}
 }
 
-func play(t *testing.T, f func(ctx context.Context)) {
+func runInBubble(t *testing.T, f func(ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f(ctx)
@@ -232,8 +232,8 @@
 // Guards against changes that reach a host late: they pass through the watching host to the one that asks it at once,
 // without another call to the store.
 func TestChangesPassThrough(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		watcher := w.follow(ctx, "watcher")
 		child := w.follow(ctx, "child", watcher)
 		time.Sleep(10 * time.Second)
@@ -249,8 +249,8 @@
 // seconds, each one would end a watch, a call that is paid for and counts against the rate that all hosts share. No
 // change may be late because of that, and a single one is applied at once.
 func TestManyChangesTakeFewCalls(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		watcher := w.follow(ctx, "watcher")
 		time.Sleep(10*time.Second + 7*time.Millisecond)
 		w.write()
@@ -275,22 +275,22 @@
 // Guards against store calls of a host that starts before its seeds. All hosts of a fleet start within a third of a
 // second: the host has to wait for the data of the seeds, unless a client request waits.
 func TestStartBeforeTheNamedHosts(t *testing.T) {
-	for _, wanted := range []bool{false, true} {
-		play(t, func(ctx context.Context) {
-			w := newWorld()
-			named := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true}
-			calls := make(chan struct{})
-			started := w.start(ctx, "new", calls, named)
+	for _, clientWaits := range []bool{false, true} {
+		runInBubble(t, func(ctx context.Context) {
+			w := newTestStore()
+			seed := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true}
+			clientWaiting := make(chan struct{})
+			started := w.start(ctx, "new", clientWaiting, seed)
 			time.Sleep(200 * time.Millisecond)
 			w.set(func() { qt.Check(t, w.calls["new"], qt.Equals, 0) })
-			if wanted {
-				close(calls)
+			if clientWaits {
+				close(clientWaiting)
 			} else {
-				named.copy.Replace(batch(1), time.Now(), false)
+				seed.copy.Replace(batch(1), time.Now(), false)
 			}
 			time.Sleep(50 * time.Millisecond)
 			qt.Check(t, started.value(), qt.Equals, int64(1))
-			w.set(func() { qt.Check(t, w.calls["new"] > 0, qt.Equals, wanted) })
+			w.set(func() { qt.Check(t, w.calls["new"] > 0, qt.Equals, clientWaits) })
 		})
 	}
 }
@@ -298,15 +298,15 @@
 // Guards against a store call when a seed refuses connections at first. It is up 0.15 s later with all data, and has to
 // be asked again before the store is called.
 func TestStartBeforeTheNamedHostListens(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
-		named := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true, down: true}
-		named.copy.Replace(batch(1), time.Now(), false)
-		started := w.start(ctx, "new", nil, named)
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
+		seed := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true, down: true}
+		seed.copy.Replace(batch(1), time.Now(), false)
+		started := w.start(ctx, "new", nil, seed)
 		time.Sleep(150 * time.Millisecond)
-		named.mu.Lock()
-		named.down = false
-		named.mu.Unlock()
+		seed.mu.Lock()
+		seed.down = false
+		seed.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
 		qt.Check(t, started.value(), qt.Equals, int64(1))
 		w.set(func() { qt.Check(t, w.calls["new"], qt.Equals, 0) })
@@ -317,14 +317,14 @@
 // and watches it a second and a half later when its member list is complete. The hosts that asked the seed need another
 // reply before their copies are stale, or each would call the store.
 func TestStartWhileNothingChanges(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		settled := time.Now().Add(1500 * time.Millisecond)
-		named := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true}
-		opts := w.options(named, source.NewOutage())
+		seed := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true}
+		opts := w.options(seed, source.NewOutage())
 		opts.Settled = func() bool { return time.Now().After(settled) }
 		go source.New(opts).Run(ctx)
-		w.start(ctx, "a", nil, named)
+		w.start(ctx, "a", nil, seed)
 		time.Sleep(20 * time.Second)
 		w.set(func() { qt.Check(t, w.calls["a"], qt.Equals, 0) })
 	})
@@ -333,8 +333,8 @@
 // Guards against a host that waits for seeds that a power cut took down: without client requests it must have all data
 // after two seconds.
 func TestStartWithoutTheNamedHosts(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		started := w.start(ctx, "new", nil, &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true})
 		time.Sleep(2010 * time.Millisecond)
 		qt.Check(t, started.value(), qt.Equals, int64(1))
@@ -344,12 +344,12 @@
 // Guards against a late change when the store drops its history during a watch: the watch misses the change and fails
 // only at its end.
 func TestDeafWatch(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		watcher := w.follow(ctx, "watcher")
 		child := w.follow(ctx, "child", watcher)
 		time.Sleep(10*time.Second + 7*time.Millisecond)
-		w.set(func() { w.deaf = true })
+		w.set(func() { w.dropsHistory = true })
 		time.Sleep(bound)
 		w.write()
 		time.Sleep(bound)
@@ -361,12 +361,12 @@
 // Guards against a late change when the parent is cut off from the store or stops replying: the hosts that ask it have
 // to ask the store themselves within the bound.
 func TestParentCutOff(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		watcher := w.follow(ctx, "watcher")
 		child := w.follow(ctx, "child", watcher)
 		time.Sleep(10 * time.Second)
-		w.set(func() { w.away["watcher"] = true })
+		w.set(func() { w.rejected["watcher"] = true })
 		time.Sleep(time.Second)
 		w.write()
 		time.Sleep(bound)
@@ -377,11 +377,11 @@
 // Guards against a host that refuses all requests because the store rejects it at its start, while its neighbors have
 // the configuration.
 func TestStartWhileTurnedAway(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		watcher := w.follow(ctx, "watcher")
 		time.Sleep(time.Second)
-		w.set(func() { w.away["new"] = true })
+		w.set(func() { w.rejected["new"] = true })
 		started := w.follow(ctx, "new", watcher)
 		time.Sleep(500 * time.Millisecond)
 		qt.Assert(t, started.value(), qt.Equals, int64(1))
@@ -397,16 +397,16 @@
 // wherever a host is in a hanging call or the backoff after it, the change must be applied within the bound.
 func TestSilentStoreComesBack(t *testing.T) {
 	for step := range 40 {
-		play(t, func(ctx context.Context) {
-			w := newWorld()
+		runInBubble(t, func(ctx context.Context) {
+			w := newTestStore()
 			first, second := w.follow(ctx, "first"), w.follow(ctx, "second")
-			first.hear(second)
-			second.hear(first)
+			first.addParent(second)
+			second.addParent(first)
 			hosts := []*host{first, second, w.follow(ctx, "third", first, second), w.follow(ctx, "fourth", second, first)}
 			time.Sleep(10 * time.Second)
-			w.set(func() { w.silent = true })
+			w.set(func() { w.hangs = true })
 			time.Sleep(8*time.Second + time.Duration(step)*100*time.Millisecond)
-			w.set(func() { w.silent = false })
+			w.set(func() { w.hangs = false })
 			w.write()
 			time.Sleep(bound - 500*time.Millisecond)
 			for _, h := range hosts {
@@ -421,19 +421,19 @@
 func TestLostWatchCostsTheWatchersAlone(t *testing.T) {
 	for _, hosts := range []int{4, 50} {
 		for step := range 30 {
-			play(t, func(ctx context.Context) {
-				w := newWorld()
+			runInBubble(t, func(ctx context.Context) {
+				w := newTestStore()
 				first, second := w.follow(ctx, "first"), w.follow(ctx, "second")
-				first.hear(second)
-				second.hear(first)
+				first.addParent(second)
+				second.addParent(first)
 				for range hosts {
 					w.follow(ctx, "other", first, second)
 				}
 				time.Sleep(10*time.Second + time.Duration(step)*100*time.Millisecond)
 				before := 0
-				w.set(func() { before, w.mute = w.calls["other"], true })
+				w.set(func() { before, w.watchesHang = w.calls["other"], true })
 				time.Sleep(2 * bound)
-				w.set(func() { w.mute = false })
+				w.set(func() { w.watchesHang = false })
 				time.Sleep(2 * bound)
 				w.set(func() {
 					qt.Check(t, w.calls["other"]-before, qt.Equals, 0, qt.Commentf("%d hosts, watches lost from %d00 ms on", hosts, step))
@@ -445,28 +445,28 @@
 
 // Guards against separate calls for each kind of objects during an outage, in a fleet of hundreds most of the calls
 // that it costs. The backoff grows to two seconds in five calls.
-func TestOutageCostsOneCallARound(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		configs, replicas := newWorld(), newWorld()
+func TestKindsShareOutageBackoff(t *testing.T) {
+	runInBubble(t, func(ctx context.Context) {
+		configs, replicas := newTestStore(), newTestStore()
 		outage := source.NewOutage()
 		cut := &host{name: "cut", copy: relay.NewCopy(relay.Options[int64]{})}
-		config := configs.followBeside(ctx, "host", outage, cut)
-		replica := replicas.followBeside(ctx, "host", outage, cut)
+		config := configs.followWithOutage(ctx, "host", outage, cut)
+		replica := replicas.followWithOutage(ctx, "host", outage, cut)
 		time.Sleep(5 * time.Second)
 		calls := 0
-		for _, w := range []*world{configs, replicas} {
+		for _, w := range []*testStore{configs, replicas} {
 			w.set(func() {
-				w.away["host"] = true
+				w.rejected["host"] = true
 				calls -= w.calls["host"]
 			})
 		}
 		time.Sleep(30 * time.Second)
-		for _, w := range []*world{configs, replicas} {
+		for _, w := range []*testStore{configs, replicas} {
 			w.set(func() { calls += w.calls["host"] })
 		}
 		qt.Check(t, calls <= 30/2+5, qt.IsTrue, qt.Commentf("%d calls in 30 s", calls))
-		for _, w := range []*world{configs, replicas} {
-			w.set(func() { w.away["host"] = false })
+		for _, w := range []*testStore{configs, replicas} {
+			w.set(func() { w.rejected["host"] = false })
 			w.write()
 		}
 		time.Sleep(bound)
@@ -480,24 +480,24 @@
 // another one.
 func TestKindsReturnTogether(t *testing.T) {
 	for i := range 40 {
-		for _, lonely := range []bool{true, false} {
-			play(t, func(ctx context.Context) {
-				configs, replicas := newWorld(), newWorld()
+		for _, standalone := range []bool{true, false} {
+			runInBubble(t, func(ctx context.Context) {
+				configs, replicas := newTestStore(), newTestStore()
 				outage := source.NewOutage()
-				config := configs.followBeside(ctx, "host", outage)
+				config := configs.followWithOutage(ctx, "host", outage)
 				time.Sleep(137 * time.Millisecond)
-				replica := replicas.followBeside(ctx, "host", outage)
-				if !lonely {
-					replica.hear(replicas.follow(ctx, "other"))
+				replica := replicas.followWithOutage(ctx, "host", outage)
+				if !standalone {
+					replica.addParent(replicas.follow(ctx, "other"))
 				}
 				time.Sleep(5 * time.Second)
-				for _, w := range []*world{configs, replicas} {
-					w.set(func() { w.away["host"], w.away["other"] = true, true })
+				for _, w := range []*testStore{configs, replicas} {
+					w.set(func() { w.rejected["host"], w.rejected["other"] = true, true })
 				}
 				time.Sleep(6*time.Second + time.Duration(i)*37*time.Millisecond)
-				for _, w := range []*world{configs, replicas} {
+				for _, w := range []*testStore{configs, replicas} {
 					w.write()
-					w.set(func() { w.away["host"] = false })
+					w.set(func() { w.rejected["host"] = false })
 				}
 				end := time.Now().Add(2 * time.Second)
 				for config.value() != 2 && time.Now().Before(end) {
@@ -505,7 +505,7 @@
 				}
 				time.Sleep(5 * time.Millisecond)
 				qt.Check(t, config.value(), qt.Equals, int64(2), qt.Commentf("moment %d", i))
-				qt.Check(t, replica.value(), qt.Equals, int64(2), qt.Commentf("moment %d, lonely %v", i, lonely))
+				qt.Check(t, replica.value(), qt.Equals, int64(2), qt.Commentf("moment %d, lonely %v", i, standalone))
 			})
 		}
 	}
@@ -513,8 +513,8 @@
 
 // Guards against older replies that are rejected without a log line: hosts that apply nothing look healthy.
 func TestOlderAnswersAreReported(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		w.revision = 9
 		var lines strings.Builder
 		older := 0
@@ -534,12 +534,12 @@
 // Guards against calls without pause to a store whose replies are too old, by six hosts 1,000 times a second. The
 // backoff grows to two seconds in five calls.
 func TestOlderAnswersAreNotAskedForAtOnce(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld()
+	runInBubble(t, func(ctx context.Context) {
+		w := newTestStore()
 		w.revision = 9
 		first, second := w.follow(ctx, "first"), w.follow(ctx, "second")
-		first.hear(second)
-		second.hear(first)
+		first.addParent(second)
+		second.addParent(first)
 		for range 50 {
 			w.follow(ctx, "other", first, second)
 		}
@@ -562,16 +562,16 @@
 // Guards against a watching host that the store rejects after an outage for all hosts, and that asks no other host.
 func TestWatcherTurnedAwayAfterAnOutage(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 2500 * time.Millisecond, 10 * time.Second} {
-		play(t, func(ctx context.Context) {
-			w := newWorld()
+		runInBubble(t, func(ctx context.Context) {
+			w := newTestStore()
 			first, second := w.follow(ctx, "first"), w.follow(ctx, "second")
-			first.hear(second)
-			second.hear(first)
+			first.addParent(second)
+			second.addParent(first)
 			child := w.follow(ctx, "child", first, second)
 			time.Sleep(10 * time.Second)
-			w.set(func() { w.away["first"], w.away["second"], w.away["child"] = true, true, true })
+			w.set(func() { w.rejected["first"], w.rejected["second"], w.rejected["child"] = true, true, true })
 			time.Sleep(outage)
-			w.set(func() { w.away["second"] = false })
+			w.set(func() { w.rejected["second"] = false })
 			time.Sleep(time.Second)
 			w.write()
 			time.Sleep(bound)
--- a/entry/internal/source/outage.go
+++ b/entry/internal/source/outage.go
@@ -13,10 +13,10 @@
 // A recovery ends the backoff of all followers. Otherwise the configuration may be read at the recovery and name new
 // shards, while the list of their replicas is read only after another backoff, and every page fails until then.
 type Outage struct {
-	mu   sync.Mutex
-	back chan struct{}
-	// returns is the number of times that back was closed.
-	returns int
+	mu        sync.Mutex
+	recovered chan struct{}
+	// recoveries is the number of times that recovered was closed.
+	recoveries int
 	// failed is the time of the last failed call, zero if a call has succeeded since.
 	failed time.Time
 	// era is the newest restart era that a follower has entered, entered is closed at the next one.
@@ -26,11 +26,11 @@
 
 // NewOutage returns the state of a store without outages so far.
 func NewOutage() *Outage {
-	return &Outage{back: make(chan struct{}), entered: make(chan struct{})}
+	return &Outage{recovered: make(chan struct{}), entered: make(chan struct{})}
 }
 
-// enter records that a follower has read the store in an era.
-func (o *Outage) enter(era int64) {
+// enterEra records that a follower has read the store in an era.
+func (o *Outage) enterEra(era int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if era <= o.era {
@@ -48,32 +48,32 @@
 	return o.era, o.entered
 }
 
-// Back returns a channel that is closed when a follower reaches the store again.
-func (o *Outage) Back() <-chan struct{} {
+// Recovered returns a channel that is closed when a follower reaches the store again.
+func (o *Outage) Recovered() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.back
+	return o.recovered
 }
 
-// returnCount returns the number of recoveries of the store.
-func (o *Outage) returnCount() int {
+// recoveryCount returns the number of recoveries of the store.
+func (o *Outage) recoveryCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.returns
+	return o.recoveries
 }
 
-// over records that a follower has reached the store after failed calls.
-func (o *Outage) over() {
+// recordRecovery records that a follower has reached the store after failed calls.
+func (o *Outage) recordRecovery() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.failed = time.Time{}
-	o.returns++
-	close(o.back)
-	o.back = make(chan struct{})
+	o.recoveries++
+	close(o.recovered)
+	o.recovered = make(chan struct{})
 }
 
-// lost records a failed call.
-func (o *Outage) lost(now time.Time) {
+// recordFailure records a failed call.
+func (o *Outage) recordFailure(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.failed = now
@@ -86,10 +86,10 @@
 	return o.failed, !o.failed.IsZero()
 }
 
-// claim reports whether a follower may call the store. During an outage a claim counts as a failed call, which keeps
-// the other followers in backoff. seen is the time that failedAt returned when the follower decided to call: of two
-// whose backoffs end at once only one may call.
-func (o *Outage) claim(seen, now time.Time) bool {
+// claimCall reports whether a follower may call the store. During an outage a claim counts as a failed call, which
+// keeps the other followers in backoff. seen is the time that failedAt returned when the follower decided to call: of
+// two whose backoffs end at once only one may call.
+func (o *Outage) claimCall(seen, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.failed.IsZero() {
