--- a/entry/internal/source/era_test.go
+++ b/entry/internal/source/era_test.go
@@ -292,18 +292,18 @@
 // restore falls on any moment of a watch, with or without a host cut off, and takes no time or two seconds.
 func TestConfirmedVersionsOutliveRestore(t *testing.T) {
 	for step := range 20 {
-		for _, away := range []time.Duration{0, 2 * time.Second} {
+		for _, outage := range []time.Duration{0, 2 * time.Second} {
 			for _, cut := range []string{"", "host-0", "host-5"} {
 				runEraFleet(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-					when := fmt.Sprintf("moment %d, away for %s, %q cut off", step, away, cut)
+					when := fmt.Sprintf("moment %d, outage of %s, %q cut off", step, outage, cut)
 					s.write(2)
 					old := s.backup()
 					s.advance(3)
 					s.write(3)
 					time.Sleep(bound + time.Duration(step)*100*time.Millisecond)
 					fleet.checkVersion(t, 3, when+", before the restore")
-					s.set(func() { s.down, s.rejected[cut] = away > 0, cut != "" })
-					time.Sleep(away)
+					s.set(func() { s.down, s.rejected[cut] = outage > 0, cut != "" })
+					time.Sleep(outage)
 					s.restore(old)
 					s.set(func() { s.down = false })
 					time.Sleep(time.Second)
@@ -495,7 +495,7 @@
 		runEraFleet(t, 4, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 			fleet.setDelay(1400 * time.Microsecond)
 			time.Sleep(time.Duration(step) * 100 * time.Millisecond)
-			away, asked := time.Now(), 0
+			outageStart, asked := time.Now(), 0
 			s.set(func() { s.down, asked = true, fleet.asked })
 			time.Sleep(30 * time.Second)
 			// Each host asks another one once per wait, which is at least 100 ms, and replies count as well.
@@ -504,7 +504,7 @@
 			})
 			for _, h := range fleet.hosts {
 				st, _ := h.copy.State()
-				qt.Check(t, st.Confirmed.After(away), qt.IsFalse, qt.Commentf("%s, moment %d: confirmed %s after the start of the outage", h.name, step, st.Confirmed.Sub(away)))
+				qt.Check(t, st.Confirmed.After(outageStart), qt.IsFalse, qt.Commentf("%s, moment %d: confirmed %s after the start of the outage", h.name, step, st.Confirmed.Sub(outageStart)))
 			}
 			s.set(func() { s.down = false })
 		})
--- a/entry/internal/source/follower_test.go
+++ b/entry/internal/source/follower_test.go
@@ -410,7 +410,7 @@
 			w.write()
 			time.Sleep(bound - 500*time.Millisecond)
 			for _, h := range hosts {
-				qt.Check(t, h.value(), qt.Equals, int64(2), qt.Commentf("%s, silent for 8 s and %d00 ms", h.name, step))
+				qt.Check(t, h.value(), qt.Equals, int64(2), qt.Commentf("%s, calls hung for 8 s and %d00 ms", h.name, step))
 			}
 		})
 	}
@@ -505,7 +505,7 @@
 				}
 				time.Sleep(5 * time.Millisecond)
 				qt.Check(t, config.value(), qt.Equals, int64(2), qt.Commentf("moment %d", i))
-				qt.Check(t, replica.value(), qt.Equals, int64(2), qt.Commentf("moment %d, lonely %v", i, standalone))
+				qt.Check(t, replica.value(), qt.Equals, int64(2), qt.Commentf("moment %d, standalone %v", i, standalone))
 			})
 		}
 	}
