--- a/entry/internal/source/era_test.go
+++ b/entry/internal/source/era_test.go
@@ -18,33 +18,32 @@
 	"guavaspring.org/entry/internal/source"
 )
 
-// storeTakes is how long the store takes for an answer.
-const storeTakes = 4 * time.Millisecond
+// storeLatency is the latency of the store.
+const storeLatency = 4 * time.Millisecond
 
-// eraStore is a store that holds one object, whose versions rise, and that comes back from copies.
+// eraStore is a store with one object whose versions rise, and that can be restored from backups.
 type eraStore struct {
 	mu       sync.Mutex
 	era      int64
 	revision int64
 	object   feed.Entry[int64]
 	changed  chan struct{}
-	// away holds the hosts that the store turns away; all says that it is away for each, and cut how often watches were
-	// cut.
-	away  map[string]bool
-	all   bool
-	calls map[string]int
-	// silent says that the store doesn't say its era.
-	silent bool
+	// rejected holds the hosts that the store rejects; all makes it reject every host.
+	rejected map[string]bool
+	down     bool
+	calls    map[string]int
+	// omitsEra leaves the era out of replies.
+	omitsEra bool
 }
 
-// eraCopy is what the store held at one moment.
-type eraCopy struct {
+// eraBackup is a backup of the store.
+type eraBackup struct {
 	revision int64
 	object   feed.Entry[int64]
 }
 
 func newEraStore() *eraStore {
-	s := &eraStore{era: 1, revision: 100, changed: make(chan struct{}), away: map[string]bool{}, calls: map[string]int{}}
+	s := &eraStore{era: 1, revision: 100, changed: make(chan struct{}), rejected: map[string]bool{}, calls: map[string]int{}}
 	s.write(1)
 	return s
 }
@@ -57,7 +56,7 @@
 	s.changed = make(chan struct{})
 }
 
-// write stores a version.
+// write stores a version of the object.
 func (s *eraStore) write(version int64) {
 	s.set(func() {
 		s.revision++
@@ -65,26 +64,26 @@
 	})
 }
 
-// others moves the counter on, as writes of other kinds do.
-func (s *eraStore) others(n int64) { s.set(func() { s.revision += n }) }
+// advance advances the revision counter, as writes of other kinds do.
+func (s *eraStore) advance(n int64) { s.set(func() { s.revision += n }) }
 
-func (s *eraStore) copy() eraCopy {
+func (s *eraStore) backup() eraBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return eraCopy{s.revision, s.object}
+	return eraBackup{s.revision, s.object}
 }
 
-func (s *eraStore) restore(c eraCopy) {
+func (s *eraStore) restore(c eraBackup) {
 	s.set(func() {
 		s.era++
 		s.revision, s.object = c.revision, c.object
 	})
 }
 
-// batch returns what the store says now of what changed since a revision; s.mu must be held.
+// batch returns the changes since a revision; s.mu must be held.
 func (s *eraStore) batch(since int64) feed.Batch[int64] {
 	b := feed.Batch[int64]{Era: s.era, Revision: s.revision}
-	if s.silent {
+	if s.omitsEra {
 		b.Era = 0
 	}
 	if s.object.Revision > since {
@@ -93,13 +92,13 @@
 	return b
 }
 
-// look waits for the store's answer and returns whether it is away, what has changed since a revision, and what is closed
-// when something else does.
-func (s *eraStore) look(ctx context.Context, name string, since int64) (feed.Batch[int64], <-chan struct{}, error) {
+// read returns the changes since a revision and a channel that is closed at the next change of the store, or an error
+// if the store rejects the host or lacks the revision.
+func (s *eraStore) read(ctx context.Context, name string, since int64) (feed.Batch[int64], <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all || s.away[name] {
-		return feed.Batch[int64]{}, nil, errAway
+	if s.down || s.rejected[name] {
+		return feed.Batch[int64]{}, nil, errUnavailable
 	}
 	if since > s.revision {
 		return feed.Batch[int64]{}, nil, feed.ErrHistoryGone
@@ -107,18 +106,18 @@
 	return s.batch(since), s.changed, ctx.Err()
 }
 
-func (s *eraStore) called(ctx context.Context, name string) {
+func (s *eraStore) recordCall(ctx context.Context, name string) {
 	s.mu.Lock()
 	s.calls[name]++
 	s.mu.Unlock()
-	clock.Sleep(ctx, clock.System{}, storeTakes)
+	clock.Sleep(ctx, clock.System{}, storeLatency)
 }
 
 func (s *eraStore) watch(ctx context.Context, name string, since int64, wait time.Duration) (feed.Batch[int64], error) {
-	s.called(ctx, name)
+	s.recordCall(ctx, name)
 	end := time.After(wait)
 	for {
-		b, changed, err := s.look(ctx, name, since)
+		b, changed, err := s.read(ctx, name, since)
 		if err != nil || len(b.Entries) > 0 {
 			return b, err
 		}
@@ -132,30 +131,30 @@
 	}
 }
 
-// eraHost is a host of a fleet.
+// eraHost is a host of an eraFleet.
 type eraHost struct {
 	*host
 	frozen bool
-	// lowest is the newest version ever in force, and undone those that went back.
-	newest int64
-	undone []string
+	// newest is the highest version applied so far, undone lists the updates that went back to a lower one.
+	newest      int64
+	regressions []string
 }
 
-// eraFleet is hosts that follow one store: the first two watch it, the others hear from these.
+// eraFleet is a set of hosts that follow one store: the first two watch it, the others ask these.
 type eraFleet struct {
 	store *eraStore
 	hosts []*eraHost
-	// delay is how long a message between two hosts takes, and asked how often hosts were asked.
+	// delay is the latency of a message between two hosts, asked the number of such messages.
 	delay time.Duration
 	asked int
-	// outage is shared with the fleet of another kind on the same hosts, nil for none.
+	// outage is shared with the fleet of another kind on the same hosts; it may be nil.
 	outage *source.Outage
 }
 
 func (f *eraFleet) setDelay(d time.Duration) { f.store.set(func() { f.delay = d }) }
 
-// travel takes as long as a message between two hosts.
-func (f *eraFleet) travel(ctx context.Context) {
+// simulateLatency waits for the latency of a message between two hosts.
+func (f *eraFleet) simulateLatency(ctx context.Context) {
 	f.store.mu.Lock()
 	d := f.delay
 	f.asked++
@@ -173,7 +172,7 @@
 		defer h.mu.Unlock()
 		for _, e := range b.Entries {
 			if e.Deleted || e.Value < h.newest {
-				h.undone = append(h.undone, fmt.Sprintf("%s: version %d to %d", name, h.newest, e.Value))
+				h.regressions = append(h.regressions, fmt.Sprintf("%s: version %d to %d", name, h.newest, e.Value))
 			}
 			h.seen, h.newest = e.Value, max(h.newest, e.Value)
 		}
@@ -184,14 +183,14 @@
 		Parents: func() ([]source.Parent[int64], bool) { return f.parents(h) },
 		Others:  func() []source.Parent[int64] { return f.others(h) },
 		List: func(ctx context.Context) (feed.Batch[int64], error) {
-			f.thaw(ctx, h)
-			f.store.called(ctx, name)
-			b, _, err := f.store.look(ctx, name, 0)
+			f.waitWhileFrozen(ctx, h)
+			f.store.recordCall(ctx, name)
+			b, _, err := f.store.read(ctx, name, 0)
 			return b, err
 		},
 		Watch: func(ctx context.Context, since int64, wait time.Duration) (feed.Batch[int64], error) {
 			b, err := f.store.watch(ctx, name, since, wait)
-			f.thaw(ctx, h)
+			f.waitWhileFrozen(ctx, h)
 			return b, err
 		},
 	}).Run(ctx)
@@ -199,8 +198,8 @@
 	return h
 }
 
-// thaw holds a host up while it is frozen.
-func (f *eraFleet) thaw(ctx context.Context, h *eraHost) {
+// waitWhileFrozen blocks while a host is frozen.
+func (f *eraFleet) waitWhileFrozen(ctx context.Context, h *eraHost) {
 	for ctx.Err() == nil && h.isFrozen() {
 		clock.Sleep(ctx, clock.System{}, 10*time.Millisecond)
 	}
@@ -245,15 +244,15 @@
 
 func (f *eraFleet) parent(p *eraHost) source.Parent[int64] {
 	return source.Parent[int64]{Name: p.name, Ask: func(ctx context.Context, args relay.Args) (relay.Reply[int64], error) {
-		f.travel(ctx)
-		f.thaw(ctx, p)
+		f.simulateLatency(ctx)
+		f.waitWhileFrozen(ctx, p)
 		rep, err := ask(ctx, p.host, args)
-		f.travel(ctx)
+		f.simulateLatency(ctx)
 		return rep, err
 	}}
 }
 
-// replace lets a new host take the place of one, whose process is gone.
+// replace starts a new host in place of one whose process is gone.
 func (f *eraFleet) replace(ctx context.Context, i int) *eraHost {
 	h := f.start(ctx, f.hosts[i].name+"-again")
 	f.store.set(func() {
@@ -263,9 +262,9 @@
 	return h
 }
 
-// playEras plays a fleet whose hosts know version 1.
-func playEras(t *testing.T, hosts int, f func(ctx context.Context, fleet *eraFleet, s *eraStore)) {
-	play(t, func(ctx context.Context) {
+// runEraFleet runs f with a fleet whose hosts have applied version 1.
+func runEraFleet(t *testing.T, hosts int, f func(ctx context.Context, fleet *eraFleet, s *eraStore)) {
+	runInBubble(t, func(ctx context.Context) {
 		s := newEraStore()
 		fleet := &eraFleet{store: s}
 		for i := range hosts {
@@ -275,54 +274,54 @@
 		f(ctx, fleet, s)
 		for _, h := range fleet.hosts {
 			h.mu.Lock()
-			qt.Check(t, h.undone, qt.HasLen, 0)
+			qt.Check(t, h.regressions, qt.HasLen, 0)
 			h.mu.Unlock()
 		}
 	})
 }
 
-// inForce checks that a version is in force on all hosts, or a newer one.
-func (f *eraFleet) inForce(t *testing.T, version int64, when string) {
+// checkVersion checks that all hosts have applied a version or a newer one.
+func (f *eraFleet) checkVersion(t *testing.T, version int64, when string) {
 	t.Helper()
 	for _, h := range f.hosts {
 		qt.Check(t, h.value() >= version, qt.IsTrue, qt.Commentf("%s: version %d on %s, want %d", when, h.value(), h.name, version))
 	}
 }
 
-// Guards against versions that are undone, or not taken over, by a store that comes back from an older copy; the drill
-// falls on any moment of a watch, cuts watches or not, and lasts no time or two seconds.
+// Guards against versions that are undone or never applied after the store is restored from an older backup. The
+// restore falls on any moment of a watch, with or without a host cut off, and takes no time or two seconds.
 func TestConfirmedVersionsOutliveRestore(t *testing.T) {
 	for step := range 20 {
-		for _, away := range []time.Duration{0, 2 * time.Second} {
+		for _, outage := range []time.Duration{0, 2 * time.Second} {
 			for _, cut := range []string{"", "host-0", "host-5"} {
-				playEras(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-					when := fmt.Sprintf("moment %d, away for %s, %q cut off", step, away, cut)
+				runEraFleet(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+					when := fmt.Sprintf("moment %d, outage of %s, %q cut off", step, outage, cut)
 					s.write(2)
-					old := s.copy()
-					s.others(3)
+					old := s.backup()
+					s.advance(3)
 					s.write(3)
 					time.Sleep(bound + time.Duration(step)*100*time.Millisecond)
-					fleet.inForce(t, 3, when+", before it")
-					s.set(func() { s.all, s.away[cut] = away > 0, cut != "" })
-					time.Sleep(away)
+					fleet.checkVersion(t, 3, when+", before the restore")
+					s.set(func() { s.down, s.rejected[cut] = outage > 0, cut != "" })
+					time.Sleep(outage)
 					s.restore(old)
-					s.set(func() { s.all = false })
+					s.set(func() { s.down = false })
 					time.Sleep(time.Second)
 					// Its revision is under that of version 3.
 					s.write(4)
 					time.Sleep(bound)
-					fleet.inForce(t, 4, when)
+					fleet.checkVersion(t, 4, when)
 				})
 			}
 		}
 	}
 }
 
-// Guards against revisions of two eras that are compared: each new version has the revision that an older one had.
+// Guards against comparing revisions of two eras: after a restore each new version has the revision of an older one.
 func TestRevisionsAreGivenOutAgain(t *testing.T) {
 	for _, lost := range []int64{1, 2, 5} {
-		playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-			old := s.copy()
+		runEraFleet(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+			old := s.backup()
 			version := int64(1)
 			for range lost {
 				version++
@@ -335,45 +334,45 @@
 				s.write(version)
 			}
 			time.Sleep(bound)
-			fleet.inForce(t, version, fmt.Sprintf("%d lost", lost))
+			fleet.checkVersion(t, version, fmt.Sprintf("%d lost", lost))
 		})
 	}
 }
 
-// Guards against hosts that mix eras up after two drills in short order, of which one host sleeps through one or both.
+// Guards against mixing up eras after two restores in quick succession, with one host frozen during one or both.
 func TestTwoRestoresInShortOrder(t *testing.T) {
-	for _, sleeper := range []int{0, 1, 4} {
-		for _, wake := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
-			playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-				old := s.copy()
+	for _, frozenHost := range []int{0, 1, 4} {
+		for _, betweenRestores := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
+			runEraFleet(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+				old := s.backup()
 				s.write(2)
 				time.Sleep(bound)
-				fleet.hosts[sleeper].freeze(true)
+				fleet.hosts[frozenHost].freeze(true)
 				s.restore(old)
-				time.Sleep(wake)
+				time.Sleep(betweenRestores)
 				s.write(3)
-				s.others(7)
+				s.advance(7)
 				time.Sleep(200 * time.Millisecond)
 				s.restore(old)
-				fleet.hosts[sleeper].freeze(false)
+				fleet.hosts[frozenHost].freeze(false)
 				s.write(4)
 				time.Sleep(bound)
-				fleet.inForce(t, 4, fmt.Sprintf("host-%d slept, woke after %s", sleeper, wake))
+				fleet.checkVersion(t, 4, fmt.Sprintf("host-%d frozen, restored again after %s", frozenHost, betweenRestores))
 			})
 		}
 	}
 }
 
-// Guards against half of a fleet that can't reach the store and stays in its old era.
+// Guards against hosts that stay in the old era after a restore: the store rejects half of the fleet.
 func TestRestoreWhileHalfIsTurnedAway(t *testing.T) {
 	for _, first := range []int{0, 1} {
-		playEras(t, 8, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-			old := s.copy()
+		runEraFleet(t, 8, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+			old := s.backup()
 			s.write(2)
 			time.Sleep(bound)
 			s.set(func() {
 				for i := first; i < 8; i += 2 {
-					s.away[fmt.Sprint("host-", i)] = true
+					s.rejected[fmt.Sprint("host-", i)] = true
 				}
 			})
 			time.Sleep(time.Second)
@@ -381,7 +380,7 @@
 			time.Sleep(time.Second)
 			s.write(3)
 			time.Sleep(bound)
-			fleet.inForce(t, 3, fmt.Sprintf("host-%d and each second one turned away", first))
+			fleet.checkVersion(t, 3, fmt.Sprintf("host-%d and every second host rejected", first))
 			for _, h := range fleet.hosts {
 				st, _ := h.copy.State()
 				qt.Check(t, st.Era, qt.Equals, int64(2), qt.Commentf("%s", h.name))
@@ -390,13 +389,13 @@
 	}
 }
 
-// Guards against a host that starts after the drill and knows only the store's copy, while the others know more; the
-// hosts that watch the store are such as well.
+// Guards against a host that starts after a restore and has only the objects of the backup, while the others have newer
+// ones. Hosts that watch the store are among those that start.
 func TestHostsThatStartAfterRestore(t *testing.T) {
 	for _, started := range [][]int{{0}, {1}, {4}, {0, 1}, {0, 1, 4}} {
 		for _, after := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
-			playEras(t, 6, func(ctx context.Context, fleet *eraFleet, s *eraStore) {
-				old := s.copy()
+			runEraFleet(t, 6, func(ctx context.Context, fleet *eraFleet, s *eraStore) {
+				old := s.backup()
 				s.write(2)
 				time.Sleep(bound)
 				s.restore(old)
@@ -406,20 +405,20 @@
 					fleet.replace(ctx, i)
 				}
 				time.Sleep(bound)
-				fleet.inForce(t, 2, fmt.Sprintf("%v started %s after it", started, after))
+				fleet.checkVersion(t, 2, fmt.Sprintf("%v started %s after the restore", started, after))
 				s.write(3)
 				time.Sleep(bound)
-				fleet.inForce(t, 3, "after the next write")
+				fleet.checkVersion(t, 3, "after the next write")
 			})
 		}
 	}
 }
 
-// Guards against hosts that wait for a newer version than the store has, where all of them start after the drill.
+// Guards against hosts that wait for a newer version than the store has, when all of them start after a restore.
 func TestAllHostsStartAfterRestore(t *testing.T) {
-	play(t, func(ctx context.Context) {
+	runInBubble(t, func(ctx context.Context) {
 		s := newEraStore()
-		old := s.copy()
+		old := s.backup()
 		s.write(2)
 		s.restore(old)
 		fleet := &eraFleet{store: s}
@@ -427,19 +426,19 @@
 			fleet.start(ctx, fmt.Sprint("host-", i))
 		}
 		time.Sleep(time.Second)
-		fleet.inForce(t, 1, "as good as the copy")
+		fleet.checkVersion(t, 1, "as in the backup")
 		s.write(3)
 		time.Sleep(bound)
-		fleet.inForce(t, 3, "the next write")
+		fleet.checkVersion(t, 3, "the next write")
 	})
 }
 
-// Guards against a fleet whose hosts all call the store when it comes back from a copy: the two that watch it read it
-// anew, and all others hear from them.
+// Guards against all hosts calling the store after a restore: only the two that watch it list it again, the others ask
+// these.
 func TestRestoreCostsFewCalls(t *testing.T) {
 	for _, hosts := range []int{10, 60, 200} {
-		playEras(t, hosts, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-			old := s.copy()
+		runEraFleet(t, hosts, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+			old := s.backup()
 			s.write(2)
 			time.Sleep(bound)
 			before := map[string]int{}
@@ -452,69 +451,70 @@
 					total += n - before[name]
 				}
 			})
-			// Two hosts make one list each, and a watch each second or so.
+			// Each of the two hosts lists once and watches about once a second.
 			qt.Check(t, total <= 2*(2+6), qt.IsTrue, qt.Commentf("%d calls of %d hosts", total, hosts))
 			s.write(3)
 			time.Sleep(bound)
-			fleet.inForce(t, 3, fmt.Sprintf("%d hosts", hosts))
+			fleet.checkVersion(t, 3, fmt.Sprintf("%d hosts", hosts))
 		})
 	}
 }
 
-// Guards against a change of behaviour where the store never says its era.
+// Guards against changed behavior with a store that never sends its era.
 func TestStoreWithoutEras(t *testing.T) {
-	playEras(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
-		s.set(func() { s.silent = true })
+	runEraFleet(t, 5, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+		s.set(func() { s.omitsEra = true })
 		for version := range int64(5) {
 			s.write(version + 2)
 			time.Sleep(bound)
-			fleet.inForce(t, version+2, "without an era")
+			fleet.checkVersion(t, version+2, "without an era")
 		}
 	})
 }
 
-// Guards against two hosts that hear from each other and take that for news of the store: both are turned away by it, and
-// those that hear from them wait for a change that neither can know.
+// Guards against two watching hosts that the store rejects and that take each other's replies for fresh data of the
+// store: the hosts that ask them wait for a change that neither receives.
 func TestHostsThatHearFromEachOtherGrowOld(t *testing.T) {
 	for step := range 20 {
-		playEras(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+		runEraFleet(t, 6, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 			fleet.setDelay(1400 * time.Microsecond)
 			time.Sleep(time.Duration(step) * 100 * time.Millisecond)
-			s.set(func() { s.away["host-0"], s.away["host-1"] = true, true })
+			s.set(func() { s.rejected["host-0"], s.rejected["host-1"] = true, true })
 			time.Sleep(bound)
 			s.write(2)
 			time.Sleep(bound)
-			fleet.inForce(t, 2, fmt.Sprintf("moment %d", step))
+			fleet.checkVersion(t, 2, fmt.Sprintf("moment %d", step))
 		})
 	}
 }
 
-// Guards against hosts that hear from each other and take what a message travels for news of the store, which is away.
+// Guards against hosts that ask each other during an outage and count the travel time of messages as confirmation by
+// the store.
 func TestAgeGrowsWhileHostsHearFromEachOther(t *testing.T) {
 	for step := range 20 {
-		playEras(t, 4, func(_ context.Context, fleet *eraFleet, s *eraStore) {
+		runEraFleet(t, 4, func(_ context.Context, fleet *eraFleet, s *eraStore) {
 			fleet.setDelay(1400 * time.Microsecond)
 			time.Sleep(time.Duration(step) * 100 * time.Millisecond)
-			away, asked := time.Now(), 0
-			s.set(func() { s.all, asked = true, fleet.asked })
+			outageStart, asked := time.Now(), 0
+			s.set(func() { s.down, asked = true, fleet.asked })
 			time.Sleep(30 * time.Second)
-			// Each host asks another once in each wait, which is 100 ms at the least, and each answer counts as well.
+			// Each host asks another one once per wait, which is at least 100 ms, and replies count as well.
 			s.set(func() {
 				qt.Check(t, fleet.asked-asked <= 4*30*10*2, qt.IsTrue, qt.Commentf("%d messages in 30 s", fleet.asked-asked))
 			})
 			for _, h := range fleet.hosts {
 				st, _ := h.copy.State()
-				qt.Check(t, st.Confirmed.After(away), qt.IsFalse, qt.Commentf("%s, moment %d: the store was away for %s", h.name, step, st.Confirmed.Sub(away)))
+				qt.Check(t, st.Confirmed.After(outageStart), qt.IsFalse, qt.Commentf("%s, moment %d: confirmed %s after the start of the outage", h.name, step, st.Confirmed.Sub(outageStart)))
 			}
-			s.set(func() { s.all = false })
+			s.set(func() { s.down = false })
 		})
 	}
 }
 
-// Guards against a kind of object that is read seconds after the others in a new era: what is written to the store before
-// its list can't be told from what the copy had.
+// Guards against a kind of objects that is listed seconds after the others in a new era: an object written before the
+// list can't be told apart from one of the backup.
 func TestKindsEnterANewEraTogether(t *testing.T) {
-	play(t, func(ctx context.Context) {
+	runInBubble(t, func(ctx context.Context) {
 		outage := source.NewOutage()
 		stores := []*eraStore{newEraStore(), newEraStore()}
 		var hosts []*eraHost
@@ -524,10 +524,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, s := range stores {
-			s.restore(s.copy())
+			s.restore(s.backup())
 		}
 		stores[0].write(2)
-		time.Sleep(10 * storeTakes)
+		time.Sleep(10 * storeLatency)
 		for i, h := range hosts {
 			st, _ := h.copy.State()
 			qt.Check(t, st.Era, qt.Equals, int64(2), qt.Commentf("kind %d", i))
