--- a/entry/internal/front/allowances.go
+++ b/entry/internal/front/allowances.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// allowanceService is the name under which hosts grant each other what customers may send.
+	// allowanceService is the net/rpc service that leases parts of the customers' quotas to other hosts.
 	allowanceService = "Allowance"
-	// allowanceTimeout bounds a call whose caller sets no bound.
+	// allowanceTimeout bounds a call whose context has no deadline.
 	allowanceTimeout = time.Second
-	// metFor is how long the serving hosts stay the same before a host that has just started counts them as all: the
-	// first that it meets tells it of the others.
+	// metFor is the time for which the serving hosts have to stay the same before a host that has just started takes
+	// the list for complete: the first host that it reaches sends it the others.
 	metFor = 400 * time.Millisecond
 )
 
-// newAllowances returns the accounts of what customers may send.
+// newAllowances returns the limiter of the customers' request rates.
 func (f *Front) newAllowances() *allowance.Ledger {
 	return allowance.New(allowance.Options{
 		Clock: f.opts.Clock, Slack: f.opts.QuotaSlack, Excess: f.opts.QuotaExcess, View: f.allowanceView, Customer: f.customer,
@@ -33,13 +33,14 @@
 	})
 }
 
+// allowanceView returns the hosts as the allowances see them.
 func (f *Front) allowanceView() allowance.View {
 	p := f.joined.place()
 	met := len(p.serving) > 1 && f.opts.Clock.Now().Sub(p.since) >= metFor
 	return allowance.View{Self: p.self, Serving: p.serving, Hosts: f.joined.list.Hosts(), Settled: f.settled() || met, Leaving: f.drain.Leaving()}
 }
 
-// customer returns the customer with a name in the configuration in force, or nil.
+// customer returns the customer called name in the configuration in force, or nil.
 func (f *Front) customer(name string) *route.Customer {
 	if t := f.config.Load(); t != nil {
 		return t.CustomerNamed(name)
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// askAllowance asks another host for tokens. A reply that a call that was given up may still write to is not returned.
+// askAllowance asks another host for tokens. On an error it returns an empty reply: an abandoned call may still write
+// to the other one.
 func (j *joined) askAllowance(ctx context.Context, h member.Host, args allowance.Args) (allowance.Reply, error) {
 	var rep allowance.Reply
 	if err := j.peers.Work(ctx, h.Peer, allowanceTimeout, allowanceService+".Lend", &args, &rep); err != nil {
--- a/entry/internal/front/config_test.go
+++ b/entry/internal/front/config_test.go
@@ -36,8 +36,8 @@
 	return feed.Batch[route.Config]{Entries: []feed.Entry[route.Config]{{Name: "main", Value: route.Config{Version: n}}}}
 }
 
-// Two hosts tell this one of configurations, one of them cut off since before the last change. A route that was taken
-// away must not come back for a moment.
+// Guards against a removed route that comes back for a moment: this host receives configurations from two hosts, and
+// one of them has been partitioned since before the last change.
 func TestConfigNeverGoesBack(t *testing.T) {
 	f := newFront(t)
 	for _, step := range []struct{ told, want int64 }{{3, 3}, {7, 7}, {5, 7}, {7, 7}, {0, 7}, {8, 8}} {
@@ -50,7 +50,7 @@
 	qt.Assert(t, f.configVersion(), qt.Equals, int64(8))
 }
 
-// A host that has just started says that it is not ready, and names no host that it doesn't know to serve.
+// A host that has just started reports that it is not ready, and returns no address of a host that may not serve.
 func TestNotReadyBeforeConfig(t *testing.T) {
 	f := newFront(t)
 	qt.Assert(t, f.ready(), qt.ErrorMatches, "the configuration is not known yet")
@@ -66,8 +66,8 @@
 	qt.Assert(t, keep <= keepFor, qt.IsTrue)
 }
 
-// A host is told to stop. The platform's checks and clients that ask for addresses must not be sent to it any more,
-// though it serves those that still come; where no other host is known it names none.
+// A host that stops must fail the platform's readiness check and leave itself out of the addresses for clients, though
+// it still serves requests that arrive. Where it knows no other host, it returns no address.
 func TestLeavingHostIsNotHandedOut(t *testing.T) {
 	f := newFront(t)
 	f.applyConfig(version(1))
@@ -81,7 +81,7 @@
 	qt.Assert(t, err, qt.ErrorMatches, "no host is known to serve")
 }
 
-// Another host has found a request that crashes replicas. Its caller turns to this host next, which must know of it.
+// Another host has quarantined a request that crashes replicas. Its client retries at this host, which must refuse it.
 func TestQuarantineIsHeardFromOthers(t *testing.T) {
 	f := newFront(t)
 	_, err := f.joined.rumors.Publish(rumor.Rumor{
--- a/entry/internal/front/doc.go
+++ b/entry/internal/front/doc.go
@@ -1,2 +1,2 @@
-// Package front joins the duties of one host that forwards opaque requests, and runs them.
+// Package front assembles and runs one entry host that forwards opaque requests.
 package front
--- a/entry/internal/front/follow.go
+++ b/entry/internal/front/follow.go
@@ -12,21 +12,22 @@
 	"guavaspring.org/entry/internal/source"
 )
 
-// kind is one kind of the store's objects that a host follows.
+// kind describes one kind of the store's objects that a host keeps a copy of.
 type kind[T any] struct {
-	// name is the kind's in logs and metrics, and method the one of relay.Methods by which hosts tell each other of it.
+	// name is the name of the kind in logs and metrics, and method the method of relay.Methods that other hosts serve it
+	// by.
 	name, method string
 	list         func(ctx context.Context) (feed.Batch[T], error)
 	watch        func(ctx context.Context, since int64, wait time.Duration) (feed.Batch[T], error)
 	copy         *relay.Copy[T]
-	// replace takes a list of all objects, change those that changed; returned says that the store was away until a
-	// moment ago.
+	// replace applies a list of all objects, change a list of the changed ones; returned says that the store has just
+	// become reachable again.
 	replace, change func(batch feed.Batch[T], returned bool)
-	// bound is how soon a change has to be known here.
+	// bound is the time within which a change has to reach this host.
 	bound time.Duration
 }
 
-// follow keeps f in step with a kind until ctx ends.
+// follow lists and watches one kind of objects and applies its changes to f until ctx ends.
 func follow[T any](ctx context.Context, f *Front, k kind[T]) {
 	source.New(source.Options[T]{
 		Clock: f.opts.Clock, Log: f.opts.Log, Name: k.name, List: k.list, Watch: k.watch,
@@ -39,6 +40,7 @@
 	}).Run(ctx)
 }
 
+// followConfig applies changes of the configuration until ctx ends.
 func (f *Front) followConfig(ctx context.Context) {
 	apply := func(batch feed.Batch[route.Config], _ bool) { f.applyConfig(batch) }
 	follow(ctx, f, kind[route.Config]{
@@ -47,7 +49,7 @@
 	})
 }
 
-// applyConfig puts the newest configuration in force; one that is older than what is in force never comes back.
+// applyConfig puts the newest configuration in force and ignores those that are not newer than the one in force.
 func (f *Front) applyConfig(batch feed.Batch[route.Config]) {
 	for _, e := range batch.Entries {
 		old := f.config.Load()
@@ -68,13 +70,13 @@
 	f.noteKnown()
 }
 
-// known reports whether the host knows all that requests need. A host that started while a zone is evacuated and knew
-// the replicas first would send them what they are spared from.
+// known reports whether the host has loaded all that requests need. The evacuations are part of it: a host that starts
+// during an evacuation and has only the replicas would send requests to those of the evacuated zone.
 func (f *Front) known() bool {
 	return f.config.Load() != nil && f.table.Known() && (f.opts.Evacuate == 0 || f.zones.Known())
 }
 
-// noteKnown lets requests in that wait for the host to know what they need.
+// noteKnown releases the requests that wait for the host to load its data, once it has.
 func (f *Front) noteKnown() {
 	if f.known() {
 		f.startup.Known()
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -45,26 +45,26 @@
 )
 
 const (
-	// keepFor is how long clients keep the addresses that they are told. Whoever asks a directory that has lost power
-	// waits a second for it, which is more than most requests have; an address that no longer serves costs less, since
-	// clients leave out those that failed them and find a closed port at once.
+	// keepFor is the TTL of the addresses that clients receive. It is long because a lookup at a host that has lost power
+	// takes a second, more than the deadline of most requests. A stale address costs less: clients skip addresses that
+	// failed, and a closed port fails at once.
 	keepFor = 4500 * time.Millisecond
-	// finishIn is the end of the grace that is left for requests in flight after the port is closed.
+	// finishIn is the part of the grace, at its end, for requests in flight once the port is closed.
 	finishIn = 1200 * time.Millisecond
-	// exitIn is the end of the grace that is left for the process to end by itself.
+	// exitIn is the part of the grace, at its end, for the process to exit by itself.
 	exitIn = 200 * time.Millisecond
-	// idleFor is how long an unused connection of a client is kept where no configuration says; longer is always safe.
+	// idleFor is how long an idle connection of a client is kept unless the configuration says; longer is always safe.
 	idleFor = time.Minute
-	// headersIn bounds the wait for the header of a request.
+	// headersIn bounds the time to read the header of a request.
 	headersIn = 10 * time.Second
-	// shareEvery is how often the hosts' shares of a replica's connections follow the number of hosts.
+	// shareEvery is how often this host's share of each replica's connections is adapted to the number of hosts.
 	shareEvery = time.Second
-	// leastHosts is the number of hosts that is taken for granted where fewer are known: a host that has just started
-	// knows only itself, and must not take the shares of all.
+	// leastHosts is the number of hosts assumed where fewer are known: a host that has just started knows only itself,
+	// and must not take the shares of all.
 	leastHosts = 3
 )
 
-// Store is how the platform's store is called.
+// Store holds the calls to the platform's store.
 type Store struct {
 	ListConfig    func(ctx context.Context) (feed.Batch[route.Config], error)
 	WatchConfig   func(ctx context.Context, since int64, wait time.Duration) (feed.Batch[route.Config], error)
@@ -77,56 +77,56 @@
 	List func(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error)
 	Get  func(ctx context.Context, kind platform.Kind, name string) (platform.Object, error)
 	Put  func(ctx context.Context, kind platform.Kind, name string, version int64, body []byte) (platform.Object, error)
-	// Reconnect drops the unused connections.
+	// Reconnect closes the idle connections to the store.
 	Reconnect func()
 }
 
-// Options holds the settings of a host.
+// Options configures a host.
 type Options struct {
 	Clock        clock.Clock
 	Log          logr.Logger
 	Zone, Region string
 	// Regions holds the region of each availability zone.
 	Regions map[string]string
-	// Front is for clients, Readiness for the platform's checks, Directory for clients that ask for addresses, Peer for
-	// the other hosts.
+	// Front listens for clients' requests, Readiness for the platform's checks, Directory for clients' address lookups,
+	// Peer for the other hosts.
 	Front, Readiness, Directory, Peer netip.AddrPort
 	// Seeds returns addresses of other hosts that may be alive.
 	Seeds func() []netip.AddrPort
 	Store Store
 	Codec opaque.Codec
-	// Resolve and Ready make the handlers of the directory and of the platform's checks.
+	// Resolve and Ready return the handlers of address lookups and of the platform's readiness checks.
 	Resolve func(answer func(opaque.Caller) ([]netip.AddrPort, time.Duration, error)) http.Handler
 	Ready   func(ready func() error) http.Handler
-	// Grace is the time between the order to stop and the kill.
+	// Grace is the time from the signal to stop until the platform kills the process.
 	Grace time.Duration
-	// MaxKeep is the longest time for which a client may be told to keep addresses.
+	// MaxKeep is the longest allowed TTL of the addresses that clients receive.
 	MaxKeep time.Duration
-	// Apply is how soon a changed configuration has to be in force, and Drain how long a replica that leaves may still
-	// be sent requests.
+	// Apply is the time within which a changed configuration has to be in force, and Drain the time for which requests
+	// may still be sent to a replica that is leaving.
 	Apply, Drain time.Duration
-	// Evacuate is how soon nothing more may be sent to the replicas of a zone that operators evacuate; zero means that
-	// they can't.
+	// Evacuate is the time within which requests to the replicas of an evacuated zone have to stop; zero means that zones
+	// can't be evacuated.
 	Evacuate time.Duration
-	// Cores and LinkBits are the processor cores, and the bits a second of its link, that the host has.
+	// Cores is the number of the host's processor cores, and LinkBits the bandwidth of its link in bits a second.
 	Cores, LinkBits float64
-	// Metrics is where metrics are published; the zero value publishes none.
+	// Metrics is the address that serves metrics; the zero value serves none.
 	Metrics netip.AddrPort
-	// StoreCalls returns how many calls to the store were made, by what they are for; LinesLost how many log lines the
-	// output lost.
+	// StoreCalls returns the number of calls to the store, by purpose, LinesLost the number of log lines that the output
+	// lost.
 	StoreCalls func() []frontmetrics.StoreCalls
 	LinesLost  func() uint64
-	// Traffic counts the bytes of the host's connections; nil means one of its own.
+	// Traffic counts the bytes of the host's connections; nil means a new meter.
 	Traffic *traffic.Meter
-	// QuotaSlack is how many requests of a customer over its limit may run in a window, on all hosts together.
+	// QuotaSlack is the number of requests over its limit that a customer may run in a window, on all hosts together.
 	QuotaSlack int
-	// QuotaExcess is the share of a customer's limit that may run over it besides.
+	// QuotaExcess is the share of its limit that a customer may run over it, in addition to QuotaSlack.
 	QuotaExcess float64
-	// Spend bounds the tries beyond the first of each request, of all hosts together.
+	// Spend bounds the retries and hedges of all hosts together.
 	Spend spend.Options
 }
 
-// Front is one host.
+// Front is an entry host that forwards opaque requests.
 type Front struct {
 	opts   Options
 	drain  *drainer.Drainer
@@ -138,15 +138,15 @@
 	began  time.Time
 	log    *requestlog.Log
 	counts *frontmetrics.Metrics
-	// outage tells the followers of configuration and replicas that the store is back.
+	// outage signals the followers of the store's objects that the store is reachable again.
 	outage *source.Outage
-	// startup holds requests until the configuration and the replicas are known.
+	// startup holds requests until the configuration, the replicas and the evacuations are loaded.
 	startup *startup.Startup
-	// crashers holds the requests that crash replicas.
+	// crashers is the quarantine of requests that crash replicas.
 	crashers *quarantine.Quarantine
-	// gathers takes parts of other hosts' queries.
+	// gathers serves other hosts' subqueries.
 	gathers *subquery.Server
-	// allowances holds what customers may still send.
+	// allowances limits the customers' request rates.
 	allowances *allowance.Ledger
 }
 
@@ -180,7 +180,7 @@
 	return f, nil
 }
 
-// Run serves until ctx ends or the process is told to stop, and then finishes what is in flight.
+// Run serves until ctx ends or the process receives a signal to stop, and then completes the requests in flight.
 func (f *Front) Run(ctx context.Context) error {
 	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// start begins the duties that run until ctx ends. Clients are answered from the first moment: one that comes before
-// the configuration is known is told when to come back.
+// start starts the background tasks, which run until ctx ends. Clients are answered from the first moment: a client
+// that calls before the configuration is loaded is told when to retry.
 func (f *Front) start(ctx context.Context, duties *sync.WaitGroup) {
 	duties.Go(func() { f.followConfig(ctx) })
 	duties.Go(func() { f.followReplicas(ctx) })
@@ -215,6 +215,7 @@
 	duties.Go(func() { f.tellCosts(ctx) })
 }
 
+// servers returns the servers of clients, readiness checks, address lookups and, if they have an address, metrics.
 func (f *Front) servers() []transport.Server {
 	fwd := forward.New(forward.Options{
 		Clock: f.opts.Clock, Log: f.opts.Log, Codec: &f.opts.Codec, Config: f.config.Load, Table: f.table, Known: f.known, Await: f.startup.Await,
@@ -235,15 +236,15 @@
 	return servers
 }
 
-// server returns a kratos server all of whose requests go to h: a router would rewrite paths that must reach replicas
-// unchanged.
+// server returns a kratos server that passes all requests to h. It bypasses the router, which would rewrite paths that
+// must reach replicas unchanged.
 func (f *Front) server(addr netip.AddrPort, h http.Handler) *khttp.Server {
 	srv := khttp.NewServer(khttp.Address(addr.String()), khttp.Timeout(0), khttp.Filter(func(http.Handler) http.Handler { return h }))
 	srv.IdleTimeout, srv.ReadHeaderTimeout = idleFor, headersIn
 	return srv
 }
 
-// idleLimit returns how long an unused connection of a client is kept.
+// idleLimit returns how long an idle connection of a client is kept.
 func (f *Front) idleLimit() time.Duration {
 	if t := f.config.Load(); t != nil && t.Config().Limits.IdleTimeout > 0 {
 		return t.Config().Limits.IdleTimeout
@@ -251,7 +252,7 @@
 	return idleFor
 }
 
-// share lets the shares of the replicas' connections and of the customers' limits follow the hosts until ctx ends.
+// share adapts this host's shares of the replicas' connections and the customers' limits to the hosts until ctx ends.
 func (f *Front) share(ctx context.Context) {
 	for ctx.Err() == nil {
 		if t := f.config.Load(); t != nil {
@@ -262,23 +263,24 @@
 	}
 }
 
-// settled reports whether this host has had the time to meet the others.
+// settled reports whether this host has run long enough to have a complete member list.
 func (f *Front) settled() bool { return f.opts.Clock.Now().Sub(f.began) >= settled }
 
-// part returns which part of what all hosts together may do this one takes.
+// part returns this host's share of the limits that all hosts keep together, from 0 to 1.
 func (f *Front) part() float64 { return f.joined.share() }
 
-// servingHosts returns this host's id and the hosts that clients are sent to.
+// servingHosts returns this host's ID and the hosts that clients are directed to.
 func (f *Front) servingHosts() (self string, serving []member.Host) {
 	p := f.joined.place()
 	return p.self, p.serving
 }
 
-// coldShare returns how many requests a second this host may send to a cold replica.
+// coldShare returns the number of requests a second that this host may send to a cold replica.
 func (f *Front) coldShare(replica string, perSecond float64) int {
 	return f.cold.Of(replica, perSecond)
 }
 
+// ready returns an error that says why this host can't serve, or nil.
 func (f *Front) ready() error {
 	switch {
 	case f.drain.Leaving():
@@ -291,11 +293,11 @@
 	return nil
 }
 
-// addresses returns the hosts that clients should use.
+// addresses returns the hosts that a client should use, and their TTL.
 //
-// A host that can't serve yet does not name itself. When all hosts have lost power and are back, most of those that are
-// asked know nobody, and are weak: clients that get no address go on with the strong hosts that they knew, and those
-// that got a weak one that had still to read all replicas over its slow link were answered late.
+// A host that can't serve yet leaves itself out. After a power loss of all hosts, most of those that clients look up
+// addresses at know no others and are weak. A client that receives no address keeps using the strong hosts that it
+// knows; one that receives a weak host, which still has to load all replicas over a slow link, is answered late.
 func (f *Front) addresses(c opaque.Caller) ([]netip.AddrPort, time.Duration, error) {
 	list := addressesOf(f.nearest(c, f.joined.addresses(f.ready() == nil)))
 	if len(list) == 0 {
@@ -304,7 +306,7 @@
 	return list, min(keepFor, f.opts.MaxKeep), nil
 }
 
-// nearest returns the hosts to which a client is sent, of those that serve.
+// nearest returns the serving hosts that a client is directed to.
 func (f *Front) nearest(c opaque.Caller, serving []member.Host) []member.Host {
 	t := f.config.Load()
 	if t == nil {
@@ -322,6 +324,7 @@
 	return list
 }
 
+// announce tells the other hosts that this one is leaving.
 func (f *Front) announce(ctx context.Context) {
 	events.Stopping.Log(f.opts.Log, "in_flight", f.drain.Running(), "grace", f.opts.Grace.String())
 	f.joined.peers.Leave(ctx)
--- a/entry/internal/front/joined.go
+++ b/entry/internal/front/joined.go
@@ -26,7 +26,7 @@
 	"guavaspring.org/entry/internal/traffic"
 )
 
-// joined is what makes this host one of many: the list of hosts and the traffic with them.
+// joined holds this host's membership: the member list, the connections to other hosts and the data shared with them.
 type joined struct {
 	clock     clock.Clock
 	list      *member.List
@@ -35,32 +35,33 @@
 	rumors    *rumor.Store
 	configs   *relay.Copy[route.Config]
 	replicas  *relay.Copy[platform.Replica]
-	// evacuations holds the operators' orders to leave availability zones alone.
+	// evacuations holds the availability zones that operators have evacuated.
 	evacuations *relay.Copy[platform.Evacuation]
 
 	mu     sync.Mutex
 	placed placed
 }
 
-// placed is what was decided for one member list.
+// placed holds the placement computed from one member list.
 type placed struct {
-	// list is the first row of the member list, which is replaced as a whole with each change.
+	// list points to the first row of the member list, which is replaced as a whole with each change.
 	list *member.Host
-	// self is this host's id.
+	// self is the ID of this host.
 	self string
-	// serving are the hosts that clients are sent to, share is the part of all that this host takes. The slice stays the
-	// same while the hosts do, whatever else changes in the member list.
+	// serving are the hosts that clients are directed to. The slice stays the same while these hosts do, whatever else
+	// changes in the member list.
 	serving []member.Host
-	// since is when the serving hosts became what they are.
+	// since is the time of the last change of the serving hosts.
 	since time.Time
+	// share is this host's share of the limits that all hosts keep together, from 0 to 1.
 	share float64
 	// zones holds the serving hosts of other zones.
 	zones zoneHosts
-	// watched are the serving hosts that this one looks after.
+	// watched are the serving hosts that this host probes often, so that their loss is found within a second.
 	watched []member.Host
 }
 
-// join opens the port for other hosts, which may call some services by name; the host joins once run is called.
+// join opens the port for other hosts, which may call services on it; the host joins the others once run is called.
 func join(opts Options, incarnation string, services map[string]any) (*joined, error) {
 	var cfg net.ListenConfig
 	l, err := cfg.Listen(context.Background(), "tcp", opts.Peer.String())
@@ -86,8 +87,8 @@
 	j.rumors = rumor.New(opts.Clock, func() int { return len(j.list.Hosts()) })
 	j.peers, err = peers.New(peers.Options{
 		Clock: opts.Clock, Log: opts.Log, Listener: l, List: j.list, Rand: member.NewRand(),
-		// Documents and replica lists of the project's own interface are not shared here: both come from the platform's
-		// store.
+		// Documents and replica lists, which hosts of package host exchange, are not shared here: the configuration and
+		// the replicas come from the platform's store.
 		Store: accepted.New(func(accepted.Generation) {}), Listing: listing.New(opts.Clock), Replicas: func() []platform.Replica { return nil },
 		Services: services, Rumors: j.rumors,
 		Opened: func(c net.Conn, addr netip.AddrPort, use peers.Use) net.Conn {
@@ -99,10 +100,10 @@
 	return j, err
 }
 
-// causes says what the bytes of a connection to another host are counted as.
+// causes maps the uses of connections to other hosts to the causes that their bytes are counted under.
 var causes = map[peers.Use]traffic.Cause{peers.Probes: traffic.Members, peers.Waits: traffic.Relay, peers.Works: traffic.Subqueries}
 
-// crosses reports whether a host is in another availability zone, as far as the member list knows it.
+// crosses reports whether a host is in another availability zone, which it also reports for an unknown host.
 func (j *joined) crosses(peer netip.AddrPort) bool {
 	hosts := j.list.Hosts()
 	i := slices.IndexFunc(hosts, func(h member.Host) bool { return h.Peer == peer })
@@ -110,33 +111,35 @@
 }
 
 const (
-	// seeded is how long the hosts that the settings name have to answer before others are sought in the store. Those
-	// may be up a third of a second later than the others, and then have hundreds to answer.
+	// seeded is the time for the seed hosts of the settings to answer before other hosts are looked up in the store. The
+	// seed hosts may start a third of a second after the others, and then have hundreds of hosts to answer.
 	seeded = 2 * time.Second
-	// settled is how long after its start a host knows the others: they answer its first probes within a second.
+	// settled is the time after which a started host has a complete member list: the others answer its first probes
+	// within a second.
 	settled = 1500 * time.Millisecond
 )
 
-// evacuationsKept is how long an evacuation that the store has lost holds, and one that it has again does not, unless an
-// operator writes it again.
+// evacuationsKept is the time for which the hosts' copy overrides the store after the store was restored from a backup:
+// an evacuation that the store lost stays in force, and one that it holds again does not apply, unless an operator
+// writes it again.
 const evacuationsKept = 5 * time.Minute
 
-// replicasKept is the same for rows of replicas. The store drops a row that was not written for three heartbeats, so that
-// one that is there for longer is of a replica that lives.
+// replicasKept is the same for rows of replicas. The store drops a row after three heartbeats without a write, so a row
+// that stays for longer belongs to a live replica.
 const replicasKept = 10 * time.Second
 
-// mostOthers is how many other hosts are asked at once what they keep from an earlier era of the store.
+// mostOthers is the number of other hosts asked at once for objects that they keep from an earlier restart era.
 const mostOthers = 2
 
-// relayService is the name under which hosts serve what they read from the store.
+// relayService is the net/rpc service that passes objects of the store on to other hosts.
 const relayService = "Relay"
 
-// mostAsk bounds a call that waits for news at another host.
+// mostAsk bounds a long poll for changes at another host.
 const mostAsk = 30 * time.Second
 
-// first returns how to ask the hosts that the settings name, which answer before this host has joined the others,
-// beginning with any of them: hundreds may start at once. Those hosts themselves ask nobody, so that somebody reads the
-// store at once.
+// first returns the seed hosts of the settings as parents, which answer before this host has joined the others. They
+// are in random order, as hundreds of hosts may start at once. A seed host itself gets none, so that some hosts read
+// the store right away.
 func first[T any](j *joined, seeds []netip.AddrPort, method string) []source.Parent[T] {
 	own := j.list.Self().Peer
 	if slices.Contains(seeds, own) {
@@ -149,11 +152,11 @@
 	return list
 }
 
-// parent returns how to ask the host at addr by one method of relay.Methods.
+// parent returns the host at addr as a parent, which is called by a method of relay.Methods.
 func parent[T any](j *joined, addr netip.AddrPort, method string) source.Parent[T] {
 	return source.Parent[T]{Name: addr.String(), Ask: func(ctx context.Context, args relay.Args) (relay.Reply[T], error) {
 		var rep relay.Reply[T]
-		// The context ends the call sooner where the answer would come too late.
+		// The context ends the call sooner if the reply would come too late.
 		if err := j.peers.Call(ctx, addr, mostAsk, relayService+"."+method, &args, &rep); err != nil {
 			return rep, err
 		}
@@ -161,7 +164,7 @@
 	}}
 }
 
-// parents returns how to ask the hosts from which this one hears, by one method of relay.Methods.
+// parents returns the hosts that pass the store's objects on to this one, and whether this host watches the store.
 func parents[T any](j *joined, method string) ([]source.Parent[T], bool) {
 	hosts, watches := relay.Parents(j.list.Hosts(), j.list.Self().ID)
 	list := make([]source.Parent[T], len(hosts))
@@ -171,7 +174,7 @@
 	return list, watches
 }
 
-// others returns how to ask a few hosts, any of those that are alive, by one method of relay.Methods.
+// others returns up to mostOthers random live hosts as parents.
 func others[T any](j *joined, method string) []source.Parent[T] {
 	hosts, self := j.list.Hosts(), j.list.Self().ID
 	var list []source.Parent[T]
@@ -183,6 +186,7 @@
 	return list
 }
 
+// run exchanges messages with the other hosts and keeps the directory up to date until ctx ends.
 func (j *joined) run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { j.peers.Run(ctx) })
@@ -190,7 +194,7 @@
 	duties.Wait()
 }
 
-// count returns how many hosts there are; two incarnations at one address are one host.
+// count returns the number of hosts; two incarnations at one address are one host.
 func (j *joined) count() int {
 	seen := map[netip.AddrPort]bool{}
 	for _, h := range j.list.Hosts() {
@@ -199,8 +203,8 @@
 	return len(seen)
 }
 
-// addresses returns the hosts that serve, this one included where self is set. A host that is suspected is left out as
-// long as another is known: a connection to one that has lost power costs a client a second.
+// addresses returns the serving hosts, including this one if self is set. Suspected hosts are returned only where no
+// other is known: a connection to a host that has lost power costs a client a second.
 func (j *joined) addresses(self bool) []member.Host {
 	own := j.list.Self()
 	var serving, suspect []member.Host
@@ -220,11 +224,11 @@
 	return suspect
 }
 
-// share returns which part of what all hosts together may do this one takes.
+// share returns this host's share of the limits that all hosts keep together, from 0 to 1.
 func (j *joined) share() float64 { return j.place().share }
 
-// place returns what is decided for the member list. It is kept until the list changes: it is asked for at each try and
-// each address answer, and ranking thousands of hosts takes a millisecond.
+// place returns the placement for the present member list. It is cached until the list changes: each attempt and each
+// address lookup needs it, and ranking thousands of hosts takes a millisecond.
 func (j *joined) place() placed {
 	hosts := j.list.Hosts()
 	j.mu.Lock()
@@ -235,7 +239,7 @@
 	return j.placed
 }
 
-// placedBy decides for a member list; j.mu must be held.
+// placedBy computes the placement for a member list; j.mu must be held.
 func (j *joined) placedBy(hosts []member.Host) placed {
 	self := j.list.Self()
 	serving := placement.Serving(hosts)
--- a/entry/internal/front/metrics.go
+++ b/entry/internal/front/metrics.go
@@ -11,6 +11,7 @@
 	"guavaspring.org/entry/internal/requestlog"
 )
 
+// newMetrics returns the metrics of this host.
 func (f *Front) newMetrics() *frontmetrics.Metrics {
 	return frontmetrics.New(frontmetrics.Options{
 		StoreCalls: f.opts.StoreCalls, ConfigVersion: f.configVersion, ConfigAge: f.configAge, ReplicasAge: f.replicasAge,
@@ -20,7 +21,7 @@
 	})
 }
 
-// ended counts a request and adds how fresh this host's knowledge was.
+// ended records a request in the metrics and adds the age of the configuration and of the replicas to its log entry.
 func (f *Front) ended(e *requestlog.Entry) {
 	e.ConfigAge, e.ReplicasAge = f.configAge(), f.replicasAge()
 	f.counts.Forwarded(e)
@@ -39,10 +40,10 @@
 
 func (f *Front) evacuationsAge() time.Duration { return age(f.opts.Clock.Now(), f.joined.evacuations) }
 
-// never is the age of what was never known.
+// never is the age of a copy that has not been loaded yet.
 const never = -time.Second
 
-// age returns how long before now the store was known to hold nothing newer than a copy.
+// age returns the time since a copy was last confirmed to be as new as the store.
 func age[T any](now time.Time, c *relay.Copy[T]) time.Duration {
 	st, _ := c.State()
 	if st.Confirmed.IsZero() {
@@ -51,10 +52,11 @@
 	return now.Sub(st.Confirmed)
 }
 
-// costsEvery is how often the log says what the host costs: often enough to tell the start of a host from what follows.
+// costsEvery is the time between two log lines of the host's costs, short enough to tell the costs of its start from
+// those that follow.
 const costsEvery = 15 * time.Second
 
-// tellCosts writes what the host costs until ctx ends, and then once more.
+// tellCosts logs the host's traffic and store calls until ctx ends, and once more at the end.
 func (f *Front) tellCosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, f.opts.Clock, costsEvery)
--- a/entry/internal/front/quarantine.go
+++ b/entry/internal/front/quarantine.go
@@ -6,11 +6,11 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// opaqueRequests stands for the service in what hosts tell each other of opaque requests: a fingerprint names the host
-// and the path too.
+// opaqueRequests is the service name in quarantine rumors of opaque requests; the fingerprint already covers the host
+// and the path of a request.
 const opaqueRequests = "opaque"
 
-// newQuarantine returns the quarantine of opaque requests, which all hosts share.
+// newQuarantine returns the quarantine of opaque requests, which the hosts share by rumors.
 func (f *Front) newQuarantine() *quarantine.Quarantine {
 	return quarantine.New(quarantine.Options{
 		Clock: f.opts.Clock, Service: opaqueRequests, Publish: f.tellQuarantine,
@@ -20,7 +20,7 @@
 	})
 }
 
-// tellQuarantine tells the other hosts of a request that crashes replicas: its caller may turn to any of them next.
+// tellQuarantine sends the other hosts a request that crashes replicas, as its client may retry at any of them.
 func (f *Front) tellQuarantine(r rumor.Rumor) {
 	if err := f.joined.peers.Publish(r); err != nil {
 		events.QuarantineUntold.Log(f.opts.Log, "fingerprint", r.Key, "reason", err.Error())
--- a/entry/internal/front/subqueries.go
+++ b/entry/internal/front/subqueries.go
@@ -19,39 +19,39 @@
 )
 
 const (
-	// subqueryService is the name under which hosts take parts of other hosts' queries.
+	// subqueryService is the net/rpc service that runs parts of other hosts' queries.
 	subqueryService = "Subquery"
-	// fewPeers is how many hosts of a zone this one sends subqueries to: enough that the loss of one leaves others, and
-	// few enough that connections are in use and each host knows its replicas.
+	// fewPeers is the number of hosts of each other zone that this host sends subqueries to: enough that the loss of one
+	// leaves others, and few enough that connections stay in use and each host sees enough of its replicas.
 	fewPeers = 3
-	// peerRest is how long a host that did not answer gets no subqueries. One that has lost power is out of the list of
-	// hosts by then, or some seconds later, and each subquery that it doesn't answer costs its page the time of a
-	// second try.
+	// peerRest is how long a host gets no subqueries after it did not answer one. A host that has lost power leaves the
+	// member list within that time or some seconds later, and each subquery that it doesn't answer delays the response
+	// by a retry.
 	peerRest = 2 * time.Second
-	// subqueryTimeout bounds a call whose caller sets no bound.
+	// subqueryTimeout bounds a call whose context has no deadline.
 	subqueryTimeout = 2 * time.Second
 )
 
-// subqueryPeers chooses the hosts that gather parts of this host's queries.
+// subqueryPeers selects the hosts that run parts of this host's queries.
 type subqueryPeers struct {
 	clock clock.Clock
-	// hosts returns the hosts that serve, by availability zone, without those of the own zone; all gets the same map
-	// until the hosts change.
+	// hosts returns the serving hosts of other availability zones; the value stays the same until the hosts change.
 	hosts func() zoneHosts
 	call  func(ctx context.Context, h member.Host, method string, args, reply any) error
 
 	mu sync.Mutex
-	// resting holds the hosts that did not answer, until when.
+	// resting maps the IDs of hosts that did not answer to the time until which they get no subqueries.
 	resting map[string]time.Time
 }
 
-// zoneHosts holds hosts by availability zone.
+// zoneHosts holds hosts by availability zone; names is sorted.
 type zoneHosts struct {
 	names []string
 	hosts map[string][]member.Host
 }
 
-// byZone sorts the serving hosts of other zones, of each zone those first that rank first for self.
+// byZone groups the serving hosts of other zones in the region of self by zone. It keeps the fewPeers hosts of each zone
+// that rank first for self.
 func byZone(self member.Host, serving []member.Host) zoneHosts {
 	z := zoneHosts{hosts: map[string][]member.Host{}}
 	for _, h := range serving {
@@ -71,10 +71,10 @@
 	return z
 }
 
-// zones returns the other zones that have hosts.
+// zones returns the other zones with serving hosts.
 func (s *subqueryPeers) zones() []string { return s.hosts().names }
 
-// peer returns a host in a zone that does not rest.
+// peer returns a random host of a zone that is not resting.
 func (s *subqueryPeers) peer(zone string) (subquery.Peer, bool) {
 	list := s.hosts().hosts[zone]
 	now := s.clock.Now()
@@ -88,6 +88,7 @@
 	return subquery.Peer{}, false
 }
 
+// rests reports whether a host gets no subqueries at present.
 func (s *subqueryPeers) rests(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,13 +100,14 @@
 	return ok
 }
 
-// failed lets a host rest.
+// failed marks a host that did not answer as resting for peerRest.
 func (s *subqueryPeers) failed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.resting[id] = s.clock.Now().Add(peerRest)
 }
 
+// peerOf returns the subquery calls to a host.
 func (s *subqueryPeers) peerOf(h member.Host) subquery.Peer {
 	return subquery.Peer{
 		ID: h.ID, Name: h.Peer.String(), Zone: h.Zone,
@@ -117,15 +119,15 @@
 		},
 		Drop: func(job uint64) {
 			go func() {
-				// The host ends the subquery by itself a little later where this does not reach it.
+				// If this call fails, the host ends the subquery by itself a little later.
 				_ = s.call(context.Background(), h, "Drop", &subquery.DropArgs{Job: job}, &struct{}{})
 			}()
 		},
 	}
 }
 
-// ask calls a method that replies with what became of shards. A reply that a call that was given up may still write to
-// is not returned.
+// ask calls a method that replies with the results of shards. On an error it returns an empty reply: an abandoned call
+// may still write to the other one.
 func (s *subqueryPeers) ask(ctx context.Context, h member.Host, method string, args any) (subquery.Reply, error) {
 	var rep subquery.Reply
 	if err := s.call(ctx, h, method, args, &rep); err != nil {
@@ -134,7 +136,7 @@
 	return rep, nil
 }
 
-// subqueries returns how this host's requests ask other hosts for parts of their answers.
+// subqueries returns the interface by which this host's requests run parts of their queries at other hosts.
 func (f *Front) subqueries() scatter.Subqueries {
 	s := &subqueryPeers{
 		clock: f.opts.Clock, resting: map[string]time.Time{},
@@ -147,7 +149,7 @@
 	}}
 }
 
-// callSubquery calls another host's subquery service.
+// callSubquery calls a method of another host's subquery service.
 func (j *joined) callSubquery(ctx context.Context, h member.Host, method string, args, reply any) error {
 	err := j.peers.Work(ctx, h.Peer, subqueryTimeout, subqueryService+"."+method, args, reply)
 	if errors.Is(err, peers.ErrUnreached) {
@@ -156,7 +158,7 @@
 	return err
 }
 
-// newSubqueryServer returns what gathers parts of other hosts' queries here.
+// newSubqueryServer returns the service that runs parts of other hosts' queries here.
 func (f *Front) newSubqueryServer() *subquery.Server {
 	return subquery.NewServer(subquery.Options{
 		Clock: f.opts.Clock, Service: f.table.Service, Version: f.configVersion, Leaving: f.drain.Leaving, Quarantine: f.crashers,
--- a/entry/internal/front/subqueries_test.go
+++ b/entry/internal/front/subqueries_test.go
@@ -20,8 +20,8 @@
 	return list
 }
 
-// Hundreds of hosts send parts of their queries to others. Each uses a few of a zone, so that connections stay in use,
-// and not all the same ones.
+// Guards against subqueries spread over too many hosts, which leaves connections idle, and against all hosts choosing
+// the same few: each host uses a few hosts of a zone, and together they use most.
 func TestSubqueriesGoToFewHosts(t *testing.T) {
 	for _, n := range []int{6, 15, 84, 295} {
 		hosts := inZones(n, "a", "b", "c")
@@ -45,8 +45,8 @@
 	qt.Check(t, byZone(member.Host{ID: "self", Zone: "a", Region: "r"}, elsewhere).hosts["b"], qt.HasLen, 2)
 }
 
-// A host does not answer. Parts of queries go to others of its zone until it has had time to be found out, and then to
-// it again.
+// Guards against subqueries to a host that did not answer: they skip it until the member list has had time to drop it,
+// and use it again afterwards.
 func TestHostThatDidNotAnswerRests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := byZone(member.Host{ID: "self", Zone: "a", Region: "r"}, inZones(2, "b"))
