--- a/entry/internal/frontmetrics/doc.go
+++ b/entry/internal/frontmetrics/doc.go
@@ -1,2 +1,3 @@
-// Package frontmetrics counts the opaque requests of a host and publishes what it knows and how fresh that is.
+// Package frontmetrics publishes the Prometheus metrics of a host that forwards opaque requests: its requests, its
+// copies of the store's objects and their age.
 package frontmetrics
--- a/entry/internal/frontmetrics/metrics.go
+++ b/entry/internal/frontmetrics/metrics.go
@@ -12,37 +12,38 @@
 	"guavaspring.org/entry/internal/scatter"
 )
 
-// Options holds what is read each time the metrics are.
+// Options holds the sources of the values that are read at each scrape.
 type Options struct {
-	// StoreCalls returns how many calls to the store were made, by what they are for, always in the same order.
+	// StoreCalls returns the number of calls to the store by purpose, always in the same order.
 	StoreCalls func() []StoreCalls
-	// ConfigVersion returns the version of the configuration in force, zero for none.
+	// ConfigVersion returns the version of the configuration in force, 0 if there is none.
 	ConfigVersion func() int64
-	// ConfigAge and ReplicasAge return how long ago the store was known to hold nothing newer, negative for never.
+	// ConfigAge and ReplicasAge return the time since this host's copy was last confirmed to be as new as the store,
+	// negative if it never was.
 	ConfigAge, ReplicasAge func() time.Duration
-	// EvacuationsAge returns the same of the evacuated zones, and EvacuatedZones how many there are.
+	// EvacuationsAge returns the same for the evacuated zones, EvacuatedZones their number.
 	EvacuationsAge func() time.Duration
 	EvacuatedZones func() int
-	// Hosts returns how many hosts are known, Running how many requests are in flight, Gathers how many parts of other
-	// hosts' requests.
+	// Hosts returns the number of known hosts, Running that of requests in flight, Gathers that of other hosts'
+	// subqueries in flight.
 	Hosts, Running, Gathers func() int
-	// Connections returns how many connections to replicas were opened.
+	// Connections returns the number of connections opened to replicas.
 	Connections func() uint64
-	// LinesSkipped and LinesLost return how many log lines were left out, and lost by the output.
+	// LinesSkipped returns the number of log lines dropped by the rate limit, LinesLost that of lines lost by the output.
 	LinesSkipped, LinesLost func() uint64
-	// More holds collectors of other parts.
+	// More holds the collectors of other packages.
 	More []prometheus.Collector
 }
 
-// StoreCalls is how many calls to the store were made for one purpose.
+// StoreCalls is the number of calls to the store for one purpose.
 type StoreCalls struct {
 	For   string
 	Calls int64
 }
 
-// Metrics counts requests.
+// Metrics counts requests and serves all metrics of a host.
 type Metrics struct {
-	// runtime holds the metrics of the process and of Go, which are published after all others.
+	// runtime holds the metrics of the process and the Go runtime, which are written after all others.
 	registry, runtime *prometheus.Registry
 	requests          *prometheus.CounterVec
 	seconds           *prometheus.HistogramVec
@@ -52,34 +53,34 @@
 	refused           *prometheus.CounterVec
 	rejected          *prometheus.CounterVec
 	older             *prometheus.CounterVec
-	// customers counts requests by customer; named bounds how many customers it tells apart.
+	// customers counts requests by customer; named bounds the number of its series.
 	customers *prometheus.CounterVec
 	named     names
 }
 
-// mostCustomers is how many customers have counters of their own; the others share one.
+// mostCustomers is the number of customers with series of their own; the others share one label value.
 const mostCustomers = 200
 
-// otherCustomers is the label of those that share one.
+// otherCustomers is the label value of customers without series of their own.
 const otherCustomers = "other"
 
-// The outcomes of customers' requests, as label values; a refusal's is its cause.
+// Label values for the outcomes of customers' requests; that of a refused request is its cause.
 const (
 	outcomeAnswered = "answered"
 	outcomeFailed   = "failed"
 )
 
-// The kinds of requests, as label values.
+// Label values for the kinds of requests.
 const (
 	kindGather = "gather"
 	kindSafe   = "idempotent"
 	kindUnsafe = "non_idempotent"
 )
 
-// buckets spans the objectives and deadlines of routes, a fifth apart near the usual ones, in seconds.
+// buckets spans the latency objectives and deadlines of routes, in seconds. Near the usual ones they are a fifth apart.
 var buckets = []float64{.005, .01, .02, .03, .04, .05, .06, .08, .1, .12, .15, .2, .3, .5, .8, 1.2, 2, 5, 10}
 
-// New returns metrics in a registry of their own.
+// New returns the metrics of a host in registries of their own.
 func New(opts Options) *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -130,7 +131,7 @@
 	return m
 }
 
-// Forwarded counts one request.
+// Forwarded counts a request that was forwarded to replicas.
 func (m *Metrics) Forwarded(e *requestlog.Entry) {
 	kind := kindUnsafe
 	switch {
@@ -155,29 +156,29 @@
 	}
 }
 
-// Refused counts a request that was refused before it was sent anywhere.
+// Refused counts a request that was refused before any attempt.
 func (m *Metrics) Refused(r requestlog.Refusal) {
 	m.refused.WithLabelValues(string(r.Cause)).Inc()
 	m.customer(r.Customer, string(r.Cause))
 }
 
-// customer counts a request of a customer, which is empty where none is known.
+// customer counts a request of a customer; name is empty if the customer is not known.
 func (m *Metrics) customer(name, outcome string) {
 	if name != "" {
 		m.customers.WithLabelValues(m.named.label(name), outcome).Inc()
 	}
 }
 
-// Unreadable returns what counts objects of a kind that can't be read.
+// Unreadable returns a function that counts objects of a kind that can't be decoded.
 func (m *Metrics) Unreadable(kind string) func(n int) {
 	c := m.rejected.WithLabelValues(kind)
 	return func(n int) { c.Add(float64(n)) }
 }
 
-// Older returns what counts answers of a kind that were older than what was known.
+// Older returns a function that counts replies of a kind that are older than this host's copy.
 func (m *Metrics) Older(kind string) func() { return m.older.WithLabelValues(kind).Inc }
 
-// statusClass bounds the values of the label: replicas may answer with any status.
+// statusClass maps a status to one of a few label values, as replicas may reply with any status.
 func statusClass(status int) string {
 	switch {
 	case status == http.StatusServiceUnavailable, status == http.StatusBadGateway, status == http.StatusGatewayTimeout:
@@ -190,9 +191,10 @@
 	return "2xx"
 }
 
-// Handler returns the handler that publishes the metrics, the host's own first: a reader may keep only the beginning.
+// Handler returns a handler that writes the host's own metrics first, as a collector may keep only the beginning of the
+// response.
 func (m *Metrics) Handler() http.Handler {
-	// Two bodies in a row can't be compressed one by one.
+	// The response is written by two handlers in turn, which can't compress it separately.
 	opts := promhttp.HandlerOpts{DisableCompression: true}
 	own, runtime := promhttp.HandlerFor(m.registry, opts), promhttp.HandlerFor(m.runtime, opts)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/entry/internal/frontmetrics/metrics_test.go
+++ b/entry/internal/frontmetrics/metrics_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Pages went out whole, thin and not at all, and others were refused. An engineer on call reads from the metrics which
-// of these it was; shards count as left out where an answer lacked them, and not where there was no answer.
+// Complete, partial, failed and refused requests must be told apart in the metrics. A shard counts as missed only in a
+// partial response, not in a request without a response.
 func TestWhatHappenedIsCounted(t *testing.T) {
 	m := newMetrics()
 	page := &scatter.Query{Request: &opaque.Request{}, Route: &route.Route{Shards: []string{"a", "b", "c"}}, Shards: make([]*endpoints.Service, 3)}
@@ -67,7 +67,7 @@
 	}
 }
 
-// Guards against a series on every host for each of thousands of customers.
+// Guards against an unbounded number of series on every host where a configuration has thousands of customers.
 func TestCustomersAreCountedWithinABound(t *testing.T) {
 	m := newMetrics()
 	for n := range 1000 {
@@ -90,7 +90,8 @@
 	qt.Check(t, strings.Count(w.Body.String(), "guavaspring_customer_requests_total{"), qt.Equals, 202)
 }
 
-// Guards against metrics that are cut off by those of the process: a collector that keeps 4 KB must see the host's own.
+// Guards against truncation of the host's own metrics: a collector that keeps the first 4 KB must get them before those
+// of the process.
 func TestOwnMetricsComeFirst(t *testing.T) {
 	m := newMetrics()
 	m.Older("config")()
