--- a/entry/internal/metrics/doc.go
+++ b/entry/internal/metrics/doc.go
@@ -1,2 +1,2 @@
-// Package metrics publishes what a host does in the Prometheus format.
+// Package metrics publishes the Prometheus metrics of an entry host.
 package metrics
--- a/entry/internal/metrics/metrics.go
+++ b/entry/internal/metrics/metrics.go
@@ -9,17 +9,17 @@
 	"guavaspring.org/entry/internal/admission"
 )
 
-// Options configures Metrics.
+// Options holds the sources of the values that are read at each scrape.
 type Options struct {
-	// Gates returns what the gate of each service holds now.
+	// Gates returns the present state of the admission gate of each service.
 	Gates func() map[string]admission.Stats
-	// Running returns how many requests of any kind are in flight.
+	// Running returns the number of requests of any kind in flight.
 	Running func() int
-	// Hosts returns how many hosts this one knows, by state.
+	// Hosts returns the number of hosts in the member list, by state.
 	Hosts func() map[string]int
 }
 
-// Metrics counts the requests of a host and, each time it is read, what its gates hold.
+// Metrics counts the requests of a host and reads the state of its admission gates and member list at each scrape.
 type Metrics struct {
 	opts     Options
 	registry *prometheus.Registry
@@ -27,7 +27,7 @@
 	seconds  *prometheus.HistogramVec
 }
 
-// The descriptions of what is read from gates and from the list of hosts.
+// The descriptions of the metrics that are read from the admission gates and the member list.
 var (
 	running = desc("admission_running", "Queries that run now.", "service")
 	waiting = desc("admission_waiting", "Queries that wait for a place now.", "service")
@@ -39,14 +39,16 @@
 	hosts   = desc("hosts", "Hosts known to this one, by state.", "state")
 )
 
+// desc returns the description of a metric with the prefix of all metrics of the project.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("guavaspring_"+name, help, labels, nil)
 }
 
-// seconds spans the deadlines that a document allows, 1 ms to a minute, at most a fifth apart near the usual ones.
+// buckets spans the deadlines that a document allows, 1 ms to 1 minute, in seconds. Near the usual ones they are at
+// most a fifth apart.
 var buckets = []float64{.001, .002, .005, .01, .015, .02, .03, .04, .05, .06, .07, .08, .091, .1, .12, .15, .2, .3, .5, 1, 2, 5, 10, 60}
 
-// New returns metrics in a registry of their own, with those of the process and the Go runtime.
+// New returns metrics in a new registry, which also holds those of the process and the Go runtime.
 func New(opts Options) *Metrics {
 	m := &Metrics{
 		opts: opts, registry: prometheus.NewRegistry(),
@@ -57,10 +59,10 @@
 	return m
 }
 
-// Registry returns the registry to publish.
+// Registry returns the registry of all metrics of the host.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
-// Answered counts a request of a kind, "query" or "write", that was answered after took.
+// Answered counts a request that was answered after took; kind is "query" or "write".
 func (m *Metrics) Answered(service, kind, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(service, kind, outcome).Inc()
 	m.seconds.WithLabelValues(service, kind, outcome).Observe(took.Seconds())
--- a/entry/internal/metrics/metrics_test.go
+++ b/entry/internal/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	"guavaspring.org/entry/internal/metrics"
 )
 
-// What an operator's dashboards and alarms read must keep its names and labels.
+// Guards against renamed metrics and labels, which would break operators' dashboards and alerts.
 func TestMetricsAreNamedAsDocumented(t *testing.T) {
 	m := metrics.New(metrics.Options{
 		Gates: func() map[string]admission.Stats {
