--- a/entry/internal/events/catalogue_test.go
+++ b/entry/internal/events/catalogue_test.go
@@ -13,7 +13,7 @@
 	_ "guavaspring.org/entry/internal/events"
 )
 
-var update = flag.Bool("update", false, "write docs/EVENTS.md anew")
+var update = flag.Bool("update", false, "rewrite docs/EVENTS.md")
 
 const path = "../../../docs/EVENTS.md"
 
@@ -21,8 +21,8 @@
 	var b strings.Builder
 	b.WriteString(`# Events
 
-Every log line of ` + "`entry`" + ` is a JSON object with the time ` + "`ts`" + `, the event's number ` + "`event`" + `, its name ` + "`msg`" + ` and what else the
-event says. Numbers never change their meaning. This page is written from the code:
+Every log line of ` + "`entry`" + ` is a JSON object with the time ` + "`ts`" + `, the event's number ` + "`event`" + `, its name ` + "`msg`" + ` and further
+fields of the event. Numbers never change their meaning. This page is generated from the code:
 ` + "`cd entry && go test ./internal/events -update`" + `.
 
 | number | name | when it is written |
@@ -34,8 +34,8 @@
 	return b.String()
 }
 
-// An operator finds a number in the log and looks it up. Each that the program can write must be on the page,
-// and the page must name none that it can't.
+// Guards against a page that differs from the code: operators look up the numbers of log lines on it, so it must list
+// each event that the program can log and no other.
 func TestCatalogueIsPublished(t *testing.T) {
 	if *update {
 		qt.Assert(t, os.WriteFile(path, []byte(catalogue()), 0o644), qt.IsNil)
@@ -45,7 +45,7 @@
 	qt.Assert(t, string(b), qt.Equals, catalogue(), qt.Commentf("run: cd entry && go test ./internal/events -update"))
 }
 
-// Two events of one name can't be told apart by those who search for names.
+// Guards against two events with one name, which a search of the log by name can't tell apart.
 func TestNamesAreUnique(t *testing.T) {
 	seen := map[string]int{}
 	for _, ev := range event.Catalogue() {
--- a/entry/internal/events/doc.go
+++ b/entry/internal/events/doc.go
@@ -1,2 +1,2 @@
-// Package events holds the numbered log events of the entry program; docs/EVENTS.md is their catalogue.
+// Package events declares the numbered log events of the entry program; docs/EVENTS.md lists them.
 package events
