--- a/entry/internal/host/doc.go
+++ b/entry/internal/host/doc.go
@@ -1,2 +1,2 @@
-// Package host joins the duties of one entry host and runs them.
+// Package host assembles and runs one entry host that answers queries and writes of configured services.
 package host
--- a/entry/internal/host/drained.go
+++ b/entry/internal/host/drained.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// drainLife is how long a draining mark lives: longer than the replica list of the platform lags.
+	// drainLife is the least time that a draining rumor lives, longer than the replica list of the platform lags behind.
 	drainLife = time.Minute
-	// drainedQueue bounds the marks that wait to be told; a whole service may leave at once.
+	// drainedQueue bounds the draining replicas that wait to be published; a whole service may drain at once.
 	drainedQueue = 1024
 )
 
-// drained is a replica that this host found leaving.
+// drained identifies a replica that this host found draining.
 type drained struct{ service, replica string }
 
-// noteDraining is called while the service's table is locked, so it only queues.
+// noteDraining queues a draining replica. It must not block, as it is called while the service's table is locked.
 func (h *Host) noteDraining(service string, r *replica.Replica, _ string) {
 	h.joined.drained.Push(drained{service: service, replica: r.ID})
 }
 
-// tellDraining tells the other hosts of replicas found leaving until ctx ends.
+// tellDraining publishes the queued draining replicas to the other hosts until ctx ends.
 //
-// Hosts that find the same replica leaving publish the same rumor, down to its expiry, so that it is news once.
+// Hosts that find the same replica draining publish the same rumor with the same expiry, so that it spreads only once.
 func (h *Host) tellDraining(ctx context.Context) {
 	for {
 		select {
@@ -39,20 +39,20 @@
 				continue
 			}
 			expires := h.opts.Clock.Now().Truncate(drainLife).Add(2 * drainLife)
-			// A replica whose ID is too long for a rumor is still found leaving by each host itself.
+			// If the replica's ID is too long for a rumor, each host still finds it draining by itself.
 			_ = h.Publish(rumor.Rumor{Kind: rumor.KindDraining, Service: d.service, Key: d.replica, Number: 1, Expires: expires})
 		}
 	}
 }
 
-// hearDraining marks a replica that another host found leaving.
+// hearDraining marks a replica that another host found draining.
 func (h *Host) hearDraining(r rumor.Rumor) {
 	if s := h.service(r.Service); s != nil {
 		s.MarkDraining(r.Key)
 	}
 }
 
-// replicasRead takes over the platform's list, and marks again what it may lag behind.
+// replicasRead applies the platform's list and marks the draining replicas again, as the list may lag behind.
 func (h *Host) replicasRead(ctx context.Context, list []platform.Replica) {
 	h.replicas(ctx, list)
 	for _, r := range h.joined.rumors.List(rumor.KindDraining) {
--- a/entry/internal/host/host.go
+++ b/entry/internal/host/host.go
@@ -26,9 +26,10 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
+// explanations is the number of explanations that a host keeps.
 const explanations = 4096
 
-// Options holds the settings of a host.
+// Options configures a host.
 type Options struct {
 	Clock    clock.Clock
 	Log      logr.Logger
@@ -40,7 +41,7 @@
 	Platform netip.AddrPort
 }
 
-// Host is one entry host.
+// Host is an entry host that answers queries and writes of configured services.
 type Host struct {
 	opts     Options
 	store    *accepted.Store
@@ -81,14 +82,14 @@
 	return h, nil
 }
 
-// Run serves until ctx ends or the process is told to stop, and then finishes what is in flight.
+// Run serves until ctx ends or the process receives a signal to stop, and then completes the requests in flight.
 func (h *Host) Run(ctx context.Context) error {
 	srv := callers.New(callers.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Listen: h.opts.Listen, NewID: rand.Text, Explain: h.explain,
 		Metrics: h.counts.Registry(), Answered: h.counts.Answered, Service: h.service, Ready: h.ready,
 		Addresses: h.addresses, Refresh: h.refresh, Filter: h.drain.Filter, Write: h.writer.Write,
 	})
-	// The end of ctx is a planned stop: if it reached the requests in flight, it would cut them off.
+	// The end of ctx is a graceful stop, which must not cancel the requests in flight.
 	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var duties sync.WaitGroup
@@ -111,6 +112,7 @@
 	return nil
 }
 
+// inForce puts a generation of a service's document in force.
 func (h *Host) inForce(gen accepted.Generation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -122,20 +124,22 @@
 	}
 	s, err := service.New(gen, h.serviceOptions())
 	if err != nil {
-		panic(fmt.Sprintf("host: a client without an endpoint can't be made: %v", err))
+		panic(fmt.Sprintf("host: create service %q: %v", gen.Service, err))
 	}
 	h.services[gen.Service] = s
 }
 
-// explanationID names this host, so that gsctl finds the explanation again.
+// explanationID returns an ID that contains this host's address, by which gsctl finds the explanation.
 func (h *Host) explanationID() string { return caller.NewExplanationID(h.opts.Listen, rand.Text()) }
 
+// service returns the service called name, or nil if none is configured.
 func (h *Host) service(name string) *service.Service {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.services[name]
 }
 
+// replicas updates the replicas of all services from the platform's list.
 func (h *Host) replicas(ctx context.Context, list []platform.Replica) {
 	byService := map[string][]platform.Replica{}
 	for _, r := range list {
--- a/entry/internal/host/peers.go
+++ b/entry/internal/host/peers.go
@@ -22,20 +22,20 @@
 	"guavaspring.org/entry/internal/status"
 )
 
-// joined is what makes this host one of many: the list of hosts and the traffic with them.
+// joined holds this host's membership: the member list, the connections to other hosts and the data shared with them.
 type joined struct {
 	opts   Options
 	list   *member.List
 	rumors *rumor.Store
 	peers  *peers.Peers
 	status *status.Writer
-	// directory finds hosts that aren't in the settings.
+	// directory finds hosts that are not in the settings.
 	directory *directory.Directory
-	// drained joins the services' tables to the duty that tells the other hosts.
+	// drained queues draining replicas for publication to the other hosts.
 	drained *ring.Ring[drained]
 }
 
-// join opens the port for other hosts; the host joins once run is called.
+// join opens the port for other hosts; the host joins the others once runPeers is called.
 func join(opts Options, client *platform.Client, store *accepted.Store, rows *listing.Table, replicas func() []platform.Replica) (*joined, error) {
 	var cfg net.ListenConfig
 	l, err := cfg.Listen(context.Background(), "tcp", opts.Peer.String())
@@ -56,7 +56,7 @@
 	return j, err
 }
 
-// follow returns the duties that keep this host in step with the platform.
+// follow returns the follower that applies changes of the platform's objects to this host.
 func (h *Host) follow(client *platform.Client) *follow.Follower {
 	return follow.New(follow.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Platform: client, Store: h.store, Replicas: h.replicasRead,
@@ -66,7 +66,7 @@
 	})
 }
 
-// runPeers runs the duties of this file until ctx ends.
+// runPeers runs membership, the directory, the status writer and the follower of the platform until ctx ends.
 func (h *Host) runPeers(ctx context.Context) {
 	h.Subscribe(rumor.KindDraining, h.hearDraining)
 	h.Subscribe(rumor.KindQuarantine, h.hearQuarantine)
@@ -91,7 +91,7 @@
 	})
 }
 
-// serviceNames returns every service that is configured here or proposed on the platform, ordered.
+// serviceNames returns the sorted names of all services that are configured here or proposed on the platform.
 func (h *Host) serviceNames() []string {
 	names := h.follower.Services()
 	for _, gen := range h.store.All() {
@@ -101,6 +101,7 @@
 	return slices.Compact(names)
 }
 
+// report returns the status of a service as this host sees it.
 func (h *Host) report(name string) platform.Status {
 	gen, _ := h.store.Get(name)
 	proposed, refusal := h.follower.Proposed(name)
@@ -111,17 +112,17 @@
 	return st
 }
 
-// Publish tells a small fact to all hosts.
+// Publish sends a rumor to all hosts.
 func (h *Host) Publish(r rumor.Rumor) error { return h.joined.peers.Publish(r) }
 
-// Subscribe calls f for each rumor of a kind that is alive now or comes later.
+// Subscribe calls f for each present and future rumor of a kind.
 func (h *Host) Subscribe(kind rumor.Kind, f func(rumor.Rumor)) { h.joined.rumors.Subscribe(kind, f) }
 
-// leave tells the other hosts that this one is stopping.
+// leave announces to the other hosts that this one is stopping.
 func (j *joined) leave(ctx context.Context) { j.peers.Leave(ctx) }
 
-// Hosts returns every host that is not dead, this one included.
+// Hosts returns all hosts that are not dead, including this one.
 func (h *Host) Hosts() []member.Host { return h.joined.list.Hosts() }
 
-// Self returns this host's own row.
+// Self returns this host's row of the member list.
 func (h *Host) Self() member.Host { return h.joined.list.Self() }
--- a/entry/internal/host/quarantine.go
+++ b/entry/internal/host/quarantine.go
@@ -2,13 +2,13 @@
 
 import "guavaspring.org/entry/internal/rumor"
 
-// tellQuarantine tells the other hosts of a request that crashes upstreams; the send isn't waited for.
+// tellQuarantine sends the other hosts a request that crashes replicas, without waiting for the send.
 func (h *Host) tellQuarantine(r rumor.Rumor) {
-	// Publish fails only for a rumor that is too large; a fingerprint isn't.
+	// Publish fails only for rumors that are too large, and a fingerprint is small.
 	go func() { _ = h.Publish(r) }()
 }
 
-// hearQuarantine takes over what another host found.
+// hearQuarantine applies a quarantine rumor of another host.
 func (h *Host) hearQuarantine(r rumor.Rumor) {
 	if s := h.service(r.Service); s != nil {
 		s.HearQuarantine(r)
--- a/entry/internal/host/start.go
+++ b/entry/internal/host/start.go
@@ -8,16 +8,16 @@
 	"guavaspring.org/entry/internal/warmup"
 )
 
-// warm waits until this host could answer a query of each service; see package warmup.
+// warm waits until this host can answer queries of each service, or the wait of package warmup ends.
 func (h *Host) warm(ctx context.Context) {
-	// The other hosts hand out one that is full to few callers.
+	// The other hosts direct few callers to a host at full load.
 	h.joined.list.SetLoad(1)
 	began := h.opts.Clock.Now()
 	reason := warmup.New(warmup.Options{Clock: h.opts.Clock, Known: h.knowsIndexes}).Wait(ctx)
 	events.Warm.Log(h.opts.Log, "reason", reason, "services", len(h.all()), "waited_ms", h.opts.Clock.Now().Sub(began)/time.Millisecond)
 }
 
-// knowsIndexes reports whether this host could answer a query of each service that has replicas.
+// knowsIndexes reports whether this host has the replica list, and an index version of each service with replicas.
 func (h *Host) knowsIndexes() bool {
 	list, read := h.listing.List()
 	listed := map[string]int{}
--- a/entry/internal/host/steer.go
+++ b/entry/internal/host/steer.go
@@ -15,10 +15,10 @@
 	"guavaspring.org/entry/internal/ticket"
 )
 
-// loadEvery is how often the other hosts may hear a new load of this one.
+// loadEvery is the time between two updates of this host's load in the member list.
 const loadEvery = time.Second
 
-// addresses answers which hosts a caller should use.
+// addresses returns the hosts that a caller should use for a service, with write tickets if it asks for them.
 func (h *Host) addresses(req callers.AddressRequest) (caller.Addresses, error) {
 	s := h.service(req.Service)
 	if s == nil {
@@ -44,7 +44,7 @@
 	return ans, nil
 }
 
-// tickets mints n rights to a write at one incarnation of a host.
+// tickets returns n new write tickets for one incarnation of a host.
 func (h *Host) tickets(incarnation, service string, n int, life time.Duration) []string {
 	list := make([]string, n)
 	for i := range list {
@@ -53,7 +53,7 @@
 	return list
 }
 
-// refresh reports whether callers of a service that came here should ask for addresses again.
+// refresh reports whether callers of a service at this host should request new addresses.
 func (h *Host) refresh(service string) bool {
 	s := h.service(service)
 	if s == nil {
@@ -62,7 +62,7 @@
 	return !h.steerer.Serves(h.Hosts(), h.Self(), service, s.Generation().Document.Upstream.EntryHosts)
 }
 
-// reportLoad tells the list of hosts this one's load until ctx ends.
+// reportLoad keeps this host's load in the member list up to date until ctx ends.
 func (h *Host) reportLoad(ctx context.Context) {
 	for {
 		select {
@@ -78,6 +78,7 @@
 	}
 }
 
+// all returns a copy of the services by name.
 func (h *Host) all() map[string]*service.Service {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -88,6 +89,7 @@
 	return services
 }
 
+// newMetrics returns the metrics of this host.
 func (h *Host) newMetrics() *metrics.Metrics {
 	return metrics.New(metrics.Options{
 		Running: h.drain.Running,
--- a/entry/internal/host/stop.go
+++ b/entry/internal/host/stop.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// heardBy is how long the other hosts take to hear that this one is leaving; docs/operating/stop.md says what an
-	// operator sees meanwhile.
+	// heardBy is the time until all other hosts have received that this one is leaving; docs/operating/stop.md describes
+	// what an operator sees in the meantime.
 	heardBy = 2 * time.Second
-	// mostGrace bounds the wait for callers that may keep their addresses for up to an hour.
+	// mostGrace bounds the wait for callers to leave, as they may keep addresses for up to an hour.
 	mostGrace = 15 * time.Second
-	// stopTimeout is the longest deadline that a document allows, and a second for the answer.
+	// stopTimeout is the longest deadline that a document allows, plus a second for the response.
 	stopTimeout = time.Minute + time.Second
 )
 
+// newDrainer returns the drainer that takes this host out of service.
 func (h *Host) newDrainer() *drainer.Drainer {
 	return drainer.New(drainer.Options{Clock: h.opts.Clock, Announce: h.announce, Grace: h.grace, Alone: h.alone})
 }
 
+// announce tells the other hosts that this one is leaving.
 func (h *Host) announce(ctx context.Context) {
 	events.Stopping.Log(h.opts.Log, "in_flight", h.drain.Running(), "grace", h.grace().String())
 	h.joined.leave(ctx)
 }
 
-// grace is as long as a caller that was handed this address a moment ago may keep it.
+// grace returns how long callers that have just received this host's address may keep it, at most mostGrace.
 func (h *Host) grace() time.Duration {
 	var keep time.Duration
 	for _, gen := range h.store.All() {
@@ -38,7 +40,7 @@
 	return min(keep+heardBy, mostGrace)
 }
 
-// alone reports whether no other host serves, so that callers have nowhere to go.
+// alone reports whether no other host is alive, so that callers have no other to move to.
 func (h *Host) alone() bool {
 	self := h.Self()
 	for _, other := range h.Hosts() {
@@ -49,6 +51,7 @@
 	return true
 }
 
+// ready returns an error that says why this host can't serve, or nil.
 func (h *Host) ready() error {
 	switch {
 	case h.drain.Leaving():
--- a/entry/internal/host/writes.go
+++ b/entry/internal/host/writes.go
@@ -6,8 +6,8 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
-// newWriter opens the record of writes of this incarnation; it is empty, as every ticket names the incarnation it is
-// for.
+// newWriter returns the writer of this incarnation. Its ticket book starts empty, as each ticket is valid at one
+// incarnation only.
 func (h *Host) newWriter() *writes.Writer {
 	return writes.New(writes.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Explain: h.explain, NewID: h.explanationID,
@@ -23,6 +23,7 @@
 	})
 }
 
+// whereIs returns the caller address of an incarnation that is not dead.
 func (h *Host) whereIs(incarnation string) (string, bool) {
 	for _, m := range h.Hosts() {
 		if m.ID == incarnation && m.State != member.StateDead {
