--- a/entry/internal/ticket/book.go
+++ b/entry/internal/ticket/book.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// retain is how long a record outlives its ticket, so that a late resend still gets its outcome.
+	// retain is how long a record is kept after its ticket expires, so that a late resend still gets its outcome.
 	retain = 2 * time.Minute
-	// skew is how far ahead of this host's clock a ticket's issue time may lie.
+	// skew is the largest accepted lead of a ticket's issue time over this host's clock.
 	skew = 5 * time.Second
-	// maxResult and maxResults bound the replies that are kept for resends, in bytes: each, and in all.
+	// maxResult and maxResults bound the results that are kept for resends, in bytes: each one and all together.
 	maxResult  = 4 << 10
 	maxResults = 8 << 20
-	// DefaultRecords is the most writes that a host remembers: at 462 bytes a record (BenchmarkClaim) 15 MB, and with
-	// tickets of 30 s enough for 218 writes a second on one host.
+	// DefaultRecords is the default capacity of a book. At 462 bytes a record (BenchmarkClaim) it takes 15 MB, and with
+	// tickets of 30 s it allows 218 writes a second on one host.
 	DefaultRecords = 32768
-	// fullRetry is when to come back to a host whose book is full: records leave it all the time.
+	// fullRetry is the retry delay sent by a host whose book is full; records expire all the time.
 	fullRetry = time.Second
 )
 
-// Outcome is what became of a write, and what its caller is told.
+// Outcome is the outcome of a write as sent to its caller.
 type Outcome struct {
 	Outcome    caller.WriteOutcome
 	Reason     string
@@ -33,7 +33,7 @@
 	RetryAfter time.Duration
 }
 
-// Entry is the record of one ticket that was used.
+// Entry is the record of one used ticket.
 type Entry struct {
 	digest  uint64
 	drop    int64
@@ -43,24 +43,24 @@
 	outcome Outcome
 }
 
-// Done is closed once the write has its outcome.
+// Done returns a channel that is closed once the write has its outcome.
 func (e *Entry) Done() <-chan struct{} { return e.done }
 
-// Outcome returns the outcome; it may be called only once Done is closed.
+// Outcome returns the outcome of the write; it may only be called after Done is closed.
 func (e *Entry) Outcome() Outcome { return e.outcome }
 
-// Action says what a host does with a write that was presented.
+// Action is what a host does with a write whose ticket was presented.
 type Action string
 
 // The actions.
 const (
-	// ActionRun means that the caller of Claim runs the write, now, and calls Settle.
+	// ActionRun means that the caller of Claim must run the write now and call Settle.
 	ActionRun Action = "run"
-	// ActionWait means that the ticket was used before: its outcome is that of the Entry.
+	// ActionWait means that the ticket was used before; the outcome is that of Claim.Entry once it is done.
 	ActionWait Action = "wait"
-	// ActionAnswer means that the outcome is settled by the ticket alone.
+	// ActionAnswer means that the ticket alone determines the outcome, which is Claim.Outcome.
 	ActionAnswer Action = "answer"
-	// ActionElsewhere means that only another incarnation can know.
+	// ActionElsewhere means that only another incarnation, the ticket's own, has the outcome.
 	ActionElsewhere Action = "elsewhere"
 )
 
@@ -74,12 +74,12 @@
 	Outcome Outcome
 }
 
-// Book remembers every ticket that was used at this incarnation, for as long as it could be presented.
+// Book records each ticket that was used at this incarnation for as long as it may be presented again.
 //
-// It answers callers that resend: to a lost reply, out of order, long after. Without it a resend runs the write again.
-// Its memory is bounded, and a full book never forgets a record early: it refuses instead. A refusal must be final, yet
-// can't be recorded in a full book, so the book voids every unrecorded ticket issued up to then by one time, the fence.
-// Time in the book never goes back: a ticket once found expired stays so when the wall clock is set back.
+// It prevents duplicate writes by callers that resend after a lost reply, out of order or late. Its memory is bounded:
+// a full book rejects new tickets and never drops a record early. A rejection must be final but can't be recorded in a
+// full book, so the book stores one time, the fence, and rejects all unrecorded tickets issued up to it. The book's
+// clock never goes back: an expired ticket stays expired when the wall clock is set back.
 type Book struct {
 	self string
 	most int
@@ -92,12 +92,12 @@
 	results int
 }
 
-// NewBook returns the empty book of an incarnation that keeps at most records entries.
+// NewBook returns an empty book of the incarnation self that holds at most records entries.
 func NewBook(self string, records int) *Book {
 	return &Book{self: self, most: records, entries: map[string]*Entry{}}
 }
 
-// Claim decides on a presented ticket; digest stands for the body, so that a ticket can't be used for two writes.
+// Claim decides on a presented ticket; digest is a hash of the body, so that a ticket can't be used for two writes.
 func (b *Book) Claim(raw, service string, digest uint64, now time.Time) Claim {
 	t, err := Parse(raw)
 	if err != nil {
@@ -118,12 +118,12 @@
 	return b.first(t, raw, digest)
 }
 
-// Settle records the outcome of a write that Claim let run.
+// Settle records the outcome of a write that Claim returned ActionRun for.
 func (b *Book) Settle(e *Entry, out Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(out.Result) > maxResult || b.results+len(out.Result) > maxResults {
-		// The one who waits gets the result from the run itself; a later resend gets the outcome alone.
+		// Callers that wait get the result from the run itself; a later resend gets only the outcome.
 		out.Result = nil
 	}
 	b.results += len(out.Result)
@@ -131,13 +131,14 @@
 	close(e.done)
 }
 
-// Len returns how many records the book holds.
+// Len returns the number of records in the book.
 func (b *Book) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.entries)
 }
 
+// first decides on a ticket without a record.
 func (b *Book) first(t Ticket, raw string, digest uint64) Claim {
 	switch {
 	case b.latest >= t.Expires.Add(retain).UnixMilli():
@@ -159,7 +160,7 @@
 	return Claim{Action: ActionRun, Ticket: t, Entry: e}
 }
 
-// advance moves the book's time on and drops the records of tickets that no longer tell anything.
+// advance moves the book's clock forward and drops the settled records whose retention is over.
 func (b *Book) advance(now time.Time) {
 	b.latest = max(b.latest, now.UnixMilli())
 	for len(b.byDrop) > 0 && b.byDrop[0].settled && b.byDrop[0].drop <= b.latest {
@@ -169,6 +170,7 @@
 	}
 }
 
+// resent decides on a ticket with a record.
 func resent(t Ticket, e *Entry, digest uint64) Claim {
 	if e.digest != digest {
 		return notRun(t, "the ticket was used for another write", 0)
@@ -184,7 +186,7 @@
 	return Claim{Action: ActionAnswer, Ticket: t, Outcome: Outcome{Outcome: o, Reason: reason, RetryAfter: retry}}
 }
 
-// dropHeap orders records by the time they may be dropped.
+// dropHeap orders records by the time from which they may be dropped.
 type dropHeap []*Entry
 
 func (h dropHeap) Len() int           { return len(h) }
--- a/entry/internal/ticket/ticket.go
+++ b/entry/internal/ticket/ticket.go
@@ -15,7 +15,7 @@
 	maxLen    = 256
 )
 
-// MaxLife is the longest life a ticket may have, the most that a document can ask for.
+// MaxLife is the longest lifetime of a ticket, and the longest that a document may configure.
 const MaxLife = 10 * time.Minute
 
 // Ticket is the right to run one write of one service at one incarnation of one host.
@@ -23,13 +23,13 @@
 	// Incarnation is the member.Host ID of the only process that may run the write.
 	Incarnation string
 	Service     string
-	// Issued and Expires are times of the host that minted the ticket.
+	// Issued and Expires are times by the clock of the host that issued the ticket.
 	Issued, Expires time.Time
-	// Random tells the ticket from every other one.
+	// Random makes the ticket unique.
 	Random string
 }
 
-// Mint returns a new ticket for service at the incarnation; it needs no word with that host.
+// Mint returns a new ticket for service at the incarnation, without a message to that host.
 func Mint(incarnation, service string, now time.Time, life time.Duration) string {
 	issued := now.UnixMilli()
 	expires := now.Add(min(life, MaxLife)).UnixMilli()
@@ -38,7 +38,7 @@
 	}, separator)
 }
 
-// Parse reads what Mint wrote; what it rejects can never run on any host.
+// Parse decodes a ticket from Mint; a write whose ticket it rejects never runs on any host.
 func Parse(s string) (Ticket, error) {
 	if s == "" {
 		return Ticket{}, fmt.Errorf("a write needs a ticket from an address answer")
--- a/entry/internal/ticket/ticket_test.go
+++ b/entry/internal/ticket/ticket_test.go
@@ -8,6 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// Guards against accepting tickets that are malformed, too long or too long-lived.
 func TestParse(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	good := Mint("HOST", "donor-desk", now, time.Hour)
@@ -26,7 +27,7 @@
 	}
 }
 
-// FuzzParse feeds Parse what a hostile caller may send: it must not panic, and what it accepts stays in bounds.
+// FuzzParse guards against tickets of hostile callers that make Parse panic, or that pass it with too long a lifetime.
 func FuzzParse(f *testing.F) {
 	f.Add(Mint("HOST", "donor-desk", time.UnixMilli(1), time.Minute))
 	f.Add("t1.H.s.9223372036854775807.-9223372036854775808.R")
@@ -39,6 +40,7 @@
 	})
 }
 
+// BenchmarkClaim measures the time and memory of one record; DefaultRecords depends on the latter.
 func BenchmarkClaim(b *testing.B) {
 	now := time.Now()
 	book := NewBook("HOST", b.N+1)
