--- a/entry/internal/front/allowances.go
+++ b/entry/internal/front/allowances.go
@@ -15,9 +15,9 @@
 	allowanceService = "Allowance"
 	// allowanceTimeout bounds a call whose context has no deadline.
 	allowanceTimeout = time.Second
-	// metFor is the time for which the serving hosts have to stay the same before a host that has just started takes
-	// the list for complete: the first host that it reaches sends it the others.
-	metFor = 400 * time.Millisecond
+	// servingStableFor is the time for which the serving hosts have to stay the same before a host that has just started
+	// takes the list for complete: the first host that it reaches sends it the others.
+	servingStableFor = 400 * time.Millisecond
 )
 
 // newAllowances returns the limiter of the customers' request rates.
@@ -25,7 +25,7 @@
 	return allowance.New(allowance.Options{
 		Clock: f.opts.Clock, Slack: f.opts.QuotaSlack, Excess: f.opts.QuotaExcess, View: f.allowanceView, Customer: f.customer,
 		Ask: func(ctx context.Context, keeper member.Host, args allowance.Args) (allowance.Reply, error) {
-			return f.joined.askAllowance(ctx, keeper, args)
+			return f.membership.askAllowance(ctx, keeper, args)
 		},
 		Failed: func(keeper member.Host, err error) {
 			events.AllowanceLost.Log(f.opts.Log, "host", keeper.Peer.String(), "zone", keeper.Zone, "reason", err.Error())
@@ -35,9 +35,9 @@
 
 // allowanceView returns the hosts as the allowances see them.
 func (f *Front) allowanceView() allowance.View {
-	p := f.joined.place()
-	met := len(p.serving) > 1 && f.opts.Clock.Now().Sub(p.since) >= metFor
-	return allowance.View{Self: p.self, Serving: p.serving, Hosts: f.joined.list.Hosts(), Settled: f.settled() || met, Leaving: f.drain.Leaving()}
+	p := f.membership.currentView()
+	met := len(p.serving) > 1 && f.opts.Clock.Now().Sub(p.since) >= servingStableFor
+	return allowance.View{Self: p.self, Serving: p.serving, Hosts: f.membership.list.Hosts(), Settled: f.settled() || met, Leaving: f.drain.Leaving()}
 }
 
 // customer returns the customer called name in the configuration in force, or nil.
@@ -50,7 +50,7 @@
 
 // askAllowance asks another host for tokens. On an error it returns an empty reply: an abandoned call may still write
 // to the other one.
-func (j *joined) askAllowance(ctx context.Context, h member.Host, args allowance.Args) (allowance.Reply, error) {
+func (j *membership) askAllowance(ctx context.Context, h member.Host, args allowance.Args) (allowance.Reply, error) {
 	var rep allowance.Reply
 	if err := j.peers.Work(ctx, h.Peer, allowanceTimeout, allowanceService+".Lend", &args, &rep); err != nil {
 		return allowance.Reply{}, err
--- a/entry/internal/front/config_test.go
+++ b/entry/internal/front/config_test.go
@@ -40,8 +40,8 @@
 // one of them has been partitioned since before the last change.
 func TestConfigNeverGoesBack(t *testing.T) {
 	f := newFront(t)
-	for _, step := range []struct{ told, want int64 }{{3, 3}, {7, 7}, {5, 7}, {7, 7}, {0, 7}, {8, 8}} {
-		f.applyConfig(version(step.told))
+	for _, step := range []struct{ received, want int64 }{{3, 3}, {7, 7}, {5, 7}, {7, 7}, {0, 7}, {8, 8}} {
+		f.applyConfig(version(step.received))
 		qt.Assert(t, f.configVersion(), qt.Equals, step.want)
 	}
 	gone := version(9)
@@ -63,7 +63,7 @@
 	list, keep, err := f.addresses(opaque.Caller{Region: "r", Zone: "a"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(list), qt.Equals, 1)
-	qt.Assert(t, keep <= keepFor, qt.IsTrue)
+	qt.Assert(t, keep <= addressTTL, qt.IsTrue)
 }
 
 // A host that stops must fail the platform's readiness check and leave itself out of the addresses for clients, though
@@ -84,10 +84,10 @@
 // Another host has quarantined a request that crashes replicas. Its client retries at this host, which must refuse it.
 func TestQuarantineIsHeardFromOthers(t *testing.T) {
 	f := newFront(t)
-	_, err := f.joined.rumors.Publish(rumor.Rumor{
-		Kind: rumor.KindQuarantine, Service: opaqueRequests, Key: "fp", Number: 1, Expires: time.Now().Add(time.Minute),
+	_, err := f.membership.rumors.Publish(rumor.Rumor{
+		Kind: rumor.KindQuarantine, Service: opaqueService, Key: "fp", Number: 1, Expires: time.Now().Add(time.Minute),
 	})
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, f.crashers.Check("fp").Refused, qt.IsTrue)
-	qt.Assert(t, f.crashers.Check("other").Refused, qt.IsFalse)
+	qt.Assert(t, f.quarantine.Check("fp").Refused, qt.IsTrue)
+	qt.Assert(t, f.quarantine.Check("other").Refused, qt.IsFalse)
 }
--- a/entry/internal/front/follow.go
+++ b/entry/internal/front/follow.go
@@ -31,12 +31,12 @@
 func follow[T any](ctx context.Context, f *Front, k kind[T]) {
 	source.New(source.Options[T]{
 		Clock: f.opts.Clock, Log: f.opts.Log, Name: k.name, List: k.list, Watch: k.watch,
-		First:   func() []source.Parent[T] { return first[T](f.joined, f.opts.Seeds(), k.method) },
+		First:   func() []source.Parent[T] { return seedParents[T](f.membership, f.opts.Seeds(), k.method) },
 		Settled: f.settled, Wanted: f.startup.Wanted(),
-		Parents: func() ([]source.Parent[T], bool) { return parents[T](f.joined, k.method) },
-		Others:  func() []source.Parent[T] { return others[T](f.joined, k.method) },
+		Parents: func() ([]source.Parent[T], bool) { return treeParents[T](f.membership, k.method) },
+		Others:  func() []source.Parent[T] { return otherParents[T](f.membership, k.method) },
 		Copy:    k.copy, Replace: k.replace, Change: k.change, Reconnect: f.opts.Store.Reconnect, Bound: k.bound,
-		Rejected: f.counts.Unreadable(k.name), Older: f.counts.Older(k.name), Outage: f.outage,
+		Rejected: f.metrics.Unreadable(k.name), Older: f.metrics.Older(k.name), Outage: f.storeState,
 	}).Run(ctx)
 }
 
@@ -44,7 +44,7 @@
 func (f *Front) followConfig(ctx context.Context) {
 	apply := func(batch feed.Batch[route.Config], _ bool) { f.applyConfig(batch) }
 	follow(ctx, f, kind[route.Config]{
-		name: "config", method: "Configs", list: f.opts.Store.ListConfig, watch: f.opts.Store.WatchConfig, copy: f.joined.configs,
+		name: "config", method: "Configs", list: f.opts.Store.ListConfig, watch: f.opts.Store.WatchConfig, copy: f.membership.configs,
 		replace: apply, change: apply, bound: f.opts.Apply,
 	})
 }
@@ -67,25 +67,25 @@
 		events.ConfigInForce.Log(f.opts.Log, "version", e.Value.Version, "routes", len(e.Value.Routes), "services", len(e.Value.Services),
 			"customers", len(e.Value.Customers), "customers_unreadable", e.Value.Unreadable)
 	}
-	f.noteKnown()
+	f.releaseWhenLoaded()
 }
 
-// known reports whether the host has loaded all that requests need. The evacuations are part of it: a host that starts
-// during an evacuation and has only the replicas would send requests to those of the evacuated zone.
-func (f *Front) known() bool {
+// loaded reports whether the host has loaded all data that requests need. The evacuations are part of it: a host that
+// starts during an evacuation and has only the replicas would send requests to those of the evacuated zone.
+func (f *Front) loaded() bool {
 	return f.config.Load() != nil && f.table.Known() && (f.opts.Evacuate == 0 || f.zones.Known())
 }
 
-// noteKnown releases the requests that wait for the host to load its data, once it has.
-func (f *Front) noteKnown() {
-	if f.known() {
+// releaseWhenLoaded releases the requests that wait for the host to load its data, once it has.
+func (f *Front) releaseWhenLoaded() {
+	if f.loaded() {
 		f.startup.Known()
 	}
 }
 
 func (f *Front) replaceEvacuations(batch feed.Batch[platform.Evacuation], _ bool) {
 	f.zones.Replace(batch)
-	f.noteKnown()
+	f.releaseWhenLoaded()
 }
 
 func (f *Front) changeEvacuations(batch feed.Batch[platform.Evacuation], _ bool) {
@@ -95,18 +95,18 @@
 func (f *Front) followEvacuations(ctx context.Context) {
 	follow(ctx, f, kind[platform.Evacuation]{
 		name: "evacuations", method: "Evacuations", list: f.opts.Store.ListEvacuations, watch: f.opts.Store.WatchEvacuations,
-		copy: f.joined.evacuations, replace: f.replaceEvacuations, change: f.changeEvacuations, bound: f.opts.Evacuate,
+		copy: f.membership.evacuations, replace: f.replaceEvacuations, change: f.changeEvacuations, bound: f.opts.Evacuate,
 	})
 }
 
 func (f *Front) replaceReplicas(batch feed.Batch[platform.Replica], returned bool) {
 	f.table.Replace(batch, returned)
-	f.noteKnown()
+	f.releaseWhenLoaded()
 }
 
 func (f *Front) followReplicas(ctx context.Context) {
 	follow(ctx, f, kind[platform.Replica]{
-		name: "replicas", method: "Replicas", list: f.opts.Store.ListReplicas, watch: f.opts.Store.WatchReplicas, copy: f.joined.replicas,
+		name: "replicas", method: "Replicas", list: f.opts.Store.ListReplicas, watch: f.opts.Store.WatchReplicas, copy: f.membership.replicas,
 		replace: f.replaceReplicas, change: f.table.Change, bound: f.opts.Drain,
 	})
 }
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -45,23 +45,24 @@
 )
 
 const (
-	// keepFor is the TTL of the addresses that clients receive. It is long because a lookup at a host that has lost power
-	// takes a second, more than the deadline of most requests. A stale address costs less: clients skip addresses that
-	// failed, and a closed port fails at once.
-	keepFor = 4500 * time.Millisecond
-	// finishIn is the part of the grace, at its end, for requests in flight once the port is closed.
-	finishIn = 1200 * time.Millisecond
-	// exitIn is the part of the grace, at its end, for the process to exit by itself.
-	exitIn = 200 * time.Millisecond
-	// idleFor is how long an idle connection of a client is kept unless the configuration says; longer is always safe.
-	idleFor = time.Minute
-	// headersIn bounds the time to read the header of a request.
-	headersIn = 10 * time.Second
-	// shareEvery is how often this host's share of each replica's connections is adapted to the number of hosts.
-	shareEvery = time.Second
-	// leastHosts is the number of hosts assumed where fewer are known: a host that has just started knows only itself,
-	// and must not take the shares of all.
-	leastHosts = 3
+	// addressTTL is the TTL of the addresses that clients receive. It is long because a lookup at a host that has lost
+	// power takes a second, more than the deadline of most requests. A stale address costs less: clients skip addresses
+	// that failed, and a closed port fails at once.
+	addressTTL = 4500 * time.Millisecond
+	// finishGrace is the part of the grace, at its end, for requests in flight once the port is closed.
+	finishGrace = 1200 * time.Millisecond
+	// exitGrace is the part of the grace, at its end, for the process to exit by itself.
+	exitGrace = 200 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection of a client is kept unless the configuration says; longer is
+	// always safe.
+	defaultIdleTimeout = time.Minute
+	// readHeaderTimeout bounds the time to read the header of a request.
+	readHeaderTimeout = 10 * time.Second
+	// shareInterval is how often this host's share of each replica's connections is adapted to the number of hosts.
+	shareInterval = time.Second
+	// minAssumedHosts is the number of hosts assumed where fewer are known: a host that has just started knows only
+	// itself, and must not take the shares of all.
+	minAssumedHosts = 3
 )
 
 // Store holds the calls to the platform's store.
@@ -128,24 +129,24 @@
 
 // Front is an entry host that forwards opaque requests.
 type Front struct {
-	opts   Options
-	drain  *drainer.Drainer
-	table  *endpoints.Table
-	zones  *evacuation.Zones
-	cold   *coldshare.Shares
-	config atomic.Pointer[route.Table]
-	joined *joined
-	began  time.Time
-	log    *requestlog.Log
-	counts *frontmetrics.Metrics
-	// outage signals the followers of the store's objects that the store is reachable again.
-	outage *source.Outage
+	opts       Options
+	drain      *drainer.Drainer
+	table      *endpoints.Table
+	zones      *evacuation.Zones
+	coldShares *coldshare.Shares
+	config     atomic.Pointer[route.Table]
+	membership *membership
+	started    time.Time
+	log        *requestlog.Log
+	metrics    *frontmetrics.Metrics
+	// storeState signals the followers of the store's objects that the store is reachable again.
+	storeState *source.Outage
 	// startup holds requests until the configuration, the replicas and the evacuations are loaded.
 	startup *startup.Startup
-	// crashers is the quarantine of requests that crash replicas.
-	crashers *quarantine.Quarantine
-	// gathers serves other hosts' subqueries.
-	gathers *subquery.Server
+	// quarantine refuses requests that crash replicas.
+	quarantine *quarantine.Quarantine
+	// subqueryServer serves other hosts' subqueries.
+	subqueryServer *subquery.Server
 	// allowances limits the customers' request rates.
 	allowances *allowance.Ledger
 }
@@ -155,45 +156,45 @@
 	if opts.Traffic == nil {
 		opts.Traffic = &traffic.Meter{}
 	}
-	f := &Front{opts: opts, began: opts.Clock.Now(), outage: source.NewOutage(), startup: startup.New(opts.Clock)}
-	f.drain = drainer.New(drainer.Options{Clock: opts.Clock, Announce: f.announce, Grace: func() time.Duration { return opts.Grace - finishIn }})
+	f := &Front{opts: opts, started: opts.Clock.Now(), storeState: source.NewOutage(), startup: startup.New(opts.Clock)}
+	f.drain = drainer.New(drainer.Options{Clock: opts.Clock, Announce: f.announce, Grace: func() time.Duration { return opts.Grace - finishGrace }})
 	f.zones = evacuation.New(evacuation.Options{Clock: opts.Clock, Log: opts.Log, Changed: func() { f.table.Refresh() }})
 	f.table = endpoints.New(endpoints.Options{
-		Clock: opts.Clock, Log: opts.Log, Zone: opts.Zone, Codec: &opts.Codec, Spend: opts.Spend, Share: f.part, Evacuated: f.zones.Has, ColdShare: f.coldShare, Regions: opts.Regions, Hosts: f.servingHosts,
+		Clock: opts.Clock, Log: opts.Log, Zone: opts.Zone, Codec: &opts.Codec, Spend: opts.Spend, Share: f.limitShare, Evacuated: f.zones.Has, ColdShare: f.coldShare, Regions: opts.Regions, Hosts: f.servingHosts,
 		Opened: func(c net.Conn, near bool) net.Conn { return opts.Traffic.Conn(c, traffic.Replicas, !near) },
 	})
-	f.crashers = f.newQuarantine()
-	f.gathers = f.newSubqueryServer()
+	f.quarantine = f.newQuarantine()
+	f.subqueryServer = f.newSubqueryServer()
 	f.allowances = f.newAllowances()
-	j, err := join(opts, rand.Text(), map[string]any{subqueryService: f.gathers, allowanceService: f.allowances})
+	j, err := join(opts, rand.Text(), map[string]any{subqueryService: f.subqueryServer, allowanceService: f.allowances})
 	if err != nil {
 		return nil, err
 	}
-	f.joined = j
-	f.cold = coldshare.New(coldshare.Options{
+	f.membership = j
+	f.coldShares = coldshare.New(coldshare.Options{
 		Clock: opts.Clock, Self: func() string { return j.list.Self().ID }, Settled: f.settled,
-		Hosts: func() (all, serving []member.Host) { return j.list.Hosts(), j.place().serving },
+		Hosts: func() (all, serving []member.Host) { return j.list.Hosts(), j.currentView().serving },
 	})
-	j.rumors.Subscribe(rumor.KindQuarantine, f.crashers.Heard)
+	j.rumors.Subscribe(rumor.KindQuarantine, f.quarantine.Heard)
 	f.log = requestlog.New(requestlog.Options{Clock: opts.Clock, Log: opts.Log, Dropped: opts.LinesLost})
-	f.counts = f.newMetrics()
+	f.metrics = f.newMetrics()
 	return f, nil
 }
 
 // Run serves until ctx ends or the process receives a signal to stop, and then completes the requests in flight.
 func (f *Front) Run(ctx context.Context) error {
-	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	var duties sync.WaitGroup
-	f.start(own, &duties)
-	app := kratos.New(kratos.Context(own), kratos.Name("entry"), kratos.Server(f.servers()...),
-		kratos.BeforeStop(f.drain.Leave), kratos.StopTimeout(f.opts.Grace-exitIn))
+	var tasks sync.WaitGroup
+	f.start(runCtx, &tasks)
+	app := kratos.New(kratos.Context(runCtx), kratos.Name("entry"), kratos.Server(f.servers()...),
+		kratos.BeforeStop(f.drain.Leave), kratos.StopTimeout(f.opts.Grace-exitGrace))
 	stop := context.AfterFunc(ctx, func() { _ = app.Stop() })
 	defer stop()
 	events.Started.Log(f.opts.Log, "listen", f.opts.Front.String(), "zone", f.opts.Zone)
 	err := app.Run()
 	cancel()
-	duties.Wait()
+	tasks.Wait()
 	events.Stopped.Log(f.opts.Log)
 	if err != nil {
 		return fmt.Errorf("host %s: %w", f.opts.Front, err)
@@ -203,24 +204,24 @@
 
 // start starts the background tasks, which run until ctx ends. Clients are answered from the first moment: a client
 // that calls before the configuration is loaded is told when to retry.
-func (f *Front) start(ctx context.Context, duties *sync.WaitGroup) {
-	duties.Go(func() { f.followConfig(ctx) })
-	duties.Go(func() { f.followReplicas(ctx) })
+func (f *Front) start(ctx context.Context, tasks *sync.WaitGroup) {
+	tasks.Go(func() { f.followConfig(ctx) })
+	tasks.Go(func() { f.followReplicas(ctx) })
 	if f.opts.Evacuate > 0 {
-		duties.Go(func() { f.followEvacuations(ctx) })
+		tasks.Go(func() { f.followEvacuations(ctx) })
 	}
-	duties.Go(func() { f.joined.run(ctx) })
-	duties.Go(func() { f.share(ctx) })
-	duties.Go(func() { f.log.Run(ctx.Done()) })
-	duties.Go(func() { f.tellCosts(ctx) })
+	tasks.Go(func() { f.membership.run(ctx) })
+	tasks.Go(func() { f.adaptShares(ctx) })
+	tasks.Go(func() { f.log.Run(ctx.Done()) })
+	tasks.Go(func() { f.logCosts(ctx) })
 }
 
 // servers returns the servers of clients, readiness checks, address lookups and, if they have an address, metrics.
 func (f *Front) servers() []transport.Server {
 	fwd := forward.New(forward.Options{
-		Clock: f.opts.Clock, Log: f.opts.Log, Codec: &f.opts.Codec, Config: f.config.Load, Table: f.table, Known: f.known, Await: f.startup.Await,
-		Runner: scatter.New(scatter.Options{Clock: f.opts.Clock, Share: f.part, Quarantine: f.crashers, Subqueries: f.subqueries(), Region: f.opts.Region}), Quarantine: f.crashers,
-		Allowance: f.allowances.Take, Requests: f.log, Ended: f.ended, Refused: f.counts.Refused,
+		Clock: f.opts.Clock, Log: f.opts.Log, Codec: &f.opts.Codec, Config: f.config.Load, Table: f.table, Known: f.loaded, Await: f.startup.Await,
+		Runner: scatter.New(scatter.Options{Clock: f.opts.Clock, Share: f.limitShare, Quarantine: f.quarantine, Subqueries: f.subqueries(), Region: f.opts.Region}), Quarantine: f.quarantine,
+		Allowance: f.allowances.Take, Requests: f.log, Ended: f.recordEnded, Refused: f.metrics.Refused,
 	})
 	clients := f.server(f.opts.Front, f.drain.Filter(fwd))
 	clients.IdleTimeout = 0
@@ -231,7 +232,7 @@
 		f.server(f.opts.Directory, f.opts.Resolve(f.addresses)),
 	}
 	if f.opts.Metrics.IsValid() {
-		servers = append(servers, f.server(f.opts.Metrics, f.counts.Handler()))
+		servers = append(servers, f.server(f.opts.Metrics, f.metrics.Handler()))
 	}
 	return servers
 }
@@ -240,7 +241,7 @@
 // must reach replicas unchanged.
 func (f *Front) server(addr netip.AddrPort, h http.Handler) *khttp.Server {
 	srv := khttp.NewServer(khttp.Address(addr.String()), khttp.Timeout(0), khttp.Filter(func(http.Handler) http.Handler { return h }))
-	srv.IdleTimeout, srv.ReadHeaderTimeout = idleFor, headersIn
+	srv.IdleTimeout, srv.ReadHeaderTimeout = defaultIdleTimeout, readHeaderTimeout
 	return srv
 }
 
@@ -249,35 +250,36 @@
 	if t := f.config.Load(); t != nil && t.Config().Limits.IdleTimeout > 0 {
 		return t.Config().Limits.IdleTimeout
 	}
-	return idleFor
+	return defaultIdleTimeout
 }
 
-// share adapts this host's shares of the replicas' connections and the customers' limits to the hosts until ctx ends.
-func (f *Front) share(ctx context.Context) {
+// adaptShares adapts this host's shares of the replicas' connections and the customers' limits to the number of hosts
+// until ctx ends.
+func (f *Front) adaptShares(ctx context.Context) {
 	for ctx.Err() == nil {
 		if t := f.config.Load(); t != nil {
 			f.table.SetLimits(t.Config().Services)
 		}
 		f.allowances.Look()
-		clock.Sleep(ctx, f.opts.Clock, shareEvery)
+		clock.Sleep(ctx, f.opts.Clock, shareInterval)
 	}
 }
 
 // settled reports whether this host has run long enough to have a complete member list.
-func (f *Front) settled() bool { return f.opts.Clock.Now().Sub(f.began) >= settled }
+func (f *Front) settled() bool { return f.opts.Clock.Now().Sub(f.started) >= settleTime }
 
-// part returns this host's share of the limits that all hosts keep together, from 0 to 1.
-func (f *Front) part() float64 { return f.joined.share() }
+// limitShare returns this host's share of the limits that all hosts keep together, from 0 to 1.
+func (f *Front) limitShare() float64 { return f.membership.share() }
 
 // servingHosts returns this host's ID and the hosts that clients are directed to.
 func (f *Front) servingHosts() (self string, serving []member.Host) {
-	p := f.joined.place()
+	p := f.membership.currentView()
 	return p.self, p.serving
 }
 
 // coldShare returns the number of requests a second that this host may send to a cold replica.
 func (f *Front) coldShare(replica string, perSecond float64) int {
-	return f.cold.Of(replica, perSecond)
+	return f.coldShares.Of(replica, perSecond)
 }
 
 // ready returns an error that says why this host can't serve, or nil.
@@ -287,7 +289,7 @@
 		return errors.New("the host is leaving; it serves those that still come")
 	case f.config.Load() == nil || !f.table.Known():
 		return errors.New("the configuration is not known yet")
-	case !f.known():
+	case !f.loaded():
 		return errors.New("the evacuated zones are not known yet")
 	}
 	return nil
@@ -299,11 +301,11 @@
 // addresses at know no others and are weak. A client that receives no address keeps using the strong hosts that it
 // knows; one that receives a weak host, which still has to load all replicas over a slow link, is answered late.
 func (f *Front) addresses(c opaque.Caller) ([]netip.AddrPort, time.Duration, error) {
-	list := addressesOf(f.nearest(c, f.joined.addresses(f.ready() == nil)))
+	list := addressesOf(f.nearest(c, f.membership.addresses(f.ready() == nil)))
 	if len(list) == 0 {
 		return nil, 0, errors.New("no host is known to serve")
 	}
-	return list, min(keepFor, f.opts.MaxKeep), nil
+	return list, min(addressTTL, f.opts.MaxKeep), nil
 }
 
 // nearest returns the serving hosts that a client is directed to.
@@ -327,5 +329,5 @@
 // announce tells the other hosts that this one is leaving.
 func (f *Front) announce(ctx context.Context) {
 	events.Stopping.Log(f.opts.Log, "in_flight", f.drain.Running(), "grace", f.opts.Grace.String())
-	f.joined.peers.Leave(ctx)
+	f.membership.peers.Leave(ctx)
 }
--- a/entry/internal/front/joined.go
+++ b/entry/internal/front/membership.go
@@ -26,8 +26,8 @@
 	"guavaspring.org/entry/internal/traffic"
 )
 
-// joined holds this host's membership: the member list, the connections to other hosts and the data shared with them.
-type joined struct {
+// membership holds the member list, the connections to other hosts and the data shared with them.
+type membership struct {
 	clock     clock.Clock
 	list      *member.List
 	peers     *peers.Peers
@@ -38,12 +38,12 @@
 	// evacuations holds the availability zones that operators have evacuated.
 	evacuations *relay.Copy[platform.Evacuation]
 
-	mu     sync.Mutex
-	placed placed
+	mu   sync.Mutex
+	view memberView
 }
 
-// placed holds the placement computed from one member list.
-type placed struct {
+// memberView holds the placement computed from one member list.
+type memberView struct {
 	// list points to the first row of the member list, which is replaced as a whole with each change.
 	list *member.Host
 	// self is the ID of this host.
@@ -62,23 +62,23 @@
 }
 
 // join opens the port for other hosts, which may call services on it; the host joins the others once run is called.
-func join(opts Options, incarnation string, services map[string]any) (*joined, error) {
+func join(opts Options, incarnation string, services map[string]any) (*membership, error) {
 	var cfg net.ListenConfig
 	l, err := cfg.Listen(context.Background(), "tcp", opts.Peer.String())
 	if err != nil {
 		return nil, fmt.Errorf("listen for other hosts: %w", err)
 	}
-	j := &joined{
+	j := &membership{
 		clock:       opts.Clock,
 		configs:     relay.NewCopy(relay.Options[route.Config]{LastGood: true, KeepAbsent: true, Older: route.Config.OlderThan}),
-		replicas:    relay.NewCopy(relay.Options[platform.Replica]{Older: platform.Replica.OlderThan, KeepFor: replicasKept}),
-		evacuations: relay.NewCopy(relay.Options[platform.Evacuation]{KeepAbsent: true, KeepFor: evacuationsKept}),
+		replicas:    relay.NewCopy(relay.Options[platform.Replica]{Older: platform.Replica.OlderThan, KeepFor: replicaRetention}),
+		evacuations: relay.NewCopy(relay.Options[platform.Evacuation]{KeepAbsent: true, KeepFor: evacuationRetention}),
 	}
 	services[relayService] = &relay.Methods{Clock: opts.Clock, ConfigCopy: j.configs, ReplicaCopy: j.replicas, EvacuationCopy: j.evacuations}
 	self := member.Host{ID: incarnation, Caller: opts.Front, Peer: opts.Peer, Zone: opts.Zone, Region: opts.Region, Cores: opts.Cores, LinkBits: opts.LinkBits}
 	j.list = member.New(member.Options{Self: self, Rand: member.NewRand(), Changed: memberlog.Changed(opts.Log)})
 	j.directory = directory.New(directory.Options{
-		Clock: opts.Clock, Log: opts.Log, List: opts.Store.List, Get: opts.Store.Get, Put: opts.Store.Put, Self: j.list.Self, Hosts: j.list.Hosts, Seeded: seeded,
+		Clock: opts.Clock, Log: opts.Log, List: opts.Store.List, Get: opts.Store.Get, Put: opts.Store.Put, Self: j.list.Self, Hosts: j.list.Hosts, Seeded: seedTimeout,
 		Era: func() int64 {
 			st, _ := j.configs.State()
 			return st.Era
@@ -92,110 +92,110 @@
 		Store: accepted.New(func(accepted.Generation) {}), Listing: listing.New(opts.Clock), Replicas: func() []platform.Replica { return nil },
 		Services: services, Rumors: j.rumors,
 		Opened: func(c net.Conn, addr netip.AddrPort, use peers.Use) net.Conn {
-			return opts.Traffic.Conn(c, causes[use], j.crosses(addr))
+			return opts.Traffic.Conn(c, trafficCauses[use], j.crossesZone(addr))
 		},
-		Watched:  func() []member.Host { return j.place().watched },
+		Watched:  func() []member.Host { return j.currentView().watched },
 		Contacts: func() []netip.AddrPort { return append(j.directory.Contacts(), opts.Seeds()...) },
 	})
 	return j, err
 }
 
-// causes maps the uses of connections to other hosts to the causes that their bytes are counted under.
-var causes = map[peers.Use]traffic.Cause{peers.Probes: traffic.Members, peers.Waits: traffic.Relay, peers.Works: traffic.Subqueries}
+// trafficCauses maps the uses of connections to other hosts to the causes that their bytes are counted under.
+var trafficCauses = map[peers.Use]traffic.Cause{peers.Probes: traffic.Members, peers.Waits: traffic.Relay, peers.Works: traffic.Subqueries}
 
-// crosses reports whether a host is in another availability zone, which it also reports for an unknown host.
-func (j *joined) crosses(peer netip.AddrPort) bool {
+// crossesZone reports whether a host is in another availability zone, which it also reports for an unknown host.
+func (j *membership) crossesZone(peer netip.AddrPort) bool {
 	hosts := j.list.Hosts()
 	i := slices.IndexFunc(hosts, func(h member.Host) bool { return h.Peer == peer })
 	return i < 0 || hosts[i].Zone != j.list.Self().Zone
 }
 
 const (
-	// seeded is the time for the seed hosts of the settings to answer before other hosts are looked up in the store. The
-	// seed hosts may start a third of a second after the others, and then have hundreds of hosts to answer.
-	seeded = 2 * time.Second
-	// settled is the time after which a started host has a complete member list: the others answer its first probes
+	// seedTimeout is the time for the seed hosts of the settings to answer before other hosts are looked up in the store.
+	// The seed hosts may start a third of a second after the others, and then have hundreds of hosts to answer.
+	seedTimeout = 2 * time.Second
+	// settleTime is the time after which a started host has a complete member list: the others answer its first probes
 	// within a second.
-	settled = 1500 * time.Millisecond
+	settleTime = 1500 * time.Millisecond
 )
 
-// evacuationsKept is the time for which the hosts' copy overrides the store after the store was restored from a backup:
-// an evacuation that the store lost stays in force, and one that it holds again does not apply, unless an operator
-// writes it again.
-const evacuationsKept = 5 * time.Minute
+// evacuationRetention is the time for which the hosts' copy overrides the store after the store was restored from a
+// backup: an evacuation that the store lost stays in force, and one that it holds again does not apply, unless an
+// operator writes it again.
+const evacuationRetention = 5 * time.Minute
 
-// replicasKept is the same for rows of replicas. The store drops a row after three heartbeats without a write, so a row
-// that stays for longer belongs to a live replica.
-const replicasKept = 10 * time.Second
+// replicaRetention is the same for rows of replicas. The store drops a row after three heartbeats without a write, so a
+// row that stays for longer belongs to a live replica.
+const replicaRetention = 10 * time.Second
 
-// mostOthers is the number of other hosts asked at once for objects that they keep from an earlier restart era.
-const mostOthers = 2
+// maxOtherHosts is the number of other hosts asked at once for objects that they keep from an earlier restart era.
+const maxOtherHosts = 2
 
 // relayService is the net/rpc service that passes objects of the store on to other hosts.
 const relayService = "Relay"
 
-// mostAsk bounds a long poll for changes at another host.
-const mostAsk = 30 * time.Second
+// longPollTimeout bounds a long poll for changes at another host.
+const longPollTimeout = 30 * time.Second
 
-// first returns the seed hosts of the settings as parents, which answer before this host has joined the others. They
-// are in random order, as hundreds of hosts may start at once. A seed host itself gets none, so that some hosts read
-// the store right away.
-func first[T any](j *joined, seeds []netip.AddrPort, method string) []source.Parent[T] {
+// seedParents returns the seed hosts of the settings as parents, which answer before this host has joined the others.
+// They are in random order, as hundreds of hosts may start at once. A seed host itself gets none, so that some hosts
+// read the store right away.
+func seedParents[T any](j *membership, seeds []netip.AddrPort, method string) []source.Parent[T] {
 	own := j.list.Self().Peer
 	if slices.Contains(seeds, own) {
 		return nil
 	}
 	list := make([]source.Parent[T], len(seeds))
 	for i, n := range rand.Perm(len(seeds)) {
-		list[i] = parent[T](j, seeds[n], method)
+		list[i] = hostParent[T](j, seeds[n], method)
 	}
 	return list
 }
 
-// parent returns the host at addr as a parent, which is called by a method of relay.Methods.
-func parent[T any](j *joined, addr netip.AddrPort, method string) source.Parent[T] {
+// hostParent returns the host at addr as a parent, which is called by a method of relay.Methods.
+func hostParent[T any](j *membership, addr netip.AddrPort, method string) source.Parent[T] {
 	return source.Parent[T]{Name: addr.String(), Ask: func(ctx context.Context, args relay.Args) (relay.Reply[T], error) {
 		var rep relay.Reply[T]
 		// The context ends the call sooner if the reply would come too late.
-		if err := j.peers.Call(ctx, addr, mostAsk, relayService+"."+method, &args, &rep); err != nil {
+		if err := j.peers.Call(ctx, addr, longPollTimeout, relayService+"."+method, &args, &rep); err != nil {
 			return rep, err
 		}
 		return rep, rep.Unpack()
 	}}
 }
 
-// parents returns the hosts that pass the store's objects on to this one, and whether this host watches the store.
-func parents[T any](j *joined, method string) ([]source.Parent[T], bool) {
+// treeParents returns the hosts that pass the store's objects on to this one, and whether this host watches the store.
+func treeParents[T any](j *membership, method string) ([]source.Parent[T], bool) {
 	hosts, watches := relay.Parents(j.list.Hosts(), j.list.Self().ID)
 	list := make([]source.Parent[T], len(hosts))
 	for i, h := range hosts {
-		list[i] = parent[T](j, h.Peer, method)
+		list[i] = hostParent[T](j, h.Peer, method)
 	}
 	return list, watches
 }
 
-// others returns up to mostOthers random live hosts as parents.
-func others[T any](j *joined, method string) []source.Parent[T] {
+// otherParents returns up to maxOtherHosts random live hosts as parents.
+func otherParents[T any](j *membership, method string) []source.Parent[T] {
 	hosts, self := j.list.Hosts(), j.list.Self().ID
 	var list []source.Parent[T]
 	for _, n := range rand.Perm(len(hosts)) {
-		if h := hosts[n]; h.ID != self && h.State == member.StateAlive && len(list) < mostOthers {
-			list = append(list, parent[T](j, h.Peer, method))
+		if h := hosts[n]; h.ID != self && h.State == member.StateAlive && len(list) < maxOtherHosts {
+			list = append(list, hostParent[T](j, h.Peer, method))
 		}
 	}
 	return list
 }
 
 // run exchanges messages with the other hosts and keeps the directory up to date until ctx ends.
-func (j *joined) run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { j.peers.Run(ctx) })
-	duties.Go(func() { j.directory.Run(ctx) })
-	duties.Wait()
+func (j *membership) run(ctx context.Context) {
+	var tasks sync.WaitGroup
+	tasks.Go(func() { j.peers.Run(ctx) })
+	tasks.Go(func() { j.directory.Run(ctx) })
+	tasks.Wait()
 }
 
-// count returns the number of hosts; two incarnations at one address are one host.
-func (j *joined) count() int {
+// hostCount returns the number of hosts; two incarnations at one address are one host.
+func (j *membership) hostCount() int {
 	seen := map[netip.AddrPort]bool{}
 	for _, h := range j.list.Hosts() {
 		seen[h.Peer] = true
@@ -205,10 +205,10 @@
 
 // addresses returns the serving hosts, including this one if self is set. Suspected hosts are returned only where no
 // other is known: a connection to a host that has lost power costs a client a second.
-func (j *joined) addresses(self bool) []member.Host {
+func (j *membership) addresses(self bool) []member.Host {
 	own := j.list.Self()
 	var serving, suspect []member.Host
-	for _, h := range j.place().serving {
+	for _, h := range j.currentView().serving {
 		if h.ID != own.ID || self {
 			serving = append(serving, h)
 		}
@@ -225,31 +225,31 @@
 }
 
 // share returns this host's share of the limits that all hosts keep together, from 0 to 1.
-func (j *joined) share() float64 { return j.place().share }
+func (j *membership) share() float64 { return j.currentView().share }
 
-// place returns the placement for the present member list. It is cached until the list changes: each attempt and each
-// address lookup needs it, and ranking thousands of hosts takes a millisecond.
-func (j *joined) place() placed {
+// currentView returns the placement for the present member list. It is cached until the list changes: each attempt and
+// each address lookup needs it, and ranking thousands of hosts takes a millisecond.
+func (j *membership) currentView() memberView {
 	hosts := j.list.Hosts()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.placed.list != &hosts[0] {
-		j.placed = j.placedBy(hosts)
+	if j.view.list != &hosts[0] {
+		j.view = j.computeView(hosts)
 	}
-	return j.placed
+	return j.view
 }
 
-// placedBy computes the placement for a member list; j.mu must be held.
-func (j *joined) placedBy(hosts []member.Host) placed {
+// computeView computes the placement for a member list; j.mu must be held.
+func (j *membership) computeView(hosts []member.Host) memberView {
 	self := j.list.Self()
 	serving := placement.Serving(hosts)
 	sameID := func(a, b member.Host) bool { return a.ID == b.ID }
 	since := j.clock.Now()
-	if slices.EqualFunc(serving, j.placed.serving, sameID) {
-		serving, since = j.placed.serving, j.placed.since
+	if slices.EqualFunc(serving, j.view.serving, sameID) {
+		serving, since = j.view.serving, j.view.since
 	}
-	return placed{
-		list: &hosts[0], self: self.ID, serving: serving, since: since, share: placement.Share(hosts, self.ID, leastHosts),
+	return memberView{
+		list: &hosts[0], self: self.ID, serving: serving, since: since, share: placement.Share(hosts, self.ID, minAssumedHosts),
 		zones: byZone(self, serving), watched: placement.Watched(hosts, self.ID),
 	}
 }
--- a/entry/internal/front/subqueries.go
+++ b/entry/internal/front/subqueries.go
@@ -21,13 +21,13 @@
 const (
 	// subqueryService is the net/rpc service that runs parts of other hosts' queries.
 	subqueryService = "Subquery"
-	// fewPeers is the number of hosts of each other zone that this host sends subqueries to: enough that the loss of one
-	// leaves others, and few enough that connections stay in use and each host sees enough of its replicas.
-	fewPeers = 3
-	// peerRest is how long a host gets no subqueries after it did not answer one. A host that has lost power leaves the
-	// member list within that time or some seconds later, and each subquery that it doesn't answer delays the response
-	// by a retry.
-	peerRest = 2 * time.Second
+	// maxPeersPerZone is the number of hosts of each other zone that this host sends subqueries to: enough that the loss
+	// of one leaves others, and few enough that connections stay in use and each host sees enough of its replicas.
+	maxPeersPerZone = 3
+	// peerBackoff is how long a host gets no subqueries after it did not answer one. A host that has lost power leaves
+	// the member list within that time or some seconds later, and each subquery that it doesn't answer delays the
+	// response by a retry.
+	peerBackoff = 2 * time.Second
 	// subqueryTimeout bounds a call whose context has no deadline.
 	subqueryTimeout = 2 * time.Second
 )
@@ -40,8 +40,8 @@
 	call  func(ctx context.Context, h member.Host, method string, args, reply any) error
 
 	mu sync.Mutex
-	// resting maps the IDs of hosts that did not answer to the time until which they get no subqueries.
-	resting map[string]time.Time
+	// backoff maps the IDs of hosts that did not answer to the time until which they get no subqueries.
+	backoff map[string]time.Time
 }
 
 // zoneHosts holds hosts by availability zone; names is sorted.
@@ -50,8 +50,8 @@
 	hosts map[string][]member.Host
 }
 
-// byZone groups the serving hosts of other zones in the region of self by zone. It keeps the fewPeers hosts of each zone
-// that rank first for self.
+// byZone groups the serving hosts of other zones in the region of self by zone. It keeps the maxPeersPerZone
+// hosts of each zone that rank first for self.
 func byZone(self member.Host, serving []member.Host) zoneHosts {
 	z := zoneHosts{hosts: map[string][]member.Host{}}
 	for _, h := range serving {
@@ -66,7 +66,7 @@
 	slices.Sort(z.names)
 	for name, list := range z.hosts {
 		slices.SortFunc(list, func(a, b member.Host) int { return cmp.Compare(a.Key()^self.Key(), b.Key()^self.Key()) })
-		z.hosts[name] = list[:min(fewPeers, len(list))]
+		z.hosts[name] = list[:min(maxPeersPerZone, len(list))]
 	}
 	return z
 }
@@ -74,41 +74,41 @@
 // zones returns the other zones with serving hosts.
 func (s *subqueryPeers) zones() []string { return s.hosts().names }
 
-// peer returns a random host of a zone that is not resting.
+// peer returns a random host of a zone that is not backing off.
 func (s *subqueryPeers) peer(zone string) (subquery.Peer, bool) {
 	list := s.hosts().hosts[zone]
 	now := s.clock.Now()
 	for n, first := 0, rand.IntN(max(1, len(list))); n < len(list); n++ {
 		h := list[(first+n)%len(list)]
-		if s.rests(h.ID, now) {
+		if s.backsOff(h.ID, now) {
 			continue
 		}
-		return s.peerOf(h), true
+		return s.newPeer(h), true
 	}
 	return subquery.Peer{}, false
 }
 
-// rests reports whether a host gets no subqueries at present.
-func (s *subqueryPeers) rests(id string, now time.Time) bool {
+// backsOff reports whether a host gets no subqueries at present.
+func (s *subqueryPeers) backsOff(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until, ok := s.resting[id]
+	until, ok := s.backoff[id]
 	if ok && !now.Before(until) {
-		delete(s.resting, id)
+		delete(s.backoff, id)
 		return false
 	}
 	return ok
 }
 
-// failed marks a host that did not answer as resting for peerRest.
-func (s *subqueryPeers) failed(id string) {
+// markFailed marks a host that did not answer as backing off for peerBackoff.
+func (s *subqueryPeers) markFailed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resting[id] = s.clock.Now().Add(peerRest)
+	s.backoff[id] = s.clock.Now().Add(peerBackoff)
 }
 
-// peerOf returns the subquery calls to a host.
-func (s *subqueryPeers) peerOf(h member.Host) subquery.Peer {
+// newPeer returns the subquery calls to a host.
+func (s *subqueryPeers) newPeer(h member.Host) subquery.Peer {
 	return subquery.Peer{
 		ID: h.ID, Name: h.Peer.String(), Zone: h.Zone,
 		Gather: func(ctx context.Context, args *subquery.Args) (subquery.Reply, error) {
@@ -139,18 +139,18 @@
 // subqueries returns the interface by which this host's requests run parts of their queries at other hosts.
 func (f *Front) subqueries() scatter.Subqueries {
 	s := &subqueryPeers{
-		clock: f.opts.Clock, resting: map[string]time.Time{},
-		hosts: func() zoneHosts { return f.joined.place().zones },
-		call:  f.joined.callSubquery,
+		clock: f.opts.Clock, backoff: map[string]time.Time{},
+		hosts: func() zoneHosts { return f.membership.currentView().zones },
+		call:  f.membership.callSubquery,
 	}
 	return scatter.Subqueries{Zones: s.zones, Peer: s.peer, Failed: func(peer subquery.Peer, err error) {
-		s.failed(peer.ID)
+		s.markFailed(peer.ID)
 		events.SubqueryLost.Log(f.opts.Log, "host", peer.Name, "zone", peer.Zone, "reason", err.Error())
 	}}
 }
 
 // callSubquery calls a method of another host's subquery service.
-func (j *joined) callSubquery(ctx context.Context, h member.Host, method string, args, reply any) error {
+func (j *membership) callSubquery(ctx context.Context, h member.Host, method string, args, reply any) error {
 	err := j.peers.Work(ctx, h.Peer, subqueryTimeout, subqueryService+"."+method, args, reply)
 	if errors.Is(err, peers.ErrUnreached) {
 		return fmt.Errorf("%w: %w", subquery.ErrUnreached, err)
@@ -161,6 +161,6 @@
 // newSubqueryServer returns the service that runs parts of other hosts' queries here.
 func (f *Front) newSubqueryServer() *subquery.Server {
 	return subquery.NewServer(subquery.Options{
-		Clock: f.opts.Clock, Service: f.table.Service, Version: f.configVersion, Leaving: f.drain.Leaving, Quarantine: f.crashers,
+		Clock: f.opts.Clock, Service: f.table.Service, Version: f.configVersion, Leaving: f.drain.Leaving, Quarantine: f.quarantine,
 	})
 }
--- a/entry/internal/front/subqueries_test.go
+++ b/entry/internal/front/subqueries_test.go
@@ -31,7 +31,7 @@
 			qt.Check(t, len(z.names), qt.Equals, 2)
 			for name, list := range z.hosts {
 				qt.Check(t, name, qt.Not(qt.Equals), self.Zone)
-				qt.Check(t, len(list) <= fewPeers && len(list) > 0, qt.IsTrue)
+				qt.Check(t, len(list) <= maxPeersPerZone && len(list) > 0, qt.IsTrue)
 				for _, h := range list {
 					qt.Check(t, h.Zone, qt.Equals, name)
 					used[h.ID]++
@@ -50,17 +50,17 @@
 func TestHostThatDidNotAnswerRests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := byZone(member.Host{ID: "self", Zone: "a", Region: "r"}, inZones(2, "b"))
-		s := &subqueryPeers{clock: clock.System{}, resting: map[string]time.Time{}, hosts: func() zoneHosts { return z }}
-		s.failed("h0")
+		s := &subqueryPeers{clock: clock.System{}, backoff: map[string]time.Time{}, hosts: func() zoneHosts { return z }}
+		s.markFailed("h0")
 		for range 20 {
 			p, ok := s.peer("b")
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, p.ID, qt.Equals, "h1")
 		}
-		s.failed("h1")
+		s.markFailed("h1")
 		_, ok := s.peer("b")
 		qt.Check(t, ok, qt.IsFalse)
-		time.Sleep(peerRest)
+		time.Sleep(peerBackoff)
 		_, ok = s.peer("b")
 		qt.Check(t, ok, qt.IsTrue)
 		_, ok = s.peer("c")
