--- a/entry/internal/front/follow.go
+++ b/entry/internal/front/follow.go
@@ -36,7 +36,7 @@
 		Parents: func() ([]source.Parent[T], bool) { return treeParents[T](f.membership, k.method) },
 		Others:  func() []source.Parent[T] { return otherParents[T](f.membership, k.method) },
 		Copy:    k.copy, Replace: k.replace, Change: k.change, Reconnect: f.opts.Store.Reconnect, Bound: k.bound,
-		Rejected: f.metrics.Unreadable(k.name), Older: f.metrics.Older(k.name), Outage: f.storeState,
+		Rejected: f.metrics.UnreadableCounter(k.name), Older: f.metrics.OlderCounter(k.name), Outage: f.storeState,
 	}).Run(ctx)
 }
 
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -221,7 +221,7 @@
 	fwd := forward.New(forward.Options{
 		Clock: f.opts.Clock, Log: f.opts.Log, Codec: &f.opts.Codec, Config: f.config.Load, Table: f.table, Known: f.loaded, Await: f.startup.Await,
 		Runner: scatter.New(scatter.Options{Clock: f.opts.Clock, Share: f.limitShare, Quarantine: f.quarantine, Subqueries: f.subqueries(), Region: f.opts.Region}), Quarantine: f.quarantine,
-		Allowance: f.allowances.Take, Requests: f.log, Ended: f.recordEnded, Refused: f.metrics.Refused,
+		Allowance: f.allowances.Take, Requests: f.log, Ended: f.recordEnded, Refused: f.metrics.RecordRefused,
 	})
 	clients := f.server(f.opts.Front, f.drain.Filter(fwd))
 	clients.IdleTimeout = 0
--- a/entry/internal/front/membership.go
+++ b/entry/internal/front/membership.go
@@ -57,7 +57,7 @@
 	share float64
 	// zones holds the serving hosts of other zones.
 	zones zoneHosts
-	// watched are the serving hosts that this host probes often, so that their loss is found within a second.
+	// watched are the serving hosts that this host probes often, so that their loss is found soon.
 	watched []member.Host
 }
 
@@ -124,8 +124,8 @@
 // operator writes it again.
 const evacuationRetention = 5 * time.Minute
 
-// replicaRetention is the same for rows of replicas. The store drops a row after three heartbeats without a write, so a
-// row that stays for longer belongs to a live replica.
+// replicaRetention is the same for rows of replicas. The store drops a row after three heartbeats without a write, so
+// a row that stays for longer belongs to a live replica.
 const replicaRetention = 10 * time.Second
 
 // maxOtherHosts is the number of other hosts asked at once for objects that they keep from an earlier restart era.
--- a/entry/internal/front/metrics.go
+++ b/entry/internal/front/metrics.go
@@ -16,8 +16,8 @@
 	return frontmetrics.New(frontmetrics.Options{
 		StoreCalls: f.opts.StoreCalls, ConfigVersion: f.configVersion, ConfigAge: f.configAge, ReplicasAge: f.replicasAge,
 		EvacuationsAge: f.evacuationsAge, EvacuatedZones: func() int { return len(f.zones.Names()) },
-		Hosts: f.membership.hostCount, Running: f.drain.Running, Gathers: f.subqueryServer.Running, Connections: f.table.Dialed,
-		LinesSkipped: f.log.Skipped, LinesLost: f.opts.LinesLost, More: append(f.membership.peers.Collectors(), f.opts.Traffic.Collectors()...),
+		Hosts: f.membership.hostCount, Running: f.drain.Running, Subqueries: f.subqueryServer.Running, Connections: f.table.Dialed,
+		LinesSkipped: f.log.Skipped, LinesLost: f.opts.LinesLost, Collectors: append(f.membership.peers.Collectors(), f.opts.Traffic.Collectors()...),
 	})
 }
 
@@ -25,7 +25,7 @@
 // entry.
 func (f *Front) recordEnded(e *requestlog.Entry) {
 	e.ConfigAge, e.ReplicasAge = f.configAge(), f.replicasAge()
-	f.metrics.Forwarded(e)
+	f.metrics.RecordForwarded(e)
 }
 
 func (f *Front) configVersion() int64 {
--- a/entry/internal/frontmetrics/metrics.go
+++ b/entry/internal/frontmetrics/metrics.go
@@ -24,15 +24,15 @@
 	// EvacuationsAge returns the same for the evacuated zones, EvacuatedZones their number.
 	EvacuationsAge func() time.Duration
 	EvacuatedZones func() int
-	// Hosts returns the number of known hosts, Running that of requests in flight, Gathers that of other hosts'
+	// Hosts returns the number of known hosts, Running that of requests in flight, Subqueries that of other hosts'
 	// subqueries in flight.
-	Hosts, Running, Gathers func() int
+	Hosts, Running, Subqueries func() int
 	// Connections returns the number of connections opened to replicas.
 	Connections func() uint64
 	// LinesSkipped returns the number of log lines dropped by the rate limit, LinesLost that of lines lost by the output.
 	LinesSkipped, LinesLost func() uint64
-	// More holds the collectors of other packages.
-	More []prometheus.Collector
+	// Collectors holds collectors of other packages.
+	Collectors []prometheus.Collector
 }
 
 // StoreCalls is the number of calls to the store for one purpose.
@@ -46,23 +46,23 @@
 	// runtime holds the metrics of the process and the Go runtime, which are written after all others.
 	registry, runtime *prometheus.Registry
 	requests          *prometheus.CounterVec
-	seconds           *prometheus.HistogramVec
-	extra             *prometheus.CounterVec
-	missed            prometheus.Counter
-	through           prometheus.Counter
+	durations         *prometheus.HistogramVec
+	extraAttempts     *prometheus.CounterVec
+	missedShards      prometheus.Counter
+	peerShards        prometheus.Counter
 	refused           *prometheus.CounterVec
-	rejected          *prometheus.CounterVec
-	older             *prometheus.CounterVec
-	// customers counts requests by customer; named bounds the number of its series.
-	customers *prometheus.CounterVec
-	named     names
+	unreadable        *prometheus.CounterVec
+	olderReplies      *prometheus.CounterVec
+	// customers counts requests by customer; customerLabels bounds the number of its series.
+	customers      *prometheus.CounterVec
+	customerLabels labelSet
 }
 
-// mostCustomers is the number of customers with series of their own; the others share one label value.
-const mostCustomers = 200
+// maxCustomerSeries is the number of customers with series of their own; the others share one label value.
+const maxCustomerSeries = 200
 
-// otherCustomers is the label value of customers without series of their own.
-const otherCustomers = "other"
+// otherCustomersLabel is the label value of customers without series of their own.
+const otherCustomersLabel = "other"
 
 // Label values for the outcomes of customers' requests; that of a refused request is its cause.
 const (
@@ -72,32 +72,33 @@
 
 // Label values for the kinds of requests.
 const (
-	kindGather = "gather"
-	kindSafe   = "idempotent"
-	kindUnsafe = "non_idempotent"
+	kindGather        = "gather"
+	kindIdempotent    = "idempotent"
+	kindNonIdempotent = "non_idempotent"
 )
 
-// buckets spans the latency objectives and deadlines of routes, in seconds. Near the usual ones they are a fifth apart.
-var buckets = []float64{.005, .01, .02, .03, .04, .05, .06, .08, .1, .12, .15, .2, .3, .5, .8, 1.2, 2, 5, 10}
+// durationBuckets spans the latency objectives and deadlines of routes, in seconds. Near the usual ones they are a fifth
+// apart.
+var durationBuckets = []float64{.005, .01, .02, .03, .04, .05, .06, .08, .1, .12, .15, .2, .3, .5, .8, 1.2, 2, 5, 10}
 
 // New returns the metrics of a host in registries of their own.
 func New(opts Options) *Metrics {
 	m := &Metrics{
-		registry: prometheus.NewRegistry(),
-		runtime:  prometheus.NewRegistry(),
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_forwarded_total", Help: "Requests, by kind, ending and status of the answer."}, []string{"kind", "ending", "status"}),
-		seconds:  prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "guavaspring_forwarded_seconds", Help: "Time from a request's arrival to its answer.", Buckets: buckets}, []string{"kind"}),
-		extra:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_extra_tries_total", Help: "Tries beyond the first of a shard, and those that the budget denied."}, []string{"what"}),
-		missed:   prometheus.NewCounter(prometheus.CounterOpts{Name: "guavaspring_shards_missed_total", Help: "Shards left out of answers."}),
-		through:  prometheus.NewCounter(prometheus.CounterOpts{Name: "guavaspring_shards_through_total", Help: "Shards of requests that another host asked, in its availability zone."}),
-		refused:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_refused_total", Help: "Requests refused before they were sent anywhere, by cause; those refused for overload count as forwarded."}, []string{"cause"}),
+		registry:      prometheus.NewRegistry(),
+		runtime:       prometheus.NewRegistry(),
+		requests:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_forwarded_total", Help: "Requests, by kind, ending and status of the answer."}, []string{"kind", "ending", "status"}),
+		durations:     prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "guavaspring_forwarded_seconds", Help: "Time from a request's arrival to its answer.", Buckets: durationBuckets}, []string{"kind"}),
+		extraAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_extra_tries_total", Help: "Tries beyond the first of a shard, and those that the budget denied."}, []string{"what"}),
+		missedShards:  prometheus.NewCounter(prometheus.CounterOpts{Name: "guavaspring_shards_missed_total", Help: "Shards left out of answers."}),
+		peerShards:    prometheus.NewCounter(prometheus.CounterOpts{Name: "guavaspring_shards_through_total", Help: "Shards of requests that another host asked, in its availability zone."}),
+		refused:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_refused_total", Help: "Requests refused before they were sent anywhere, by cause; those refused for overload count as forwarded."}, []string{"cause"}),
 	}
 	m.customers = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_customer_requests_total", Help: "Requests by customer and outcome, which is the cause where a request was refused before it was sent anywhere."}, []string{"customer", "outcome"})
-	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_objects_unreadable_total", Help: "Objects of the store that can't be read, once for each revision, by kind."}, []string{"kind"})
-	m.older = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_answers_older_total", Help: "Answers of the store or of other hosts that were older than what was known, by kind."}, []string{"kind"})
-	m.registry.MustRegister(m.requests, m.seconds, m.extra, m.missed, m.through, m.refused, m.rejected, m.older, m.customers)
+	m.unreadable = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_objects_unreadable_total", Help: "Objects of the store that can't be read, once for each revision, by kind."}, []string{"kind"})
+	m.olderReplies = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_answers_older_total", Help: "Answers of the store or of other hosts that were older than what was known, by kind."}, []string{"kind"})
+	m.registry.MustRegister(m.requests, m.durations, m.extraAttempts, m.missedShards, m.peerShards, m.refused, m.unreadable, m.olderReplies, m.customers)
 	m.runtime.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.registry.MustRegister(opts.More...)
+	m.registry.MustRegister(opts.Collectors...)
 	for _, c := range []struct {
 		name, help string
 		read       func() float64
@@ -123,7 +124,7 @@
 		{"evacuations_age_seconds", "How long ago the store was known to hold no newer evacuation, negative for never.", func() float64 { return opts.EvacuationsAge().Seconds() }},
 		{"evacuated_zones", "Availability zones to whose replicas this host sends nothing.", func() float64 { return float64(opts.EvacuatedZones()) }},
 		{"known_hosts", "Hosts that are not dead, this one included.", func() float64 { return float64(opts.Hosts()) }},
-		{"subqueries_in_flight", "Parts of other hosts' requests that this host gathers.", func() float64 { return float64(opts.Gathers()) }},
+		{"subqueries_in_flight", "Parts of other hosts' requests that this host gathers.", func() float64 { return float64(opts.Subqueries()) }},
 		{"requests_in_flight", "Requests in flight.", func() float64 { return float64(opts.Running()) }},
 	} {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "guavaspring_" + g.name, Help: g.help}, g.read))
@@ -131,33 +132,33 @@
 	return m
 }
 
-// Forwarded counts a request that was forwarded to replicas.
-func (m *Metrics) Forwarded(e *requestlog.Entry) {
-	kind := kindUnsafe
+// RecordForwarded counts a request that was forwarded to replicas.
+func (m *Metrics) RecordForwarded(e *requestlog.Entry) {
+	kind := kindNonIdempotent
 	switch {
 	case len(e.Query.Route.Shards) > 0:
 		kind = kindGather
 	case e.Query.Route.Idempotent:
-		kind = kindSafe
+		kind = kindIdempotent
 	}
 	m.requests.WithLabelValues(kind, string(e.Report.Ending), statusClass(e.Status)).Inc()
-	m.seconds.WithLabelValues(kind).Observe(e.Took.Seconds())
-	m.through.Add(float64(e.Report.Through))
-	m.extra.WithLabelValues("hedge").Add(float64(e.Report.Hedges))
-	m.extra.WithLabelValues("retry").Add(float64(e.Report.Retries))
-	m.extra.WithLabelValues("denied").Add(float64(e.Report.Denied))
+	m.durations.WithLabelValues(kind).Observe(e.Took.Seconds())
+	m.peerShards.Add(float64(e.Report.Through))
+	m.extraAttempts.WithLabelValues("hedge").Add(float64(e.Report.Hedges))
+	m.extraAttempts.WithLabelValues("retry").Add(float64(e.Report.Retries))
+	m.extraAttempts.WithLabelValues("denied").Add(float64(e.Report.Denied))
 	outcome := outcomeAnswered
 	if e.Status >= http.StatusInternalServerError {
 		outcome = outcomeFailed
 	}
 	m.customer(e.Query.Request.Customer, outcome)
 	if e.Report.Ending == scatter.Partial {
-		m.missed.Add(float64(len(e.Query.Shards) - e.Report.Answered))
+		m.missedShards.Add(float64(len(e.Query.Shards) - e.Report.Answered))
 	}
 }
 
-// Refused counts a request that was refused before any attempt.
-func (m *Metrics) Refused(r requestlog.Refusal) {
+// RecordRefused counts a request that was refused before any attempt.
+func (m *Metrics) RecordRefused(r requestlog.Refusal) {
 	m.refused.WithLabelValues(string(r.Cause)).Inc()
 	m.customer(r.Customer, string(r.Cause))
 }
@@ -165,18 +166,18 @@
 // customer counts a request of a customer; name is empty if the customer is not known.
 func (m *Metrics) customer(name, outcome string) {
 	if name != "" {
-		m.customers.WithLabelValues(m.named.label(name), outcome).Inc()
+		m.customers.WithLabelValues(m.customerLabels.label(name), outcome).Inc()
 	}
 }
 
-// Unreadable returns a function that counts objects of a kind that can't be decoded.
-func (m *Metrics) Unreadable(kind string) func(n int) {
-	c := m.rejected.WithLabelValues(kind)
+// UnreadableCounter returns a function that counts objects of a kind that can't be decoded.
+func (m *Metrics) UnreadableCounter(kind string) func(n int) {
+	c := m.unreadable.WithLabelValues(kind)
 	return func(n int) { c.Add(float64(n)) }
 }
 
-// Older returns a function that counts replies of a kind that are older than this host's copy.
-func (m *Metrics) Older(kind string) func() { return m.older.WithLabelValues(kind).Inc }
+// OlderCounter returns a function that counts replies of a kind that are older than this host's copy.
+func (m *Metrics) OlderCounter(kind string) func() { return m.olderReplies.WithLabelValues(kind).Inc }
 
 // statusClass maps a status to one of a few label values, as replicas may reply with any status.
 func statusClass(status int) string {
@@ -191,8 +192,8 @@
 	return "2xx"
 }
 
-// Handler returns a handler that writes the host's own metrics first, as a collector may keep only the beginning of the
-// response.
+// Handler returns a handler that writes the host's own metrics first, as a collector may keep only the beginning of
+// the response.
 func (m *Metrics) Handler() http.Handler {
 	// The response is written by two handlers in turn, which can't compress it separately.
 	opts := promhttp.HandlerOpts{DisableCompression: true}
--- a/entry/internal/frontmetrics/metrics_test.go
+++ b/entry/internal/frontmetrics/metrics_test.go
@@ -24,7 +24,7 @@
 	return frontmetrics.New(frontmetrics.Options{
 		StoreCalls: func() []frontmetrics.StoreCalls { return []frontmetrics.StoreCalls{{For: "list_config", Calls: 3}} }, ConfigVersion: func() int64 { return 7 }, ConfigAge: age, ReplicasAge: age,
 		EvacuationsAge: age, EvacuatedZones: func() int { return 1 },
-		Hosts: func() int { return 6 }, Running: func() int { return 1 }, Gathers: func() int { return 4 }, Connections: none, LinesSkipped: none, LinesLost: none,
+		Hosts: func() int { return 6 }, Running: func() int { return 1 }, Subqueries: func() int { return 4 }, Connections: none, LinesSkipped: none, LinesLost: none,
 	})
 }
 
@@ -42,9 +42,9 @@
 		{scatter.Report{Ending: scatter.Lost, Answered: 1}, http.StatusBadGateway},
 		{scatter.Report{Ending: scatter.Overload}, http.StatusServiceUnavailable},
 	} {
-		m.Forwarded(&requestlog.Entry{Query: page, Report: &e.rep, Status: e.status})
+		m.RecordForwarded(&requestlog.Entry{Query: page, Report: &e.rep, Status: e.status})
 	}
-	m.Refused(requestlog.Refusal{Cause: requestlog.CauseCrashes})
+	m.RecordRefused(requestlog.Refusal{Cause: requestlog.CauseCrashes})
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	got := strings.Split(w.Body.String(), "\n")
@@ -71,11 +71,11 @@
 func TestCustomersAreCountedWithinABound(t *testing.T) {
 	m := newMetrics()
 	for n := range 1000 {
-		m.Refused(requestlog.Refusal{Cause: requestlog.CauseAllowance, Customer: fmt.Sprint("customer-", n)})
+		m.RecordRefused(requestlog.Refusal{Cause: requestlog.CauseAllowance, Customer: fmt.Sprint("customer-", n)})
 	}
-	m.Refused(requestlog.Refusal{Cause: requestlog.CauseKey})
+	m.RecordRefused(requestlog.Refusal{Cause: requestlog.CauseKey})
 	query := &scatter.Query{Request: &opaque.Request{Customer: "customer-3"}, Route: &route.Route{}}
-	m.Forwarded(&requestlog.Entry{Query: query, Report: &scatter.Report{Ending: scatter.Complete}, Status: http.StatusOK})
+	m.RecordForwarded(&requestlog.Entry{Query: query, Report: &scatter.Report{Ending: scatter.Complete}, Status: http.StatusOK})
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	got := strings.Split(w.Body.String(), "\n")
@@ -94,7 +94,7 @@
 // of the process.
 func TestOwnMetricsComeFirst(t *testing.T) {
 	m := newMetrics()
-	m.Older("config")()
+	m.OlderCounter("config")()
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	body := w.Body.String()
