--- a/entry/internal/metrics/metrics.go
+++ b/entry/internal/metrics/metrics.go
@@ -29,31 +29,31 @@
 
 // The descriptions of the metrics that are read from the admission gates and the member list.
 var (
-	running = desc("admission_running", "Queries that run now.", "service")
-	waiting = desc("admission_waiting", "Queries that wait for a place now.", "service")
-	limit   = desc("admission_limit", "The most queries that run at once, as the upstream's replies allow.", "service")
-	refused = desc("admission_refused_total", "Queries refused by admission.", "service", "reason")
-	waits   = desc("admission_waits_total", "Queries that waited and then ran.", "service")
-	waited  = desc("admission_wait_seconds_total", "Time that queries which then ran had waited.", "service")
-	flying  = desc("requests_in_flight", "Requests of any kind in flight.")
-	hosts   = desc("hosts", "Hosts known to this one, by state.", "state")
+	running     = newDesc("admission_running", "Queries that run now.", "service")
+	waiting     = newDesc("admission_waiting", "Queries that wait for a place now.", "service")
+	limit       = newDesc("admission_limit", "The most queries that run at once, as the upstream's replies allow.", "service")
+	refused     = newDesc("admission_refused_total", "Queries refused by admission.", "service", "reason")
+	waits       = newDesc("admission_waits_total", "Queries that waited and then ran.", "service")
+	waitSeconds = newDesc("admission_wait_seconds_total", "Time that queries which then ran had waited.", "service")
+	inFlight    = newDesc("requests_in_flight", "Requests of any kind in flight.")
+	hosts       = newDesc("hosts", "Hosts known to this one, by state.", "state")
 )
 
-// desc returns the description of a metric with the prefix of all metrics of the project.
-func desc(name, help string, labels ...string) *prometheus.Desc {
+// newDesc returns the description of a metric with the prefix of all metrics of the project.
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("guavaspring_"+name, help, labels, nil)
 }
 
-// buckets spans the deadlines that a document allows, 1 ms to 1 minute, in seconds. Near the usual ones they are at
-// most a fifth apart.
-var buckets = []float64{.001, .002, .005, .01, .015, .02, .03, .04, .05, .06, .07, .08, .091, .1, .12, .15, .2, .3, .5, 1, 2, 5, 10, 60}
+// durationBuckets spans the deadlines that a document allows, 1 ms to 1 minute, in seconds. Near the usual ones they
+// are at most a fifth apart.
+var durationBuckets = []float64{.001, .002, .005, .01, .015, .02, .03, .04, .05, .06, .07, .08, .091, .1, .12, .15, .2, .3, .5, 1, 2, 5, 10, 60}
 
 // New returns metrics in a new registry, which also holds those of the process and the Go runtime.
 func New(opts Options) *Metrics {
 	m := &Metrics{
 		opts: opts, registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "guavaspring_requests_total", Help: "Requests answered, by outcome."}, []string{"service", "kind", "outcome"}),
-		seconds:  prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "guavaspring_request_seconds", Help: "Time from a request's arrival to its answer, by outcome.", Buckets: buckets}, []string{"service", "kind", "outcome"}),
+		seconds:  prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "guavaspring_request_seconds", Help: "Time from a request's arrival to its answer, by outcome.", Buckets: durationBuckets}, []string{"service", "kind", "outcome"}),
 	}
 	m.registry.MustRegister(m, m.requests, m.seconds, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
@@ -70,7 +70,7 @@
 
 // Describe implements prometheus.Collector.
 func (m *Metrics) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{running, waiting, limit, refused, waits, waited, flying, hosts} {
+	for _, d := range []*prometheus.Desc{running, waiting, limit, refused, waits, waitSeconds, inFlight, hosts} {
 		ch <- d
 	}
 }
@@ -88,12 +88,12 @@
 		gauge(waiting, float64(s.Waiting), service)
 		gauge(limit, float64(s.Limit), service)
 		counter(waits, float64(s.Waits), service)
-		counter(waited, s.WaitTotal.Seconds(), service)
+		counter(waitSeconds, s.WaitTotal.Seconds(), service)
 		for reason, n := range s.Refused {
 			counter(refused, float64(n), service, string(reason))
 		}
 	}
-	gauge(flying, float64(m.opts.Running()))
+	gauge(inFlight, float64(m.opts.Running()))
 	for state, n := range m.opts.Hosts() {
 		gauge(hosts, float64(n), state)
 	}
