--- a/entry/internal/host/host.go
+++ b/entry/internal/host/host.go
@@ -26,8 +26,8 @@
 	"guavaspring.org/entry/internal/writes"
 )
 
-// explanations is the number of explanations that a host keeps.
-const explanations = 4096
+// maxExplanations is the number of explanations that a host keeps.
+const maxExplanations = 4096
 
 // Options configures a host.
 type Options struct {
@@ -43,17 +43,17 @@
 
 // Host is an entry host that answers queries and writes of configured services.
 type Host struct {
-	opts     Options
-	store    *accepted.Store
-	explain  *explain.Store
-	follower *follow.Follower
-	listing  *listing.Table
-	joined   *joined
-	writer   *writes.Writer
-	steerer  *steer.Steerer
-	drain    *drainer.Drainer
-	counts   *metrics.Metrics
-	routing  *service.Metrics
+	opts           Options
+	store          *accepted.Store
+	explain        *explain.Store
+	follower       *follow.Follower
+	listing        *listing.Table
+	membership     *membership
+	writer         *writes.Writer
+	steerer        *steer.Steerer
+	drain          *drainer.Drainer
+	metrics        *metrics.Metrics
+	serviceMetrics *service.Metrics
 
 	mu       sync.RWMutex
 	services map[string]*service.Service
@@ -65,19 +65,19 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{opts: opts, explain: explain.New(explanations), services: map[string]*service.Service{}, steerer: steer.New(steer.Options{})}
+	h := &Host{opts: opts, explain: explain.New(maxExplanations), services: map[string]*service.Service{}, steerer: steer.New(steer.Options{})}
 	h.drain = h.newDrainer()
-	h.counts = h.newMetrics()
-	h.routing = service.NewMetrics(h.counts.Registry())
-	h.store = accepted.New(h.inForce)
+	h.metrics = h.newMetrics()
+	h.serviceMetrics = service.NewMetrics(h.metrics.Registry())
+	h.store = accepted.New(h.applyGeneration)
 	h.listing = listing.New(opts.Clock)
 	h.follower = h.follow(client)
-	h.joined, err = join(opts, client, h.store, h.listing, h.follower.Replicas)
+	h.membership, err = join(opts, client, h.store, h.listing, h.follower.Replicas)
 	if err != nil {
 		return nil, err
 	}
-	h.joined.status = h.status(client)
-	h.counts.Registry().MustRegister(h.joined.peers.Collectors()...)
+	h.membership.status = h.status(client)
+	h.metrics.Registry().MustRegister(h.membership.peers.Collectors()...)
 	h.writer = h.newWriter()
 	return h, nil
 }
@@ -86,17 +86,17 @@
 func (h *Host) Run(ctx context.Context) error {
 	srv := callers.New(callers.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Listen: h.opts.Listen, NewID: rand.Text, Explain: h.explain,
-		Metrics: h.counts.Registry(), Answered: h.counts.Answered, Service: h.service, Ready: h.ready,
-		Addresses: h.addresses, Refresh: h.refresh, Filter: h.drain.Filter, Write: h.writer.Write,
+		Metrics: h.metrics.Registry(), Answered: h.metrics.Answered, Service: h.service, Ready: h.ready,
+		Addresses: h.addresses, Refresh: h.needsRefresh, Filter: h.drain.Filter, Write: h.writer.Write,
 	})
 	// The end of ctx is a graceful stop, which must not cancel the requests in flight.
-	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	var duties sync.WaitGroup
-	duties.Go(func() { h.runPeers(own) })
-	h.warm(ctx)
-	duties.Go(func() { h.reportLoad(own) })
-	app := kratos.New(kratos.Context(own), kratos.Name("entry"), kratos.Server(srv),
+	var tasks sync.WaitGroup
+	tasks.Go(func() { h.runPeers(runCtx) })
+	h.warmUp(ctx)
+	tasks.Go(func() { h.updateLoad(runCtx) })
+	app := kratos.New(kratos.Context(runCtx), kratos.Name("entry"), kratos.Server(srv),
 		kratos.BeforeStop(h.drain.Leave), kratos.StopTimeout(stopTimeout))
 	stop := context.AfterFunc(ctx, func() { _ = app.Stop() })
 	defer stop()
@@ -104,7 +104,7 @@
 	err := app.Run()
 	h.writer.Wait()
 	cancel()
-	duties.Wait()
+	tasks.Wait()
 	events.Stopped.Log(h.opts.Log)
 	if err != nil {
 		return fmt.Errorf("host %s: %w", h.opts.Listen, err)
@@ -112,12 +112,12 @@
 	return nil
 }
 
-// inForce puts a generation of a service's document in force.
-func (h *Host) inForce(gen accepted.Generation) {
+// applyGeneration puts a generation of a service's document in force.
+func (h *Host) applyGeneration(gen accepted.Generation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	events.ConfigInForce.Log(h.opts.Log, "service", gen.Service, "number", gen.Number)
-	h.joined.peers.InForce(gen)
+	h.membership.peers.InForce(gen)
 	if s := h.services[gen.Service]; s != nil {
 		s.SetGeneration(gen)
 		return
@@ -139,14 +139,14 @@
 	return h.services[name]
 }
 
-// replicas updates the replicas of all services from the platform's list.
-func (h *Host) replicas(ctx context.Context, list []platform.Replica) {
+// updateReplicas updates the replicas of all services from the platform's list.
+func (h *Host) updateReplicas(ctx context.Context, list []platform.Replica) {
 	byService := map[string][]platform.Replica{}
 	for _, r := range list {
 		byService[r.Service] = append(byService[r.Service], r)
 	}
 	var wg sync.WaitGroup
-	for name, s := range h.all() {
+	for name, s := range h.allServices() {
 		wg.Go(func() { s.Update(ctx, byService[name]) })
 	}
 	wg.Wait()
--- a/entry/internal/host/peers.go
+++ b/entry/internal/host/membership.go
@@ -22,8 +22,8 @@
 	"guavaspring.org/entry/internal/status"
 )
 
-// joined holds this host's membership: the member list, the connections to other hosts and the data shared with them.
-type joined struct {
+// membership holds the member list, the connections to other hosts and the data shared with them.
+type membership struct {
 	opts   Options
 	list   *member.List
 	rumors *rumor.Store
@@ -31,18 +31,18 @@
 	status *status.Writer
 	// directory finds hosts that are not in the settings.
 	directory *directory.Directory
-	// drained queues draining replicas for publication to the other hosts.
-	drained *ring.Ring[drained]
+	// draining queues draining replicas for publication to the other hosts.
+	draining *ring.Ring[drainingReplica]
 }
 
 // join opens the port for other hosts; the host joins the others once runPeers is called.
-func join(opts Options, client *platform.Client, store *accepted.Store, rows *listing.Table, replicas func() []platform.Replica) (*joined, error) {
+func join(opts Options, client *platform.Client, store *accepted.Store, rows *listing.Table, replicas func() []platform.Replica) (*membership, error) {
 	var cfg net.ListenConfig
 	l, err := cfg.Listen(context.Background(), "tcp", opts.Peer.String())
 	if err != nil {
 		return nil, fmt.Errorf("listen for other hosts: %w", err)
 	}
-	j := &joined{opts: opts, drained: ring.New[drained](drainedQueue)}
+	j := &membership{opts: opts, draining: ring.New[drainingReplica](drainingQueueSize)}
 	self := member.Host{ID: rand.Text(), Caller: opts.Listen, Peer: opts.Peer, Zone: opts.Zone, Region: opts.Region}
 	j.list = member.New(member.Options{Self: self, Rand: member.NewRand(), Changed: memberlog.Changed(opts.Log)})
 	j.directory = directory.New(directory.Options{
@@ -59,35 +59,35 @@
 // follow returns the follower that applies changes of the platform's objects to this host.
 func (h *Host) follow(client *platform.Client) *follow.Follower {
 	return follow.New(follow.Options{
-		Clock: h.opts.Clock, Log: h.opts.Log, Platform: client, Store: h.store, Replicas: h.replicasRead,
+		Clock: h.opts.Clock, Log: h.opts.Log, Platform: client, Store: h.store, Replicas: h.applyReplicaList,
 		Self: h.Self, Hosts: h.Hosts, Listing: h.listing,
-		ReplicasRead: func(rows []listing.Row) { h.joined.peers.ReplicasRead(rows) },
-		AskReplicas:  func(ctx context.Context) ([]platform.Replica, error) { return h.joined.peers.AskReplicas(ctx) },
+		ReplicasRead: func(rows []listing.Row) { h.membership.peers.ReplicasRead(rows) },
+		AskReplicas:  func(ctx context.Context) ([]platform.Replica, error) { return h.membership.peers.AskReplicas(ctx) },
 	})
 }
 
 // runPeers runs membership, the directory, the status writer and the follower of the platform until ctx ends.
 func (h *Host) runPeers(ctx context.Context) {
-	h.Subscribe(rumor.KindDraining, h.hearDraining)
-	h.Subscribe(rumor.KindQuarantine, h.hearQuarantine)
-	var duties sync.WaitGroup
-	duties.Go(func() { h.tellDraining(ctx) })
-	duties.Go(func() { h.joined.peers.Run(ctx) })
-	duties.Go(func() { h.joined.directory.Run(ctx) })
-	duties.Go(func() { h.joined.status.Run(ctx) })
-	duties.Go(func() { h.follower.ReadAccepted(ctx) })
-	duties.Go(func() { h.follower.WatchAccepted(ctx) })
-	duties.Go(func() { h.follower.WatchDocuments(ctx) })
-	duties.Go(func() { h.follower.Judge(ctx) })
-	duties.Go(func() { h.follower.PollReplicas(ctx) })
-	duties.Wait()
+	h.Subscribe(rumor.KindDraining, h.applyDrainingRumor)
+	h.Subscribe(rumor.KindQuarantine, h.applyQuarantineRumor)
+	var tasks sync.WaitGroup
+	tasks.Go(func() { h.publishDraining(ctx) })
+	tasks.Go(func() { h.membership.peers.Run(ctx) })
+	tasks.Go(func() { h.membership.directory.Run(ctx) })
+	tasks.Go(func() { h.membership.status.Run(ctx) })
+	tasks.Go(func() { h.follower.ReadAccepted(ctx) })
+	tasks.Go(func() { h.follower.WatchAccepted(ctx) })
+	tasks.Go(func() { h.follower.WatchDocuments(ctx) })
+	tasks.Go(func() { h.follower.Judge(ctx) })
+	tasks.Go(func() { h.follower.PollReplicas(ctx) })
+	tasks.Wait()
 }
 
 // status returns the writer of the services' statuses.
 func (h *Host) status(client *platform.Client) *status.Writer {
 	return status.New(status.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Get: client.Get, Put: client.Put, Self: h.Self, Hosts: h.Hosts,
-		Era: client.Era, First: h.follower.First, Services: h.serviceNames, Report: h.report, Number: h.joined.peers.Number,
+		Era: client.Era, First: h.follower.First, Services: h.serviceNames, Report: h.report, Number: h.membership.peers.Number,
 	})
 }
 
@@ -113,16 +113,18 @@
 }
 
 // Publish sends a rumor to all hosts.
-func (h *Host) Publish(r rumor.Rumor) error { return h.joined.peers.Publish(r) }
+func (h *Host) Publish(r rumor.Rumor) error { return h.membership.peers.Publish(r) }
 
 // Subscribe calls f for each present and future rumor of a kind.
-func (h *Host) Subscribe(kind rumor.Kind, f func(rumor.Rumor)) { h.joined.rumors.Subscribe(kind, f) }
+func (h *Host) Subscribe(kind rumor.Kind, f func(rumor.Rumor)) {
+	h.membership.rumors.Subscribe(kind, f)
+}
 
 // leave announces to the other hosts that this one is stopping.
-func (j *joined) leave(ctx context.Context) { j.peers.Leave(ctx) }
+func (j *membership) leave(ctx context.Context) { j.peers.Leave(ctx) }
 
 // Hosts returns all hosts that are not dead, including this one.
-func (h *Host) Hosts() []member.Host { return h.joined.list.Hosts() }
+func (h *Host) Hosts() []member.Host { return h.membership.list.Hosts() }
 
 // Self returns this host's row of the member list.
-func (h *Host) Self() member.Host { return h.joined.list.Self() }
+func (h *Host) Self() member.Host { return h.membership.list.Self() }
--- a/entry/internal/host/routing.go
+++ b/entry/internal/host/routing.go
@@ -6,6 +6,6 @@
 func (h *Host) serviceOptions() service.Options {
 	return service.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Explain: h.explain, NewID: h.explanationID,
-		Metrics: h.routing, Zone: h.opts.Zone, Draining: h.noteDraining, Publish: h.tellQuarantine,
+		Metrics: h.serviceMetrics, Zone: h.opts.Zone, Draining: h.queueDraining, Publish: h.publishQuarantine,
 	}
 }
--- a/entry/internal/host/steer.go
+++ b/entry/internal/host/steer.go
@@ -15,8 +15,8 @@
 	"guavaspring.org/entry/internal/ticket"
 )
 
-// loadEvery is the time between two updates of this host's load in the member list.
-const loadEvery = time.Second
+// loadInterval is the time between two updates of this host's load in the member list.
+const loadInterval = time.Second
 
 // addresses returns the hosts that a caller should use for a service, with write tickets if it asks for them.
 func (h *Host) addresses(req callers.AddressRequest) (caller.Addresses, error) {
@@ -35,7 +35,7 @@
 	for _, c := range picked.Choices {
 		addr := caller.Address{Address: c.Host.Caller, Zone: c.Host.Zone, Weight: c.Weight}
 		if doc.Writes.Enabled {
-			addr.Tickets = h.tickets(c.Host.ID, req.Service, req.Tickets, doc.Writes.TicketLife.Std())
+			addr.Tickets = h.newTickets(c.Host.ID, req.Service, req.Tickets, doc.Writes.TicketLife.Std())
 		}
 		ans.Addresses = append(ans.Addresses, addr)
 		ids = append(ids, c.Host.Caller.String())
@@ -44,8 +44,8 @@
 	return ans, nil
 }
 
-// tickets returns n new write tickets for one incarnation of a host.
-func (h *Host) tickets(incarnation, service string, n int, life time.Duration) []string {
+// newTickets returns n new write tickets for one incarnation of a host.
+func (h *Host) newTickets(incarnation, service string, n int, life time.Duration) []string {
 	list := make([]string, n)
 	for i := range list {
 		list[i] = ticket.Mint(incarnation, service, h.opts.Clock.Now(), life)
@@ -53,8 +53,8 @@
 	return list
 }
 
-// refresh reports whether callers of a service at this host should request new addresses.
-func (h *Host) refresh(service string) bool {
+// needsRefresh reports whether callers of a service at this host should request new addresses.
+func (h *Host) needsRefresh(service string) bool {
 	s := h.service(service)
 	if s == nil {
 		return false
@@ -62,24 +62,24 @@
 	return !h.steerer.Serves(h.Hosts(), h.Self(), service, s.Generation().Document.Upstream.EntryHosts)
 }
 
-// reportLoad keeps this host's load in the member list up to date until ctx ends.
-func (h *Host) reportLoad(ctx context.Context) {
+// updateLoad keeps this host's load in the member list up to date until ctx ends.
+func (h *Host) updateLoad(ctx context.Context) {
 	for {
 		select {
-		case <-h.opts.Clock.After(loadEvery):
+		case <-h.opts.Clock.After(loadInterval):
 			load := 0.0
-			for _, s := range h.all() {
+			for _, s := range h.allServices() {
 				load = max(load, s.Admission().Load())
 			}
-			h.joined.list.SetLoad(load)
+			h.membership.list.SetLoad(load)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// all returns a copy of the services by name.
-func (h *Host) all() map[string]*service.Service {
+// allServices returns a copy of the services by name.
+func (h *Host) allServices() map[string]*service.Service {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	services := make(map[string]*service.Service, len(h.services))
@@ -95,7 +95,7 @@
 		Running: h.drain.Running,
 		Gates: func() map[string]admission.Stats {
 			stats := map[string]admission.Stats{}
-			for name, s := range h.all() {
+			for name, s := range h.allServices() {
 				stats[name] = s.Admission().Stats()
 			}
 			return stats
--- a/entry/internal/host/stop.go
+++ b/entry/internal/host/stop.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// heardBy is the time until all other hosts have received that this one is leaving; docs/operating/stop.md describes
-	// what an operator sees in the meantime.
-	heardBy = 2 * time.Second
-	// mostGrace bounds the wait for callers to leave, as they may keep addresses for up to an hour.
-	mostGrace = 15 * time.Second
+	// leavePropagation is the time until all other hosts have received that this one is leaving; docs/operating/stop.md
+	// describes what an operator sees in the meantime.
+	leavePropagation = 2 * time.Second
+	// maxGrace bounds the wait for callers to leave, as they may keep addresses for up to an hour.
+	maxGrace = 15 * time.Second
 	// stopTimeout is the longest deadline that a document allows, plus a second for the response.
 	stopTimeout = time.Minute + time.Second
 )
 
 // newDrainer returns the drainer that takes this host out of service.
 func (h *Host) newDrainer() *drainer.Drainer {
-	return drainer.New(drainer.Options{Clock: h.opts.Clock, Announce: h.announce, Grace: h.grace, Alone: h.alone})
+	return drainer.New(drainer.Options{Clock: h.opts.Clock, Announce: h.announceLeaving, Grace: h.grace, Alone: h.noOtherAlive})
 }
 
-// announce tells the other hosts that this one is leaving.
-func (h *Host) announce(ctx context.Context) {
+// announceLeaving tells the other hosts that this one is leaving.
+func (h *Host) announceLeaving(ctx context.Context) {
 	events.Stopping.Log(h.opts.Log, "in_flight", h.drain.Running(), "grace", h.grace().String())
-	h.joined.leave(ctx)
+	h.membership.leave(ctx)
 }
 
-// grace returns how long callers that have just received this host's address may keep it, at most mostGrace.
+// grace returns how long callers that have just received this host's address may keep it, at most maxGrace.
 func (h *Host) grace() time.Duration {
 	var keep time.Duration
 	for _, gen := range h.store.All() {
 		keep = max(keep, gen.Document.Addresses.Keep.Std())
 	}
-	return min(keep+heardBy, mostGrace)
+	return min(keep+leavePropagation, maxGrace)
 }
 
-// alone reports whether no other host is alive, so that callers have no other to move to.
-func (h *Host) alone() bool {
+// noOtherAlive reports whether no other host is alive, so that callers have no other to move to.
+func (h *Host) noOtherAlive() bool {
 	self := h.Self()
 	for _, other := range h.Hosts() {
 		if other.ID != self.ID && other.State == member.StateAlive {
--- a/entry/internal/host/writes.go
+++ b/entry/internal/host/writes.go
@@ -11,7 +11,7 @@
 func (h *Host) newWriter() *writes.Writer {
 	return writes.New(writes.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Explain: h.explain, NewID: h.explanationID,
-		Book: ticket.NewBook(h.Self().ID, ticket.DefaultRecords),
+		Book: ticket.NewBook(h.Self().ID, ticket.DefaultMaxRecords),
 		Upstream: func(name string) (writes.Upstream, bool) {
 			s := h.service(name)
 			if s == nil {
@@ -19,12 +19,12 @@
 			}
 			return s.Writes(), true
 		},
-		Where: h.whereIs,
+		Where: h.callerAddr,
 	})
 }
 
-// whereIs returns the caller address of an incarnation that is not dead.
-func (h *Host) whereIs(incarnation string) (string, bool) {
+// callerAddr returns the caller address of an incarnation that is not dead.
+func (h *Host) callerAddr(incarnation string) (string, bool) {
 	for _, m := range h.Hosts() {
 		if m.ID == incarnation && m.State != member.StateDead {
 			return m.Caller.String(), true
--- a/entry/internal/ticket/book.go
+++ b/entry/internal/ticket/book.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// retain is how long a record is kept after its ticket expires, so that a late resend still gets its outcome.
-	retain = 2 * time.Minute
-	// skew is the largest accepted lead of a ticket's issue time over this host's clock.
-	skew = 5 * time.Second
-	// maxResult and maxResults bound the results that are kept for resends, in bytes: each one and all together.
-	maxResult  = 4 << 10
-	maxResults = 8 << 20
-	// DefaultRecords is the default capacity of a book. At 462 bytes a record (BenchmarkClaim) it takes 15 MB, and with
-	// tickets of 30 s it allows 218 writes a second on one host.
-	DefaultRecords = 32768
-	// fullRetry is the retry delay sent by a host whose book is full; records expire all the time.
-	fullRetry = time.Second
+	// recordRetention is how long a record is kept after its ticket expires, so that a late resend still gets its
+	// outcome.
+	recordRetention = 2 * time.Minute
+	// maxClockLead is the largest accepted lead of a ticket's issue time over this host's clock.
+	maxClockLead = 5 * time.Second
+	// maxResultBytes and maxTotalResultBytes bound the results that are kept for resends, each one and all together.
+	maxResultBytes      = 4 << 10
+	maxTotalResultBytes = 8 << 20
+	// DefaultMaxRecords is the default capacity of a book. At 462 bytes a record (BenchmarkClaim) it takes 15 MB, and
+	// with tickets of 30 s it allows 218 writes a second on one host.
+	DefaultMaxRecords = 32768
+	// fullRetryDelay is the retry delay sent by a host whose book is full; records expire all the time.
+	fullRetryDelay = time.Second
 )
 
 // Outcome is the outcome of a write as sent to its caller.
@@ -36,7 +37,7 @@
 // Entry is the record of one used ticket.
 type Entry struct {
 	digest  uint64
-	drop    int64
+	dropAt  int64
 	key     string
 	settled bool
 	done    chan struct{}
@@ -78,23 +79,23 @@
 //
 // It prevents duplicate writes by callers that resend after a lost reply, out of order or late. Its memory is bounded:
 // a full book rejects new tickets and never drops a record early. A rejection must be final but can't be recorded in a
-// full book, so the book stores one time, the fence, and rejects all unrecorded tickets issued up to it. The book's
+// full book, so the book stores one time, voidedUntil, and rejects all unrecorded tickets issued up to it. The book's
 // clock never goes back: an expired ticket stays expired when the wall clock is set back.
 type Book struct {
-	self string
-	most int
-
-	mu      sync.Mutex
-	entries map[string]*Entry
-	byDrop  dropHeap
-	latest  int64
-	fence   int64
-	results int
+	self       string
+	maxRecords int
+
+	mu          sync.Mutex
+	entries     map[string]*Entry
+	byDropTime  dropHeap
+	clockMillis int64
+	voidedUntil int64
+	resultBytes int
 }
 
 // NewBook returns an empty book of the incarnation self that holds at most records entries.
 func NewBook(self string, records int) *Book {
-	return &Book{self: self, most: records, entries: map[string]*Entry{}}
+	return &Book{self: self, maxRecords: records, entries: map[string]*Entry{}}
 }
 
 // Claim decides on a presented ticket; digest is a hash of the body, so that a ticket can't be used for two writes.
@@ -113,20 +114,20 @@
 	defer b.mu.Unlock()
 	b.advance(now)
 	if e := b.entries[raw]; e != nil {
-		return resent(t, e, digest)
+		return claimResent(t, e, digest)
 	}
-	return b.first(t, raw, digest)
+	return b.claimNew(t, raw, digest)
 }
 
 // Settle records the outcome of a write that Claim returned ActionRun for.
 func (b *Book) Settle(e *Entry, out Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(out.Result) > maxResult || b.results+len(out.Result) > maxResults {
+	if len(out.Result) > maxResultBytes || b.resultBytes+len(out.Result) > maxTotalResultBytes {
 		// Callers that wait get the result from the run itself; a later resend gets only the outcome.
 		out.Result = nil
 	}
-	b.results += len(out.Result)
+	b.resultBytes += len(out.Result)
 	e.outcome, e.settled = out, true
 	close(e.done)
 }
@@ -138,40 +139,40 @@
 	return len(b.entries)
 }
 
-// first decides on a ticket without a record.
-func (b *Book) first(t Ticket, raw string, digest uint64) Claim {
+// claimNew decides on a ticket without a record.
+func (b *Book) claimNew(t Ticket, raw string, digest uint64) Claim {
 	switch {
-	case b.latest >= t.Expires.Add(retain).UnixMilli():
+	case b.clockMillis >= t.Expires.Add(recordRetention).UnixMilli():
 		return answer(t, caller.WriteUnknown, "the ticket expired so long ago that this host would have forgotten its use", 0)
-	case b.latest >= t.Expires.UnixMilli():
+	case b.clockMillis >= t.Expires.UnixMilli():
 		return notRun(t, "the ticket expired before it was used", 0)
-	case t.Issued.UnixMilli() <= b.fence:
-		return notRun(t, "the ticket was voided while this host's record of writes was full; ask for a new one", fullRetry)
-	case t.Issued.UnixMilli() > b.latest+skew.Milliseconds():
-		ahead := time.Duration(t.Issued.UnixMilli()-b.latest) * time.Millisecond
+	case t.Issued.UnixMilli() <= b.voidedUntil:
+		return notRun(t, "the ticket was voided while this host's record of writes was full; ask for a new one", fullRetryDelay)
+	case t.Issued.UnixMilli() > b.clockMillis+maxClockLead.Milliseconds():
+		ahead := time.Duration(t.Issued.UnixMilli()-b.clockMillis) * time.Millisecond
 		return answer(t, caller.WriteUnknown, "the ticket's issue time is ahead of this host's clock; it may run here later", ahead)
-	case len(b.entries) >= b.most:
-		b.fence = t.Issued.UnixMilli()
-		return notRun(t, "this host's record of writes is full; ask for a new ticket", fullRetry)
+	case len(b.entries) >= b.maxRecords:
+		b.voidedUntil = t.Issued.UnixMilli()
+		return notRun(t, "this host's record of writes is full; ask for a new ticket", fullRetryDelay)
 	}
-	e := &Entry{digest: digest, drop: t.Expires.Add(retain).UnixMilli(), key: raw, done: make(chan struct{})}
+	e := &Entry{digest: digest, dropAt: t.Expires.Add(recordRetention).UnixMilli(), key: raw, done: make(chan struct{})}
 	b.entries[raw] = e
-	heap.Push(&b.byDrop, e)
+	heap.Push(&b.byDropTime, e)
 	return Claim{Action: ActionRun, Ticket: t, Entry: e}
 }
 
 // advance moves the book's clock forward and drops the settled records whose retention is over.
 func (b *Book) advance(now time.Time) {
-	b.latest = max(b.latest, now.UnixMilli())
-	for len(b.byDrop) > 0 && b.byDrop[0].settled && b.byDrop[0].drop <= b.latest {
-		e := heap.Pop(&b.byDrop).(*Entry)
-		b.results -= len(e.outcome.Result)
+	b.clockMillis = max(b.clockMillis, now.UnixMilli())
+	for len(b.byDropTime) > 0 && b.byDropTime[0].settled && b.byDropTime[0].dropAt <= b.clockMillis {
+		e := heap.Pop(&b.byDropTime).(*Entry)
+		b.resultBytes -= len(e.outcome.Result)
 		delete(b.entries, e.key)
 	}
 }
 
-// resent decides on a ticket with a record.
-func resent(t Ticket, e *Entry, digest uint64) Claim {
+// claimResent decides on a ticket with a record.
+func claimResent(t Ticket, e *Entry, digest uint64) Claim {
 	if e.digest != digest {
 		return notRun(t, "the ticket was used for another write", 0)
 	}
@@ -190,7 +191,7 @@
 type dropHeap []*Entry
 
 func (h dropHeap) Len() int           { return len(h) }
-func (h dropHeap) Less(i, j int) bool { return h[i].drop < h[j].drop }
+func (h dropHeap) Less(i, j int) bool { return h[i].dropAt < h[j].dropAt }
 func (h dropHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push appends x for container/heap.
--- a/entry/internal/ticket/ticket.go
+++ b/entry/internal/ticket/ticket.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	format    = "t1"
-	separator = "."
-	fields    = 6
-	maxLen    = 256
+	formatVersion  = "t1"
+	separator      = "."
+	fieldCount     = 6
+	maxTicketBytes = 256
 )
 
 // MaxLife is the longest lifetime of a ticket, and the longest that a document may configure.
@@ -34,7 +34,7 @@
 	issued := now.UnixMilli()
 	expires := now.Add(min(life, MaxLife)).UnixMilli()
 	return strings.Join([]string{
-		format, incarnation, service, strconv.FormatInt(issued, 10), strconv.FormatInt(expires, 10), rand.Text(),
+		formatVersion, incarnation, service, strconv.FormatInt(issued, 10), strconv.FormatInt(expires, 10), rand.Text(),
 	}, separator)
 }
 
@@ -43,11 +43,11 @@
 	if s == "" {
 		return Ticket{}, fmt.Errorf("a write needs a ticket from an address answer")
 	}
-	if len(s) > maxLen {
-		return Ticket{}, fmt.Errorf("the ticket is %d bytes long; want at most %d", len(s), maxLen)
+	if len(s) > maxTicketBytes {
+		return Ticket{}, fmt.Errorf("the ticket is %d bytes long; want at most %d", len(s), maxTicketBytes)
 	}
 	parts := strings.Split(s, separator)
-	if len(parts) != fields || parts[0] != format {
+	if len(parts) != fieldCount || parts[0] != formatVersion {
 		return Ticket{}, fmt.Errorf("the ticket is not one that a host handed out")
 	}
 	issued, err1 := strconv.ParseInt(parts[3], 10, 64)
--- a/entry/internal/ticket/ticket_test.go
+++ b/entry/internal/ticket/ticket_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// BenchmarkClaim measures the time and memory of one record; DefaultRecords depends on the latter.
+// BenchmarkClaim measures the time and memory of one record; DefaultMaxRecords depends on the latter.
 func BenchmarkClaim(b *testing.B) {
 	now := time.Now()
 	book := NewBook("HOST", b.N+1)
