--- a/entry/internal/front/metrics.go
+++ b/entry/internal/front/metrics.go
@@ -11,19 +11,21 @@
 	"guavaspring.org/entry/internal/requestlog"
 )
 
+// newMetrics returns the metrics of this host.
 func (f *Front) newMetrics() *frontmetrics.Metrics {
 	return frontmetrics.New(frontmetrics.Options{
 		StoreCalls: f.opts.StoreCalls, ConfigVersion: f.configVersion, ConfigAge: f.configAge, ReplicasAge: f.replicasAge,
 		EvacuationsAge: f.evacuationsAge, EvacuatedZones: func() int { return len(f.zones.Names()) },
-		Hosts: f.joined.count, Running: f.drain.Running, Gathers: f.gathers.Running, Connections: f.table.Dialed,
-		LinesSkipped: f.log.Skipped, LinesLost: f.opts.LinesLost, More: append(f.joined.peers.Collectors(), f.opts.Traffic.Collectors()...),
+		Hosts: f.membership.hostCount, Running: f.drain.Running, Subqueries: f.subqueryServer.Running, Connections: f.table.Dialed,
+		LinesSkipped: f.log.Skipped, LinesLost: f.opts.LinesLost, Collectors: append(f.membership.peers.Collectors(), f.opts.Traffic.Collectors()...),
 	})
 }
 
-// ended counts a request and adds how fresh this host's knowledge was.
-func (f *Front) ended(e *requestlog.Entry) {
+// recordEnded records a request in the metrics and adds the age of the configuration and of the replicas to its log
+// entry.
+func (f *Front) recordEnded(e *requestlog.Entry) {
 	e.ConfigAge, e.ReplicasAge = f.configAge(), f.replicasAge()
-	f.counts.Forwarded(e)
+	f.metrics.RecordForwarded(e)
 }
 
 func (f *Front) configVersion() int64 {
@@ -33,31 +35,34 @@
 	return 0
 }
 
-func (f *Front) configAge() time.Duration { return age(f.opts.Clock.Now(), f.joined.configs) }
+func (f *Front) configAge() time.Duration { return age(f.opts.Clock.Now(), f.membership.configs) }
 
-func (f *Front) replicasAge() time.Duration { return age(f.opts.Clock.Now(), f.joined.replicas) }
+func (f *Front) replicasAge() time.Duration { return age(f.opts.Clock.Now(), f.membership.replicas) }
 
-func (f *Front) evacuationsAge() time.Duration { return age(f.opts.Clock.Now(), f.joined.evacuations) }
+func (f *Front) evacuationsAge() time.Duration {
+	return age(f.opts.Clock.Now(), f.membership.evacuations)
+}
 
-// never is the age of what was never known.
-const never = -time.Second
+// neverConfirmed is the age of a copy that has not been loaded yet.
+const neverConfirmed = -time.Second
 
-// age returns how long before now the store was known to hold nothing newer than a copy.
+// age returns the time since a copy was last confirmed to be as new as the store.
 func age[T any](now time.Time, c *relay.Copy[T]) time.Duration {
 	st, _ := c.State()
 	if st.Confirmed.IsZero() {
-		return never
+		return neverConfirmed
 	}
 	return now.Sub(st.Confirmed)
 }
 
-// costsEvery is how often the log says what the host costs: often enough to tell the start of a host from what follows.
-const costsEvery = 15 * time.Second
+// costsInterval is the time between two log lines of the host's costs, short enough to tell the costs of its start
+// from those that follow.
+const costsInterval = 15 * time.Second
 
-// tellCosts writes what the host costs until ctx ends, and then once more.
-func (f *Front) tellCosts(ctx context.Context) {
+// logCosts logs the host's traffic and store calls until ctx ends, and once more at the end.
+func (f *Front) logCosts(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, f.opts.Clock, costsEvery)
+		clock.Sleep(ctx, f.opts.Clock, costsInterval)
 		kv := f.opts.Traffic.Fields()
 		for _, n := range f.opts.StoreCalls() {
 			kv = append(kv, "store_"+n.For, n.Calls)
--- a/entry/internal/front/quarantine.go
+++ b/entry/internal/front/quarantine.go
@@ -6,23 +6,23 @@
 	"guavaspring.org/entry/internal/rumor"
 )
 
-// opaqueRequests stands for the service in what hosts tell each other of opaque requests: a fingerprint names the host
-// and the path too.
-const opaqueRequests = "opaque"
+// opaqueService is the service name in quarantine rumors of opaque requests; the fingerprint already covers the host
+// and the path of a request.
+const opaqueService = "opaque"
 
-// newQuarantine returns the quarantine of opaque requests, which all hosts share.
+// newQuarantine returns the quarantine of opaque requests, which the hosts share by rumors.
 func (f *Front) newQuarantine() *quarantine.Quarantine {
 	return quarantine.New(quarantine.Options{
-		Clock: f.opts.Clock, Service: opaqueRequests, Publish: f.tellQuarantine,
+		Clock: f.opts.Clock, Service: opaqueService, Publish: f.publishQuarantine,
 		Judged: func(fp, why string) {
-			events.Quarantined.Log(f.opts.Log, "service", opaqueRequests, "fingerprint", fp, "why", why)
+			events.Quarantined.Log(f.opts.Log, "service", opaqueService, "fingerprint", fp, "why", why)
 		},
 	})
 }
 
-// tellQuarantine tells the other hosts of a request that crashes replicas: its caller may turn to any of them next.
-func (f *Front) tellQuarantine(r rumor.Rumor) {
-	if err := f.joined.peers.Publish(r); err != nil {
+// publishQuarantine sends the other hosts a request that crashes replicas, as its client may retry at any of them.
+func (f *Front) publishQuarantine(r rumor.Rumor) {
+	if err := f.membership.peers.Publish(r); err != nil {
 		events.QuarantineUntold.Log(f.opts.Log, "fingerprint", r.Key, "reason", err.Error())
 	}
 }
--- a/entry/internal/front/subqueries_test.go
+++ b/entry/internal/front/subqueries_test.go
@@ -20,8 +20,8 @@
 	return list
 }
 
-// Hundreds of hosts send parts of their queries to others. Each uses a few of a zone, so that connections stay in use,
-// and not all the same ones.
+// Guards against subqueries spread over too many hosts, which leaves connections idle, and against all hosts choosing
+// the same few: each host uses a few hosts of a zone, and together they use most.
 func TestSubqueriesGoToFewHosts(t *testing.T) {
 	for _, n := range []int{6, 15, 84, 295} {
 		hosts := inZones(n, "a", "b", "c")
@@ -31,7 +31,7 @@
 			qt.Check(t, len(z.names), qt.Equals, 2)
 			for name, list := range z.hosts {
 				qt.Check(t, name, qt.Not(qt.Equals), self.Zone)
-				qt.Check(t, len(list) <= fewPeers && len(list) > 0, qt.IsTrue)
+				qt.Check(t, len(list) <= maxPeersPerZone && len(list) > 0, qt.IsTrue)
 				for _, h := range list {
 					qt.Check(t, h.Zone, qt.Equals, name)
 					used[h.ID]++
@@ -45,22 +45,22 @@
 	qt.Check(t, byZone(member.Host{ID: "self", Zone: "a", Region: "r"}, elsewhere).hosts["b"], qt.HasLen, 2)
 }
 
-// A host does not answer. Parts of queries go to others of its zone until it has had time to be found out, and then to
-// it again.
+// Guards against subqueries to a host that did not answer: they skip it until the member list has had time to drop it,
+// and use it again afterwards.
 func TestHostThatDidNotAnswerRests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := byZone(member.Host{ID: "self", Zone: "a", Region: "r"}, inZones(2, "b"))
-		s := &subqueryPeers{clock: clock.System{}, resting: map[string]time.Time{}, hosts: func() zoneHosts { return z }}
-		s.failed("h0")
+		s := &subqueryPeers{clock: clock.System{}, backoff: map[string]time.Time{}, hosts: func() zoneHosts { return z }}
+		s.markFailed("h0")
 		for range 20 {
 			p, ok := s.peer("b")
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, p.ID, qt.Equals, "h1")
 		}
-		s.failed("h1")
+		s.markFailed("h1")
 		_, ok := s.peer("b")
 		qt.Check(t, ok, qt.IsFalse)
-		time.Sleep(peerRest)
+		time.Sleep(peerBackoff)
 		_, ok = s.peer("b")
 		qt.Check(t, ok, qt.IsTrue)
 		_, ok = s.peer("c")
--- a/entry/internal/frontmetrics/metrics_test.go
+++ b/entry/internal/frontmetrics/metrics_test.go
@@ -24,12 +24,12 @@
 	return frontmetrics.New(frontmetrics.Options{
 		StoreCalls: func() []frontmetrics.StoreCalls { return []frontmetrics.StoreCalls{{For: "list_config", Calls: 3}} }, ConfigVersion: func() int64 { return 7 }, ConfigAge: age, ReplicasAge: age,
 		EvacuationsAge: age, EvacuatedZones: func() int { return 1 },
-		Hosts: func() int { return 6 }, Running: func() int { return 1 }, Gathers: func() int { return 4 }, Connections: none, LinesSkipped: none, LinesLost: none,
+		Hosts: func() int { return 6 }, Running: func() int { return 1 }, Subqueries: func() int { return 4 }, Connections: none, LinesSkipped: none, LinesLost: none,
 	})
 }
 
-// Pages went out whole, thin and not at all, and others were refused. An engineer on call reads from the metrics which
-// of these it was; shards count as left out where an answer lacked them, and not where there was no answer.
+// Complete, partial, failed and refused requests must be told apart in the metrics. A shard counts as missed only in a
+// partial response, not in a request without a response.
 func TestWhatHappenedIsCounted(t *testing.T) {
 	m := newMetrics()
 	page := &scatter.Query{Request: &opaque.Request{}, Route: &route.Route{Shards: []string{"a", "b", "c"}}, Shards: make([]*endpoints.Service, 3)}
@@ -42,9 +42,9 @@
 		{scatter.Report{Ending: scatter.Lost, Answered: 1}, http.StatusBadGateway},
 		{scatter.Report{Ending: scatter.Overload}, http.StatusServiceUnavailable},
 	} {
-		m.Forwarded(&requestlog.Entry{Query: page, Report: &e.rep, Status: e.status})
+		m.RecordForwarded(&requestlog.Entry{Query: page, Report: &e.rep, Status: e.status})
 	}
-	m.Refused(requestlog.Refusal{Cause: requestlog.CauseCrashes})
+	m.RecordRefused(requestlog.Refusal{Cause: requestlog.CauseCrashes})
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	got := strings.Split(w.Body.String(), "\n")
@@ -67,15 +67,15 @@
 	}
 }
 
-// Guards against a series on every host for each of thousands of customers.
+// Guards against an unbounded number of series on every host where a configuration has thousands of customers.
 func TestCustomersAreCountedWithinABound(t *testing.T) {
 	m := newMetrics()
 	for n := range 1000 {
-		m.Refused(requestlog.Refusal{Cause: requestlog.CauseAllowance, Customer: fmt.Sprint("customer-", n)})
+		m.RecordRefused(requestlog.Refusal{Cause: requestlog.CauseAllowance, Customer: fmt.Sprint("customer-", n)})
 	}
-	m.Refused(requestlog.Refusal{Cause: requestlog.CauseKey})
+	m.RecordRefused(requestlog.Refusal{Cause: requestlog.CauseKey})
 	query := &scatter.Query{Request: &opaque.Request{Customer: "customer-3"}, Route: &route.Route{}}
-	m.Forwarded(&requestlog.Entry{Query: query, Report: &scatter.Report{Ending: scatter.Complete}, Status: http.StatusOK})
+	m.RecordForwarded(&requestlog.Entry{Query: query, Report: &scatter.Report{Ending: scatter.Complete}, Status: http.StatusOK})
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	got := strings.Split(w.Body.String(), "\n")
@@ -90,10 +90,11 @@
 	qt.Check(t, strings.Count(w.Body.String(), "guavaspring_customer_requests_total{"), qt.Equals, 202)
 }
 
-// Guards against metrics that are cut off by those of the process: a collector that keeps 4 KB must see the host's own.
+// Guards against truncation of the host's own metrics: a collector that keeps the first 4 KB must get them before those
+// of the process.
 func TestOwnMetricsComeFirst(t *testing.T) {
 	m := newMetrics()
-	m.Older("config")()
+	m.OlderCounter("config")()
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 	body := w.Body.String()
--- a/entry/internal/ticket/ticket.go
+++ b/entry/internal/ticket/ticket.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	format    = "t1"
-	separator = "."
-	fields    = 6
-	maxLen    = 256
+	formatVersion  = "t1"
+	separator      = "."
+	fieldCount     = 6
+	maxTicketBytes = 256
 )
 
-// MaxLife is the longest life a ticket may have, the most that a document can ask for.
+// MaxLife is the longest lifetime of a ticket, and the longest that a document may configure.
 const MaxLife = 10 * time.Minute
 
 // Ticket is the right to run one write of one service at one incarnation of one host.
@@ -23,31 +23,31 @@
 	// Incarnation is the member.Host ID of the only process that may run the write.
 	Incarnation string
 	Service     string
-	// Issued and Expires are times of the host that minted the ticket.
+	// Issued and Expires are times by the clock of the host that issued the ticket.
 	Issued, Expires time.Time
-	// Random tells the ticket from every other one.
+	// Random makes the ticket unique.
 	Random string
 }
 
-// Mint returns a new ticket for service at the incarnation; it needs no word with that host.
+// Mint returns a new ticket for service at the incarnation, without a message to that host.
 func Mint(incarnation, service string, now time.Time, life time.Duration) string {
 	issued := now.UnixMilli()
 	expires := now.Add(min(life, MaxLife)).UnixMilli()
 	return strings.Join([]string{
-		format, incarnation, service, strconv.FormatInt(issued, 10), strconv.FormatInt(expires, 10), rand.Text(),
+		formatVersion, incarnation, service, strconv.FormatInt(issued, 10), strconv.FormatInt(expires, 10), rand.Text(),
 	}, separator)
 }
 
-// Parse reads what Mint wrote; what it rejects can never run on any host.
+// Parse decodes a ticket from Mint; a write whose ticket it rejects never runs on any host.
 func Parse(s string) (Ticket, error) {
 	if s == "" {
 		return Ticket{}, fmt.Errorf("a write needs a ticket from an address answer")
 	}
-	if len(s) > maxLen {
-		return Ticket{}, fmt.Errorf("the ticket is %d bytes long; want at most %d", len(s), maxLen)
+	if len(s) > maxTicketBytes {
+		return Ticket{}, fmt.Errorf("the ticket is %d bytes long; want at most %d", len(s), maxTicketBytes)
 	}
 	parts := strings.Split(s, separator)
-	if len(parts) != fields || parts[0] != format {
+	if len(parts) != fieldCount || parts[0] != formatVersion {
 		return Ticket{}, fmt.Errorf("the ticket is not one that a host handed out")
 	}
 	issued, err1 := strconv.ParseInt(parts[3], 10, 64)
