--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,4 @@
-// Command entry is the program of an entry host: it takes queries and writes from callers and runs them on upstream
-// replicas.
+// Command entry runs an entry host, which accepts queries and writes from callers and runs them on upstream replicas.
 package main
 
 import (
@@ -26,7 +25,7 @@
 	app := settings.New("entry", "Serves queries and writes of callers over the replicas of the services described on the platform.")
 	listen := settings.AddrPort(app.Flag("listen", "IP:port for callers and operators.").Required())
 	peer := settings.AddrPort(app.Flag("peer", "IP:port for the other hosts.").Required())
-	seeds := settings.AddrPorts(app.Flag("seeds", "IP:port,... of other hosts to join; more are found through the platform."))
+	seeds := settings.AddrPorts(app.Flag("seeds", "IP:port,... of other hosts to join; further hosts are discovered through the platform."))
 	plat := settings.AddrPort(app.Flag("platform", "IP:port of the platform's object API.").Required())
 	zone := settings.Name(app.Flag("zone", "Availability zone of this host.").Required())
 	region := settings.Name(app.Flag("region", "Region of this host.").Default("local"))
@@ -42,15 +41,15 @@
 		settings.Fail(os.Stderr, "entry", err)
 	}
 	if err := h.Run(context.Background()); err != nil {
-		log.Error(err, "host ended")
+		log.Error(err, "host failed")
 		os.Exit(1)
 	}
 }
 
-// logGrace is how long the end of the process waits for the reader of its log.
+// logGrace is the longest time for which the exiting process waits until the reader of its log takes the buffered lines.
 const logGrace = 100 * time.Millisecond
 
-// onPlatform runs the host that the settings file at path describes.
+// onPlatform runs a host with the settings file at path and exits with status 1 if the host fails.
 func onPlatform(path string) {
 	s, err := platsettings.Read(path)
 	if err != nil {
@@ -60,7 +59,7 @@
 	log := event.NewLogger(out)
 	err = runOnPlatform(context.Background(), path, s, log, out.Dropped)
 	if err != nil {
-		log.Error(err, "host ended")
+		log.Error(err, "host failed")
 	}
 	ready := make(chan struct{})
 	time.AfterFunc(logGrace, func() { close(ready) })
--- a/entry/onplatform.go
+++ b/entry/onplatform.go
@@ -23,13 +23,15 @@
 	"guavaspring.org/platform/wire"
 )
 
-// memoryPart is the part of the memory limit at which the collector works harder; the rest is for what it doesn't see.
+// memoryPart is the garbage collector's soft limit, above which it works harder, as a share of the process's memory
+// limit. The rest is left for memory that the collector does not account for.
 const memoryPart = 0.7
 
-// metricsPort is where metrics are published; deploy/system.toml tells it to those who read them.
+// metricsPort is the port that serves metrics. deploy/system.toml gives the same port to scrapers.
 const metricsPort = 9464
 
-// runOnPlatform runs a host that the platform's settings describe; lost counts the log lines that the output lost.
+// runOnPlatform runs a host with settings s, read from the file at path, until ctx ends. lost returns the number of log
+// lines that the output lost.
 func runOnPlatform(ctx context.Context, path string, s settings.Settings, log logr.Logger, lost func() uint64) error {
 	debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryBytes)))
 	seeds := &atomic.Pointer[[]netip.AddrPort]{}
@@ -59,7 +61,7 @@
 	return f.Run(ctx)
 }
 
-// storeCalls returns how many calls were made to the store, by what they are for.
+// storeCalls returns the number of calls to the store, by purpose.
 func storeCalls(c *store.Client) []frontmetrics.StoreCalls {
 	list := make([]frontmetrics.StoreCalls, len(store.AllCalls))
 	for i, what := range store.AllCalls {
@@ -68,8 +70,8 @@
 	return list
 }
 
-// reload reads the settings again at each SIGHUP until ctx ends. Of what may change while a process runs, only the
-// addresses of other hosts matter to it; the signal would otherwise end the process.
+// reload reads the settings file again at each SIGHUP until ctx ends and applies the seeds. The host uses no other
+// setting that may change while it runs. Without a handler SIGHUP would end the process.
 func reload(ctx context.Context, path string, seeds *atomic.Pointer[[]netip.AddrPort], log logr.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/entry/onplatform_test.go
+++ b/entry/onplatform_test.go
@@ -25,9 +25,9 @@
 	"guavaspring.org/platform/settings"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// session plays clients, the operator and the replicas against two hosts, and writes down what the clients see.
+// session runs hosts against a store and replicas in the test process and records the responses that clients receive.
 type session struct {
 	t     *testing.T
 	store *platformtest.Store
@@ -35,16 +35,18 @@
 	addrs []string
 	next  int
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// runs counts the requests that replicas ran, by request ID.
 	runs map[string]int
 }
 
-// replica starts a replica that answers each request with records of its own, registers it, and returns its address.
+// replica starts a replica that replies to each request with the given records, registers it in the store and returns
+// its address.
 func (s *session) replica(id, service, records string) string {
 	return s.replicaIn("osborne-hall", id, service, records)
 }
 
-// replicaIn starts a replica in an availability zone.
+// replicaIn is like replica, for a replica in the given availability zone.
 func (s *session) replicaIn(zone, id, service, records string) string {
 	l, err := listen(s.t, "127.0.0.1:0")
 	qt.Assert(s.t, err, qt.IsNil)
@@ -62,6 +64,7 @@
 	return l.Addr().String()
 }
 
+// answer serves the requests of one connection and rejects those for another replica as misdirected.
 func (s *session) answer(c net.Conn, id, records string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -87,9 +90,11 @@
 	}
 }
 
+// say adds a line to the text that is compared with the golden file.
 func (s *session) say(format string, args ...any) { fmt.Fprintf(&s.out, format+"\n", args...) }
 
-// host runs one host and returns how to stop it.
+// host starts a host on four consecutive ports from first on, waits until it is ready and returns a function that stops
+// it.
 func (s *session) host(name, ip string, first int, seeds string) (stop func()) {
 	path := filepath.Join(s.t.TempDir(), name+".toml")
 	text := platformtest.Settings(name, ip, "osborne-hall", s.addrs[0], first, seeds)
@@ -114,6 +119,7 @@
 	return stop
 }
 
+// get returns the status of a GET request, or 0 if the request fails.
 func (s *session) get(addr, path string) int {
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+addr+path, nil)
 	qt.Assert(s.t, err, qt.IsNil)
@@ -125,18 +131,18 @@
 	return resp.StatusCode
 }
 
-// until waits for what other goroutines bring about.
+// until polls f until it returns true and fails the test after 10 s.
 func (s *session) until(what string, f func() bool) {
 	end := time.Now().Add(10 * time.Second)
 	for !f() {
 		if time.Now().After(end) {
-			s.t.Fatalf("not in time: %s", what)
+			s.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// resolve asks a host for the addresses to use.
+// resolve looks up the addresses of the hosts that clients may use and returns them sorted.
 func (s *session) resolve(directory string) []string {
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+directory+platformtest.Resolve("osborne-hall"), nil)
 	qt.Assert(s.t, err, qt.IsNil)
@@ -149,7 +155,7 @@
 	return ans.Addrs
 }
 
-// call sends one attempt and returns the status and what the client sees.
+// call sends one request under a new ID and returns the status and a summary of the response.
 func (s *session) call(addr, method, path, body string) (int, string) {
 	s.next++
 	id := fmt.Sprintf("q%d", s.next)
@@ -168,14 +174,15 @@
 	return resp.StatusCode, fmt.Sprintf("%d parts=%v missing=%s retry_after=%q runs=%d body=%q", resp.StatusCode, names, missing, resp.Header.Get("Retry-After"), s.runs[id], strings.TrimSpace(string(b)))
 }
 
+// show sends one request and adds the summary of its response to the golden text.
 func (s *session) show(what, addr, method, path, body string) {
 	_, line := s.call(addr, method, path, body)
 	s.say("%s: %s", what, line)
 }
 
-// A whole session: two hosts start from the store, answer a query over three shards and a write, follow a changed
-// configuration, name a shard whose replica leaves as missing, refuse truly what can't run, and one of them stops
-// without cutting off a client.
+// TestSessionOnPlatform runs two hosts through a query over several shards, a write, a changed configuration, a removed
+// replica and a graceful stop. It guards against hosts that ignore a change in the store, report a missing shard as
+// present, run a request that they reject, or cut off a response while they stop.
 func TestSessionOnPlatform(t *testing.T) {
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
@@ -195,7 +202,7 @@
 	stop := s.host("host-2", two, ports, seeds)
 	front := func(ip string) string { return fmt.Sprintf("%s:%d", ip, ports) }
 	directory := fmt.Sprintf("%s:%d", one, ports+2)
-	s.until("both hosts are told", func() bool { return len(s.resolve(directory)) == 2 })
+	s.until("clients are directed to both hosts", func() bool { return len(s.resolve(directory)) == 2 })
 	s.say("clients are told %d hosts", len(s.resolve(directory)))
 
 	s.show("query", front(one), http.MethodGet, "/bundles/blue?q=1", "")
@@ -203,7 +210,7 @@
 	s.show("unknown path", front(one), http.MethodGet, "/elsewhere/", "")
 
 	s.store.Set("config", "main", platformtest.Config(7, `"s1","s2","s3"`, "none"))
-	s.until("version 7 is in force on both", func() bool {
+	s.until("version 7 is in force on both hosts", func() bool {
 		_, a := s.call(front(one), http.MethodGet, "/bundles/blue", "")
 		_, b := s.call(front(two), http.MethodGet, "/bundles/blue", "")
 		return strings.Contains(a, "i-3") && strings.Contains(b, "i-3")
@@ -212,7 +219,7 @@
 	s.show("write to a service without replicas", front(two), http.MethodPost, "/desk/drop", "three bags")
 
 	s.store.Delete("servers", "i-3")
-	s.until("the replica is not used on both", func() bool {
+	s.until("neither host uses the removed replica", func() bool {
 		_, a := s.call(front(one), http.MethodGet, "/bundles/blue", "")
 		_, b := s.call(front(two), http.MethodGet, "/bundles/blue", "")
 		return !strings.Contains(a, "i-3") && !strings.Contains(b, "i-3")
@@ -222,7 +229,7 @@
 	failed := make(chan string, 1)
 	stopped := make(chan struct{})
 	go func() {
-		// A client that keeps its connection while the host stops sees only whole answers, until the port is closed.
+		// A client that keeps sending requests while the other host stops must get only complete responses.
 		for {
 			select {
 			case <-stopped:
@@ -240,16 +247,16 @@
 	stop()
 	close(stopped)
 	s.say("answers cut off while a host stopped: %q", <-failed)
-	s.until("the host that stopped is not told", func() bool { return len(s.resolve(directory)) == 1 })
+	s.until("clients are not directed to the stopped host", func() bool { return len(s.resolve(directory)) == 1 })
 	s.say("clients are told %d host", len(s.resolve(directory)))
 
 	s.compare("testdata/platform_session.txt")
 }
 
-// Another program writes nonsense beside the replicas' entries and then over one of them, and over the configuration.
-// Clients get whole pages all the while, but for the shard whose only entry can't be read, which is named as missing
-// until it is good again. At last a replica starts again under its id and address, and is used as the new one that it
-// is.
+// TestSessionWithForgedEntries guards against invalid store entries that take down valid ones. Another program writes
+// entries that can't be decoded beside those of the replicas, over one of them and over the configuration. Only the
+// shard whose only entry is invalid may be missing, until the entry is valid again, and the last valid configuration
+// stays in force. A replica that restarts under its old ID and address must be used as a new one.
 func TestSessionWithForgedEntries(t *testing.T) {
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
@@ -276,26 +283,26 @@
 	s.show("query beside forged entries", front, http.MethodGet, "/bundles/blue", "")
 
 	s.store.SetRaw("servers", "i-2", `{"meta":{"name":"i-2","rev":$rev},"spec":"\ufffd\ufffd"}`)
-	// A page may lack another shard for the load of the machine, before the entry is known.
-	s.until("the entry that can't be read is not used", func() bool { return strings.Contains(ask(), "parts=[i-1 i-3] missing=1") })
+	// On a busy machine a response may lack another shard before the host receives the entry.
+	s.until("the invalid entry is not used", func() bool { return strings.Contains(ask(), "parts=[i-1 i-3] missing=1") })
 	s.show("query while an entry can't be read", front, http.MethodGet, "/bundles/blue", "")
 	s.store.Set("servers", "i-2", platformtest.Replica("s2", addrs["2"], "ready"))
-	s.until("the entry is good again", func() bool { return strings.Contains(ask(), "missing=0") })
+	s.until("the entry is valid again", func() bool { return strings.Contains(ask(), "missing=0") })
 
 	s.store.SetRaw("config", "main", `{"meta":{"name":"main","rev":$rev},"spec":{"version":"eight"}}`)
 	s.store.Set("servers", "i-3", platformtest.Replica("s3", addrs["3"], "draining"))
-	s.until("what comes after the nonsense is known", func() bool { return strings.Contains(ask(), "parts=[i-1 i-2] missing=1") })
+	s.until("changes after the invalid configuration are received", func() bool { return strings.Contains(ask(), "parts=[i-1 i-2] missing=1") })
 	s.show("query under the last good configuration", front, http.MethodGet, "/bundles/blue", "")
 
 	s.store.Set("servers", "i-3", platformtest.ReplicaStarted("s3", addrs["3"], "ready", time.Now().UnixMilli(), 1))
-	s.until("the replica that started again is used", func() bool { return strings.Contains(ask(), "missing=0") })
+	s.until("the restarted replica is used", func() bool { return strings.Contains(ask(), "missing=0") })
 	s.show("query after a replica started again", front, http.MethodGet, "/bundles/blue", "")
 	s.compare("testdata/platform_forged.txt")
 }
 
-// An operator evacuates the zone of two replicas, and a host starts while that holds and the store is away. No request
-// reaches the zone at either host; a page goes out without the shard that is only there, and a write to a service that
-// is only there is refused as not run. Once the zone is released, whole pages go out again.
+// TestSessionWithEvacuation guards against requests to replicas of an evacuated zone, also from a host that starts
+// during the evacuation while the store is unavailable. A query omits the shard that only that zone has, and a write to
+// a service that only that zone has is rejected without a run. After the release, responses are complete again.
 func TestSessionWithEvacuation(t *testing.T) {
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
@@ -320,7 +327,7 @@
 	s.show("query", front(one), http.MethodGet, "/bundles/blue", "")
 	s.store.Set("evacuations", "elsewhere", `{}`)
 	s.store.Set("evacuations", "picton-shed", `{}`)
-	s.until("the zone is left alone", func() bool { return serves(one, spared) })
+	s.until("the evacuated zone is not used", func() bool { return serves(one, spared) })
 	s.show("query while the zone is evacuated", front(one), http.MethodGet, "/bundles/blue", "")
 	s.show("write to a service that is only there", front(one), http.MethodPost, "/desk/drop", "three bags")
 
@@ -330,13 +337,13 @@
 	s.store.Fail(0)
 
 	s.store.Delete("evacuations", "picton-shed")
-	s.until("the zone is used again at both", func() bool { return serves(one, whole) && serves(two, whole) })
+	s.until("both hosts use the zone again", func() bool { return serves(one, whole) && serves(two, whole) })
 	s.show("query after the zone was released", front(two), http.MethodGet, "/bundles/blue", "")
 	s.show("write after it", front(one), http.MethodPost, "/desk/drop", "three bags")
 	s.compare("testdata/platform_evacuation.txt")
 }
 
-// compare holds what clients saw against a golden file.
+// compare compares the recorded text with a golden file, or rewrites the file if -update is set.
 func (s *session) compare(golden string) {
 	if *update {
 		qt.Assert(s.t, os.WriteFile(golden, []byte(s.out.String()), 0o600), qt.IsNil)
@@ -351,7 +358,7 @@
 	return cfg.Listen(t.Context(), "tcp", addr)
 }
 
-// freePorts returns the first of four ports that are free on each IP number.
+// freePorts returns the first of four consecutive ports that are free on each IP address.
 func freePorts(t *testing.T, ips ...string) int {
 	for first := 21000; first < 32000; first += 4 {
 		var open []net.Listener
@@ -373,6 +380,6 @@
 			return first
 		}
 	}
-	t.Fatal("no four free ports")
+	t.Fatal("found no four consecutive free ports")
 	return 0
 }
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -12,7 +12,8 @@
 	"guavaspring.org/platform/platformtest"
 )
 
-// Guards against a store that comes back from an older copy and is not followed until its revisions have caught up.
+// TestChangeAfterStoreWasRestored guards against hosts that ignore a store restored from an older backup until its
+// revisions exceed the last ones they saw.
 func TestChangeAfterStoreWasRestored(t *testing.T) {
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
@@ -47,13 +48,13 @@
 	for id, row := range rows {
 		s.store.Set("servers", id, row)
 	}
-	qt.Check(t, inForce("i-2"), qt.IsTrue, qt.Commentf("version 7 is undone by the copy"))
+	qt.Check(t, inForce("i-2"), qt.IsTrue, qt.Commentf("the restored backup undid version 7"))
 	s.store.Set("config", "main", platformtest.Config(9, `"s1","s2","s3"`, "desk"))
 	s.until("version 9 is in force", func() bool { return inForce("i-3") })
 }
 
-// Guards against replicas and evacuated zones that the store's copy brings back on hosts that had seen them go, and on a
-// host that starts afterwards.
+// TestSessionWithRestoredStore guards against a backup of the store that brings a removed replica back or drops an
+// evacuation. This must not happen on hosts that saw the change, nor on a host that starts after the restore.
 func TestSessionWithRestoredStore(t *testing.T) {
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
@@ -81,20 +82,20 @@
 			return true
 		})
 	}
-	each("whole pages", "missing=0", http.MethodGet, "/bundles/blue", one, two)
+	each("responses are complete", "missing=0", http.MethodGet, "/bundles/blue", one, two)
 
 	old := s.store.Copy()
 	s.store.Delete("servers", "i-3")
 	s.store.Set("evacuations", "picton-shed", `{}`)
-	each("the replica is gone", "parts=[i-1 i-2] missing=1", http.MethodGet, "/bundles/blue", one, two)
+	each("the removed replica is not used", "parts=[i-1 i-2] missing=1", http.MethodGet, "/bundles/blue", one, two)
 	each("the zone is evacuated", "503", http.MethodPost, "/desk/drop", one, two)
 
 	s.store.Restore(old)
 	s.replica("i-5", "s5", "5_______________")
 	s.store.Set("config", "main", platformtest.Config(5, `"s1","s2","s3","s5"`, "desk"))
-	each("what was written since is known", "i-5", http.MethodGet, "/bundles/blue", one, two)
+	each("entries written after the restore are received", "i-5", http.MethodGet, "/bundles/blue", one, two)
 	s.host("host-3", three, ports, seeds)
-	each("the new host knows it", "i-5", http.MethodGet, "/bundles/blue", three)
+	each("the new host receives them too", "i-5", http.MethodGet, "/bundles/blue", three)
 	for _, ip := range []string{one, two, three} {
 		s.show("query at "+ip, front(ip), http.MethodGet, "/bundles/blue", "")
 		s.show("write at "+ip, front(ip), http.MethodPost, "/desk/drop", "three bags")
@@ -103,7 +104,7 @@
 	s.store.Set("servers", "i-3", platformtest.ReplicaStarted("s3", addrs["3"], "ready", 1, 2))
 	s.store.Set("evacuations", "picton-shed", `{}`)
 	s.store.Delete("evacuations", "picton-shed")
-	each("the replica is back", "missing=0", http.MethodGet, "/bundles/blue", one, two, three)
+	each("the replica is used again", "missing=0", http.MethodGet, "/bundles/blue", one, two, three)
 	each("the zone is released", "200", http.MethodPost, "/desk/drop", one, two, three)
 	s.compare("testdata/platform_restored.txt")
 }
