--- a/sessions/doc.go
+++ b/sessions/doc.go
@@ -1,2 +1,2 @@
-// Package sessions holds golden files of whole sessions: real processes, run as a user or an operator runs them.
+// Package sessions runs end-to-end scripts against the built programs and compares their output with golden files.
 package sessions
--- a/sessions/proofs_test.go
+++ b/sessions/proofs_test.go
@@ -15,9 +15,8 @@
 	declared      = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
 )
 
-// A merge takes a test away, and nobody notices: everything is green, with one proof fewer, while docs/PROOFS.md
-// still names it to its readers. It happened to the session of the outage. Each test and each session that
-// the page names must be there, and each session must be on the page.
+// TestProofsAreThere guards against a merge that drops a test or session: all checks stay green while docs/PROOFS.md
+// still names it. Each test and session on the page must exist, and each session must be on the page.
 func TestProofsAreThere(t *testing.T) {
 	b, err := os.ReadFile("../docs/PROOFS.md")
 	if err != nil {
@@ -27,7 +26,7 @@
 	there := testNames(t)
 	for _, name := range provenTest.FindAllString(page, -1) {
 		if !there[name] {
-			t.Errorf("docs/PROOFS.md names %s, and no such test is in the repository", name)
+			t.Errorf("docs/PROOFS.md names the test %s, which does not exist in the repository", name)
 		}
 	}
 	files, err := filepath.Glob("testdata/*.txtar")
@@ -41,7 +40,7 @@
 	for _, m := range provenSession.FindAllStringSubmatch(page, -1) {
 		name := m[1] + m[2]
 		if _, ok := sessions[name]; !ok {
-			t.Errorf("docs/PROOFS.md names the session %s, and testdata has none", name)
+			t.Errorf("docs/PROOFS.md names the session %s, which does not exist in testdata", name)
 		}
 		sessions[name] = true
 	}
@@ -52,7 +51,7 @@
 	}
 }
 
-// testNames returns the name of every test, fuzz target and benchmark of the repository.
+// testNames returns the names of all tests, fuzz targets and benchmarks in the repository.
 func testNames(t *testing.T) map[string]bool {
 	names := map[string]bool{}
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
--- a/sessions/sessions_test.go
+++ b/sessions/sessions_test.go
@@ -24,7 +24,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// programs are built once with the race detector, which ends a process that races with exit status 66.
+// programs are built once with the race detector, which ends a process with exit status 66 on a data race.
 var programs = []string{"entry", "gsctl", "standin", "load"}
 
 var binDir string
@@ -52,6 +52,7 @@
 	return m.Run()
 }
 
+// TestSessions runs each script in testdata against the built programs.
 func TestSessions(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
@@ -74,7 +75,7 @@
 	})
 }
 
-// ports N NAME finds N ports in a row that are free and sets NAME to the first address, NAME_1 to the second and so on.
+// ports N NAME finds N consecutive free ports and sets NAME to the first address, NAME_1 to the second and so on.
 func ports(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 2 {
 		ts.Fatalf("usage: ports N NAME")
@@ -92,18 +93,17 @@
 		}
 		return
 	}
-	ts.Fatalf("found no %d free ports in a row", n)
+	ts.Fatalf("found no %d consecutive free ports", n)
 }
 
-// Ports below the range that the system gives to outgoing connections, so that none of those takes a port between the
-// search and its use.
+// The ports lie below the ephemeral range, so that no outgoing connection takes a port between the search and its use.
 const (
 	lowestPort  = 10000
 	highestPort = 32000
 )
 
-// nextPort is where the next block is sought. Sessions run at once, and one that has been given a block binds it
-// only later; blocks that never overlap are what keeps another session from taking a port in between.
+// nextPort is the first port of the next block. Sessions run in parallel and bind their block some time after they get
+// it, so blocks never overlap: another session could otherwise take a port in between.
 var nextPort atomic.Int32
 
 func init() { nextPort.Store(lowestPort + rand.Int32N((highestPort-lowestPort)/2)) }
@@ -122,7 +122,7 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(base)), true
 }
 
-// sender returns the command that sends URL BODY [HEADER:VALUE]... and prints the status and the reply.
+// sender returns the command URL BODY [HEADER:VALUE]..., which sends a request and prints the status and the response.
 func sender(method string) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if len(args) < 2 {
@@ -137,7 +137,7 @@
 	}
 }
 
-// get URL prints the reply to a GET request.
+// get URL prints the response to a GET request.
 func get(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) != 1 {
 		ts.Fatalf("usage: get URL")
@@ -150,6 +150,7 @@
 	fmt.Fprintln(ts.Stdout(), reply)
 }
 
+// send sends a request to url, which has no scheme, and returns the status and body of the response.
 func send(method, url, body string, headers []string) (status int, reply string, err error) {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+url, strings.NewReader(body))
 	if err != nil {
@@ -173,8 +174,8 @@
 	untilPause = 20 * time.Millisecond
 )
 
-// until PATTERN PROGRAM ARGS... runs a program again and again until what it prints matches; the program "get" reads a
-// URL.
+// until PATTERN PROGRAM ARGS... runs a program repeatedly until its output matches PATTERN. The program "get" sends a
+// GET request to a URL instead.
 func until(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: until PATTERN PROGRAM ARGS...")
@@ -187,23 +188,24 @@
 			return
 		}
 	}
-	ts.Fatalf("%s did not print %q in %v; last was:\n%s", args[1], args[0], untilLimit, last)
+	ts.Fatalf("%s did not print %q within %v; last output:\n%s", args[1], args[0], untilLimit, last)
 }
 
+// output returns what a program prints, or the response and error of a GET request.
 func output(ts *testscript.TestScript, program string, args []string) string {
 	if program == "get" {
 		_, reply, err := send(http.MethodGet, args[0], "", nil)
 		return fmt.Sprint(reply, err)
 	}
-	// A failure is what is being waited out; what was printed decides.
+	// The error is ignored: a program may fail until the awaited state is reached, and only its output is matched.
 	_ = ts.Exec(program, args...)
 	return ts.ReadFile("stdout") + ts.ReadFile("stderr")
 }
 
-// signals are those that a session may send besides those of the kill command.
+// signals are the signals that scripts may send in addition to those of the kill command.
 var signals = map[string]syscall.Signal{"STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT}
 
-// signal STOP|CONT ARGUMENT pauses or resumes the background program that was started with the argument.
+// signal STOP|CONT ARGUMENT pauses or resumes the background program that was started with ARGUMENT.
 func signal(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 2 || signals[args[0]] == 0 {
 		ts.Fatalf("usage: signal STOP|CONT ARGUMENT")
@@ -214,10 +216,10 @@
 			return
 		}
 	}
-	ts.Fatalf("no background program was started with %s", args[1])
+	ts.Fatalf("no background program was started with argument %q", args[1])
 }
 
-// grab NAME PATTERN sets NAME to what the pattern's group matched in what was printed last.
+// grab NAME PATTERN sets NAME to the match of the pattern's group in the last output.
 func grab(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 2 {
 		ts.Fatalf("usage: grab NAME PATTERN")
@@ -225,11 +227,12 @@
 	out := ts.ReadFile("stdout")
 	m := regexp.MustCompile(args[1]).FindStringSubmatch(out)
 	if len(m) != 2 {
-		ts.Fatalf("%q is not found in:\n%s", args[1], out)
+		ts.Fatalf("%q does not match with one group in:\n%s", args[1], out)
 	}
 	ts.Setenv(args[0], m[1])
 }
 
+// varying lists the parts of the output that differ between runs, with the names that replace them.
 var varying = []struct {
 	pattern *regexp.Regexp
 	name    string
@@ -240,7 +243,7 @@
 	{regexp.MustCompile(` *\d+\.\d+ ms`), " TIME"},
 }
 
-// golden FILE compares what was printed last with FILE, with addresses, identifiers and times put into words.
+// golden FILE compares the last output with FILE after it replaces addresses, identifiers and times by names.
 func golden(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 1 {
 		ts.Fatalf("usage: golden FILE")
