--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -149,7 +149,7 @@
 
 // All replicas of one shard accept requests and never answer. The answer must be sent before its objective with nine of
 // ten parts, marked as partial. If the route requires all ten, the request expires only at its deadline.
-func TestDarkShard(t *testing.T) {
+func TestUnresponsiveShard(t *testing.T) {
 	tests := []struct {
 		least float64
 		want  scatter.Ending
@@ -269,7 +269,7 @@
 // shard, and if both shed it, one shard in three is lost: of the answers over 20 shards, which need nineteen, hardly
 // any would succeed. Nine in ten answers must be in time, no request may reach a third replica of a shard or run twice,
 // and the resends must stay within the budget.
-func TestPagesWhereReplicasTurnAway(t *testing.T) {
+func TestReplicasShedAtRandom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestHost(t, 1000)
 		rng := rand.New(rand.NewPCG(3, 4))
@@ -465,7 +465,7 @@
 // Two of three replicas of a shard are removed, and the remaining one receives a third more than its capacity. Answers
 // must not all miss their objective because of it: those that get a slot are complete and in time, the others are sent
 // without that shard.
-func TestOverloadedShardThinsPages(t *testing.T) {
+func TestOverloadedShardGivesPartialAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestHost(t, 50)
 		b.addScarceShard()
@@ -515,7 +515,7 @@
 // One of ten shards has a single replica, with capacity for less than half of the requests, and every answer needs it.
 // Requests beyond that capacity waited for it until their deadline after two seconds. They must be refused on arrival
 // with nothing sent, so that clients can retry, while the replica stays busy.
-func TestShortShardRefusesAtOnce(t *testing.T) {
+func TestScarceShardRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestHost(t, 50)
 		b.addScarceShard()
@@ -618,7 +618,7 @@
 // its replicas as fast as they restart, and the answers to all other requests lack parts for as long as the client
 // retries. The crashes must end after the first one or two attempts, and requests that ran beside it must not be
 // quarantined.
-func TestCrashingRequestEnds(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestHost(t, 50)
 		var replicas []*replicatest.Replica
--- a/entry/internal/scatter/subqueries_test.go
+++ b/entry/internal/scatter/subqueries_test.go
@@ -259,7 +259,7 @@
 // The other host is unreachable, is leaving, does not answer, fails after sending its attempts, or replies late. In
 // each case the answer must be in time, within the attempts that the route allows, and from replicas that the other
 // host did not ask, if it may have asked any.
-func TestOtherHostIsLost(t *testing.T) {
+func TestPeerFailure(t *testing.T) {
 	tests := []struct {
 		name string
 		s    peerHooks
@@ -370,7 +370,7 @@
 // Replicas answer late, fail, break or pause at random, and so does the connection to the other host. In any order of
 // events, an answer must hold the records of exactly the shards that it reports, and no shard may get more attempts
 // than the route allows.
-func TestPagesThroughAnotherHostAreTrue(t *testing.T) {
+func TestRandomSubqueriesMatchReport(t *testing.T) {
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 7))
