--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -67,7 +67,7 @@
 
 // Guards against queued requests that time out beside free permits: admission.concurrency is raised while requests
 // wait, and they stay queued until a running request ends.
-func TestRaisedLimitLetsWaitersRun(t *testing.T) {
+func TestRaisedLimitStartsWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
@@ -88,7 +88,7 @@
 
 // Guards against permits that exceed the limit or are lost when the limit is lowered below the number of running
 // requests: returned permits must be withdrawn until exactly the new number of requests runs.
-func TestLoweredLimitLosesNoPlace(t *testing.T) {
+func TestLoweredLimitLosesNoPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(4)
@@ -137,7 +137,7 @@
 
 // Guards against a lost permit when a request is granted one and canceled at the same moment: in either order of the
 // two events, the permit must be returned.
-func TestGrantAndGivingUpAtOnce(t *testing.T) {
+func TestConcurrentGrantAndCancelLosesNoPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
@@ -159,7 +159,7 @@
 // Guards against refusals that are sent only at the deadline: requests take 40 ms, and one with a deadline of 50 ms
 // waits behind a request that hangs. Once it can no longer be answered in time, after 10 ms, it must be refused with a
 // retry delay.
-func TestRefusalIsGivenAsSoonAsItIsCertain(t *testing.T) {
+func TestRefusalComesBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
