--- a/entry/internal/admission/queue/invariants_test.go
+++ b/entry/internal/admission/queue/invariants_test.go
@@ -116,7 +116,7 @@
 // Guards against lost permits: a caller cancels, or a limit changes, at the moment at which a permit is granted, and
 // the permit counts as taken for good, until the host refuses every request while it runs none. After any sequence of
 // operations all permits must be free again.
-func TestNoPlaceIsLost(t *testing.T) {
+func TestNoPermitIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{now: epoch, notified: map[*queue.Waiter]int{}}
 		m.limits = m.drawLimits(t)
