--- a/entry/internal/overload/overload_test.go
+++ b/entry/internal/overload/overload_test.go
@@ -58,7 +58,7 @@
 
 // Guards against retries under overload that displace requests which can be answered in time and are late themselves.
 // While nothing waits, a retry is admitted like any other request.
-func TestWhoComesBackIsLetInWhereNothingWaits(t *testing.T) {
+func TestRetryIsAdmittedOnlyWhileNearlyIdle(t *testing.T) {
 	tests := []struct {
 		name    string
 		waited  time.Duration
@@ -81,7 +81,7 @@
 // Guards against a route whose requests are always late since those of another route, which may wait twice as long,
 // fill the queues of the same shards. With all shards delayed, the time of the least patient route counts. With two
 // delayed, a request is compared almost to its own time, since the other route answers without them.
-func TestLeastPatientRouteCountsWhereAllAreBehind(t *testing.T) {
+func TestLeastPatientRouteCountsWhenAllShardsAreDelayed(t *testing.T) {
 	tests := []struct {
 		name    string
 		behind  int
