--- a/entry/internal/budget/budget_test.go
+++ b/entry/internal/budget/budget_test.go
@@ -10,7 +10,7 @@
 
 // Guards against retries that overload the remaining replicas when a third of all attempts fail: if each were sent
 // again, the load on the others would rise by half. Retries must stay within the configured percentage and the burst.
-func TestExtraTriesStayAShareOfTheLoad(t *testing.T) {
+func TestExtraAttemptsStayWithinPercentage(t *testing.T) {
 	for _, test := range []struct {
 		percent float64
 		queries int
