--- a/entry/internal/admission/adapt/limit_test.go
+++ b/entry/internal/admission/adapt/limit_test.go
@@ -54,7 +54,7 @@
 
 // Guards against a limit that decreases because of one failed shard: every third attempt hangs until the deadline, but
 // fewer concurrent queries would not make any of them faster.
-func TestLimitIgnoresADeadShard(t *testing.T) {
+func TestLimitIgnoresFailedShard(t *testing.T) {
 	c := qt.New(t)
 	l := adapt.New(64)
 	feedReplies(l, 20, queueingLatency(1000))
