--- a/entry/internal/endpoints/evacuation_test.go
+++ b/entry/internal/endpoints/evacuation_test.go
@@ -95,7 +95,7 @@
 
 // Guards against a request that runs outside its home regions: it must run there or not at all, even when the nearest
 // replica is elsewhere or the home's zone is evacuated.
-func TestHomesAreKept(t *testing.T) {
+func TestRequestRunsOnlyInHomeRegions(t *testing.T) {
 	f := replicatest.New()
 	table := newZonedTable(f, f.Dial, "a", "b", "c")
 	s := table.Service("s")
@@ -138,7 +138,7 @@
 
 // Guards against a preference for a replica that has become cold while its zone was evacuated. Its measured replies
 // were fast, but its row says that it is cold: a replica of another zone has to go first until that time is over.
-func TestColdAgain(t *testing.T) {
+func TestReplicaTurnsColdInEvacuatedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
 		table := newZonedTable(f, f.Dial, "a", "b")
@@ -160,7 +160,7 @@
 // Guards against overload of a cold replica. Its zone is released, and its row does not say yet that it is cold; its
 // limit is six requests a second, of which this host may send two. Until it is warm the others have to go to the other
 // replica, or wait if there is none, since the replica would crash.
-func TestColdReplicaGetsWhatItBears(t *testing.T) {
+func TestColdReplicaLimit(t *testing.T) {
 	for _, zones := range [][]string{{"a", "b"}, {"a"}} {
 		synctest.Test(t, func(t *testing.T) {
 			f := replicatest.New()
--- a/entry/internal/endpoints/reported_test.go
+++ b/entry/internal/endpoints/reported_test.go
@@ -35,7 +35,7 @@
 // service whose replicas are four times slower for half a second in every five, so that a choice without reports gets
 // one late reply in ten. With accurate reports at most a third of those may be late; with missing or wrong reports no
 // more than without them.
-func TestReplicasWordOfTheirSpeed(t *testing.T) {
+func TestReportedLoadReducesLateReplies(t *testing.T) {
 	const requests = 600
 	accurate := func(slow bool) string {
 		if slow {
--- a/entry/internal/endpoints/restart_test.go
+++ b/entry/internal/endpoints/restart_test.go
@@ -47,7 +47,7 @@
 
 // Guards against backoff and failures of a crashed process that count against the process started next under the same
 // id: its shard would miss a replica for seconds.
-func TestRestartedReplicaIsNewToAll(t *testing.T) {
+func TestRestartResetsBackoffAndFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
 		t.Cleanup(f.Close)
@@ -84,7 +84,7 @@
 
 // Guards against a replica that stays unusable after a restart. Its address was taken by another service's replica for
 // a while and rejected its requests; then it starts again under its id and address.
-func TestRestartEndsMisdirection(t *testing.T) {
+func TestRestartClearsMisdirection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
 		t.Cleanup(f.Close)
@@ -106,7 +106,7 @@
 // Guards against a write that waits for its deadline after its replica restarted. The replica's host loses power, so
 // that the connection stays silent, and the replica starts again under its id. The write has to fail at that moment
 // with an unknown outcome, and the new process must not receive it.
-func TestRestartEndsWhatIsUnderWay(t *testing.T) {
+func TestRestartFailsRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := replicatest.New()
 		t.Cleanup(f.Close)
@@ -132,7 +132,7 @@
 // Guards against a late write that brings back an ended process, or sends requests to one that is about to end. A row
 // that the replica had given up on writing reaches the store after a row that it leaves, after its restart, or after
 // its removal.
-func TestLateRowBringsNothingBack(t *testing.T) {
+func TestLateRowIsIgnored(t *testing.T) {
 	leaving := func(r platform.Replica) platform.Replica {
 		r.State = platform.StateLeaving
 		return r
@@ -191,7 +191,7 @@
 
 // Guards against a replica that is left out for as long as its process lives. The clock of its host is set back, so
 // that after a restart its start is before that of its former process; it keeps writing its row.
-func TestRestartOnAClockThatWasSetBack(t *testing.T) {
+func TestRestartAfterClockSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, row := oneReplica(t)
 		old := table.Service("a").Replicas()[0].Process()
@@ -206,7 +206,7 @@
 // Guards against the use of a replica whose entry is unreadable or has a start in the future. It has to be removed at
 // once, even after an outage of the store, when vanished replicas are still used for a while, and used again once its
 // entry is valid.
-func TestEntryThatCannotBeBelieved(t *testing.T) {
+func TestInvalidEntryRemovesReplica(t *testing.T) {
 	for _, returned := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			table, row := oneReplica(t)
--- a/entry/internal/endpoints/subset_test.go
+++ b/entry/internal/endpoints/subset_test.go
@@ -54,7 +54,7 @@
 
 // Guards against a host of a large fleet that sends each replica a request a minute: it can't measure any of them, and
 // opens a connection for each request.
-func TestHostKeepsToFewReplicas(t *testing.T) {
+func TestHostUsesFewReplicas(t *testing.T) {
 	farm := replicatest.New()
 	defer farm.Close()
 	s := fleetTable(farm).Service("s")
@@ -67,7 +67,7 @@
 
 // Guards against a host that refuses requests because the replicas of its subset left or are evacuated, while others
 // could serve them.
-func TestHostTakesOthersWhereItsOwnAreGone(t *testing.T) {
+func TestHostFallsBackOutsideSubset(t *testing.T) {
 	farm := replicatest.New()
 	defer farm.Close()
 	table := fleetTable(farm)
