--- a/entry/internal/member/list_test.go
+++ b/entry/internal/member/list_test.go
@@ -30,7 +30,7 @@
 
 // Guards against healthy hosts being declared dead by a process that was paused while it waited for indirect probes or
 // suspected a host: it resumes with every deadline overdue, and the replies still unread in its sockets.
-func TestNothingIsDecidedOnDeadlinesThatRanOutDuringAPause(t *testing.T) {
+func TestPauseExtendsDeadlines(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		wake func(l *List, now time.Time)
@@ -61,7 +61,7 @@
 
 // Guards against an invalid row, from a process that is broken or runs another version, that crashes the host or is
 // passed on.
-func TestRowsThatMakeNoSenseAreIgnored(t *testing.T) {
+func TestInvalidRowsAreIgnored(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		row  Host
@@ -84,7 +84,7 @@
 
 // Guards against a host that joins a large fleet and passes on every row of the list: the next death would be queued
 // behind thousands of old rows, and all its probes would have the maximum size.
-func TestRowsLearnedByJoiningAreNotNews(t *testing.T) {
+func TestLearnedRowsAreNotPassedOn(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_700_000_000, 0)
 	l := newList("a")
--- a/entry/internal/member/model_test.go
+++ b/entry/internal/member/model_test.go
@@ -130,7 +130,7 @@
 
 // Guards against a host that stays dead for the others, or suspects healthy hosts, after its process was stopped for
 // half a minute: the others have declared it dead, and all its own probes are overdue.
-func TestPausedHostComesBackAndAccusesNobody(t *testing.T) {
+func TestPausedHostRejoinsAndSuspectsNobody(t *testing.T) {
 	for seed := range uint64(50) {
 		c := qt.New(t)
 		seedIs := qt.Commentf("seed %d", seed)
@@ -153,7 +153,7 @@
 // Guards against zones that stay apart after a partition: the link between them and the platform's directory are down
 // for twenty minutes, so each zone declares the others dead. When the link is back, each host must list all the others
 // within a minute without the directory.
-func TestZonesCutApartJoinAgainWithoutDirectory(t *testing.T) {
+func TestPartitionedZonesRejoinWithoutDirectory(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(11, 9)
 	n.run(20 * time.Second)
--- a/entry/internal/member/spread_test.go
+++ b/entry/internal/member/spread_test.go
@@ -11,7 +11,7 @@
 // Guards against gossip whose traffic per host grows with the fleet, which fills the links of small hosts, and against
 // a death that doesn't reach all hosts, which leaves clients at a dead address. One host is killed in fleets of 32 to
 // 256 hosts: every other must drop it within a bounded time, at the same number of messages per host and second.
-func TestADeathSpreadsAtConstantMessagesAHost(t *testing.T) {
+func TestDeathSpreadsWithConstantTrafficPerHost(t *testing.T) {
 	for _, hosts := range []int{32, 128, 256} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			c := qt.New(t)
