--- a/entry/main.go
+++ b/entry/main.go
@@ -19,7 +19,7 @@
 func main() {
 	klog.SetLogger(klog.NewStdLogger(io.Discard))
 	if path, ok := platsettings.Path(); ok {
-		onPlatform(path)
+		runFromSettings(path)
 		return
 	}
 	app := settings.New("entry", "Serves queries and writes of callers over the replicas of the services described on the platform.")
@@ -46,24 +46,25 @@
 	}
 }
 
-// logGrace is the longest time for which the exiting process waits until the reader of its log takes the buffered lines.
-const logGrace = 100 * time.Millisecond
+// logCloseTimeout is the longest time for which an exiting process waits for the reader of its log to take the buffered
+// lines.
+const logCloseTimeout = 100 * time.Millisecond
 
-// onPlatform runs a host with the settings file at path and exits with status 1 if the host fails.
-func onPlatform(path string) {
+// runFromSettings runs a host with the settings file at path and exits with status 1 if the host fails.
+func runFromSettings(path string) {
 	s, err := platsettings.Read(path)
 	if err != nil {
 		settings.Fail(os.Stderr, "entry", err)
 	}
 	out := event.NewAsync(os.Stdout)
 	log := event.NewLogger(out)
-	err = runOnPlatform(context.Background(), path, s, log, out.Dropped)
+	err = runHost(context.Background(), path, s, log, out.Dropped)
 	if err != nil {
 		log.Error(err, "host failed")
 	}
-	ready := make(chan struct{})
-	time.AfterFunc(logGrace, func() { close(ready) })
-	out.Close(ready)
+	deadline := make(chan struct{})
+	time.AfterFunc(logCloseTimeout, func() { close(deadline) })
+	out.Close(deadline)
 	if err != nil {
 		os.Exit(1)
 	}
--- a/entry/onplatform.go
+++ b/entry/onplatform.go
@@ -23,34 +23,34 @@
 	"guavaspring.org/platform/wire"
 )
 
-// memoryPart is the garbage collector's soft limit, above which it works harder, as a share of the process's memory
-// limit. The rest is left for memory that the collector does not account for.
-const memoryPart = 0.7
+// memoryLimitRatio is the garbage collector's soft limit, above which it works harder, as a share of the process's
+// memory limit. The rest is left for memory that the collector does not account for.
+const memoryLimitRatio = 0.7
 
 // metricsPort is the port that serves metrics. deploy/system.toml gives the same port to scrapers.
 const metricsPort = 9464
 
-// runOnPlatform runs a host with settings s, read from the file at path, until ctx ends. lost returns the number of log
-// lines that the output lost.
-func runOnPlatform(ctx context.Context, path string, s settings.Settings, log logr.Logger, lost func() uint64) error {
-	debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryBytes)))
+// runHost runs a host with settings s, read from the file at path, until ctx ends. droppedLines returns the number of
+// log lines that the output lost.
+func runHost(ctx context.Context, path string, s settings.Settings, log logr.Logger, droppedLines func() uint64) error {
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryBytes)))
 	seeds := &atomic.Pointer[[]netip.AddrPort]{}
 	seeds.Store(&s.Seeds)
 	go reload(ctx, path, seeds, log)
 	meter := &traffic.Meter{}
-	c := store.New(s.Store, func(conn net.Conn) net.Conn { return meter.Conn(conn, traffic.Store, true) })
+	client := store.New(s.Store, func(conn net.Conn) net.Conn { return meter.Conn(conn, traffic.Store, true) })
 	f, err := front.New(front.Options{
 		Clock: clock.System{}, Log: log, Zone: s.Zone, Region: s.Region, Regions: s.Regions,
 		Front: s.Front, Readiness: s.Readiness, Directory: s.Directory, Peer: s.Peer,
 		Seeds: func() []netip.AddrPort { return *seeds.Load() },
 		Store: front.Store{
-			ListConfig: c.ListConfig, WatchConfig: c.WatchConfig, ListReplicas: c.ListReplicas, WatchReplicas: c.WatchReplicas,
-			ListEvacuations: c.ListEvacuations, WatchEvacuations: c.WatchEvacuations,
-			List: c.List, Get: c.Get, Put: c.Put, Reconnect: c.Reconnect,
+			ListConfig: client.ListConfig, WatchConfig: client.WatchConfig, ListReplicas: client.ListReplicas, WatchReplicas: client.WatchReplicas,
+			ListEvacuations: client.ListEvacuations, WatchEvacuations: client.WatchEvacuations,
+			List: client.List, Get: client.Get, Put: client.Put, Reconnect: client.Reconnect,
 		},
 		Codec: wire.Codec(), Resolve: wire.Resolve, Ready: wire.Ready,
 		Cores: s.Cores, LinkBits: s.LinkBits,
-		Metrics: netip.AddrPortFrom(s.Front.Addr(), metricsPort), StoreCalls: func() []frontmetrics.StoreCalls { return storeCalls(c) }, LinesLost: lost, Traffic: meter,
+		Metrics: netip.AddrPortFrom(s.Front.Addr(), metricsPort), StoreCalls: func() []frontmetrics.StoreCalls { return storeCalls(client) }, LinesLost: droppedLines, Traffic: meter,
 		Grace: s.Grace, MaxKeep: s.MaxKeep, Apply: s.ApplyConfig, Drain: s.Drain, Evacuate: s.Evacuate,
 		QuotaSlack: s.QuotaSlack, QuotaExcess: s.QuotaExcess,
 		Spend: spend.Options{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
@@ -62,10 +62,10 @@
 }
 
 // storeCalls returns the number of calls to the store, by purpose.
-func storeCalls(c *store.Client) []frontmetrics.StoreCalls {
+func storeCalls(client *store.Client) []frontmetrics.StoreCalls {
 	list := make([]frontmetrics.StoreCalls, len(store.AllCalls))
-	for i, what := range store.AllCalls {
-		list[i] = frontmetrics.StoreCalls{For: string(what), Calls: c.CallsFor(what)}
+	for i, purpose := range store.AllCalls {
+		list[i] = frontmetrics.StoreCalls{For: string(purpose), Calls: client.CallsFor(purpose)}
 	}
 	return list
 }
--- a/entry/onplatform_test.go
+++ b/entry/onplatform_test.go
@@ -29,25 +29,25 @@
 
 // session runs hosts against a store and replicas in the test process and records the responses that clients receive.
 type session struct {
-	t     *testing.T
-	store *platformtest.Store
-	out   strings.Builder
-	addrs []string
-	next  int
+	t          *testing.T
+	store      *platformtest.Store
+	out        strings.Builder
+	storeAddrs []string
+	lastID     int
 
 	mu sync.Mutex
 	// runs counts the requests that replicas ran, by request ID.
 	runs map[string]int
 }
 
-// replica starts a replica that replies to each request with the given records, registers it in the store and returns
-// its address.
-func (s *session) replica(id, service, records string) string {
-	return s.replicaIn("osborne-hall", id, service, records)
+// startReplica starts a replica that replies to each request with the given records, registers it in the store and
+// returns its address.
+func (s *session) startReplica(id, service, records string) string {
+	return s.startReplicaIn("osborne-hall", id, service, records)
 }
 
-// replicaIn is like replica, for a replica in the given availability zone.
-func (s *session) replicaIn(zone, id, service, records string) string {
+// startReplicaIn is like startReplica, for a replica in the given availability zone.
+func (s *session) startReplicaIn(zone, id, service, records string) string {
 	l, err := listen(s.t, "127.0.0.1:0")
 	qt.Assert(s.t, err, qt.IsNil)
 	s.t.Cleanup(func() { _ = l.Close() })
@@ -57,15 +57,15 @@
 			if err != nil {
 				return
 			}
-			go s.answer(c, id, records)
+			go s.serveConn(c, id, records)
 		}
 	}()
 	s.store.Set("servers", id, platformtest.ReplicaIn(zone, service, l.Addr().String(), "ready"))
 	return l.Addr().String()
 }
 
-// answer serves the requests of one connection and rejects those for another replica as misdirected.
-func (s *session) answer(c net.Conn, id, records string) {
+// serveConn serves the requests of one connection and rejects those for another replica as misdirected.
+func (s *session) serveConn(c net.Conn, id, records string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -90,21 +90,21 @@
 	}
 }
 
-// say adds a line to the text that is compared with the golden file.
-func (s *session) say(format string, args ...any) { fmt.Fprintf(&s.out, format+"\n", args...) }
+// addLine adds a line to the text that is compared with the golden file.
+func (s *session) addLine(format string, args ...any) { fmt.Fprintf(&s.out, format+"\n", args...) }
 
-// host starts a host on four consecutive ports from first on, waits until it is ready and returns a function that stops
-// it.
-func (s *session) host(name, ip string, first int, seeds string) (stop func()) {
+// startHost starts a host on four consecutive ports from first on, waits until it is ready and returns a function that
+// stops it.
+func (s *session) startHost(name, ip string, first int, seeds string) (stop func()) {
 	path := filepath.Join(s.t.TempDir(), name+".toml")
-	text := platformtest.Settings(name, ip, "osborne-hall", s.addrs[0], first, seeds)
+	text := platformtest.Settings(name, ip, "osborne-hall", s.storeAddrs[0], first, seeds)
 	qt.Assert(s.t, os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
 	cfg, err := settings.Read(path)
 	qt.Assert(s.t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- runOnPlatform(ctx, path, cfg, event.NewLogger(io.Discard), func() uint64 { return 0 })
+		done <- runHost(ctx, path, cfg, event.NewLogger(io.Discard), func() uint64 { return 0 })
 	}()
 	var once sync.Once
 	stop = func() {
@@ -114,8 +114,8 @@
 		})
 	}
 	s.t.Cleanup(stop)
-	s.until(name+" is ready", func() bool { return s.get(fmt.Sprintf("%s:%d", ip, first+1), platformtest.Ready) == http.StatusOK })
-	s.say("%s is ready", name)
+	s.waitFor(name+" is ready", func() bool { return s.get(fmt.Sprintf("%s:%d", ip, first+1), platformtest.Ready) == http.StatusOK })
+	s.addLine("%s is ready", name)
 	return stop
 }
 
@@ -131,12 +131,12 @@
 	return resp.StatusCode
 }
 
-// until polls f until it returns true and fails the test after 10 s.
-func (s *session) until(what string, f func() bool) {
+// waitFor polls condition until it returns true and fails the test after 10 s.
+func (s *session) waitFor(state string, condition func() bool) {
 	end := time.Now().Add(10 * time.Second)
-	for !f() {
+	for !condition() {
 		if time.Now().After(end) {
-			s.t.Fatalf("timed out waiting until %s", what)
+			s.t.Fatalf("timed out waiting until %s", state)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -155,10 +155,10 @@
 	return ans.Addrs
 }
 
-// call sends one request under a new ID and returns the status and a summary of the response.
-func (s *session) call(addr, method, path, body string) (int, string) {
-	s.next++
-	id := fmt.Sprintf("q%d", s.next)
+// doRequest sends one request under a new ID and returns the status and a summary of the response.
+func (s *session) doRequest(addr, method, path, body string) (int, string) {
+	s.lastID++
+	id := fmt.Sprintf("q%d", s.lastID)
 	r, err := platformtest.Request(s.t.Context(), method, addr, path, id, 2000, []byte(body))
 	qt.Assert(s.t, err, qt.IsNil)
 	resp, err := http.DefaultClient.Do(r)
@@ -174,10 +174,10 @@
 	return resp.StatusCode, fmt.Sprintf("%d parts=%v missing=%s retry_after=%q runs=%d body=%q", resp.StatusCode, names, missing, resp.Header.Get("Retry-After"), s.runs[id], strings.TrimSpace(string(b)))
 }
 
-// show sends one request and adds the summary of its response to the golden text.
-func (s *session) show(what, addr, method, path, body string) {
-	_, line := s.call(addr, method, path, body)
-	s.say("%s: %s", what, line)
+// recordRequest sends one request and adds the summary of its response to the golden text.
+func (s *session) recordRequest(what, addr, method, path, body string) {
+	_, line := s.doRequest(addr, method, path, body)
+	s.addLine("%s: %s", what, line)
 }
 
 // TestSessionOnPlatform runs two hosts through a query over several shards, a write, a changed configuration, a removed
@@ -187,44 +187,44 @@
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	s.addrs = []string{srv.Listener.Addr().String()}
+	s.storeAddrs = []string{srv.Listener.Addr().String()}
 	const record = "%s_______________"
 	for i, shard := range []string{"s1", "s2", "s3"} {
-		s.replica(fmt.Sprintf("i-%d", i+1), shard, fmt.Sprintf(record, string(rune('a'+i)))+fmt.Sprintf(record, string(rune('p'+i)))+"rest")
+		s.startReplica(fmt.Sprintf("i-%d", i+1), shard, fmt.Sprintf(record, string(rune('a'+i)))+fmt.Sprintf(record, string(rune('p'+i)))+"rest")
 	}
-	s.replica("i-9", "desk", "recorded")
+	s.startReplica("i-9", "desk", "recorded")
 	s.store.Set("config", "main", platformtest.Config(3, `"s1","s2"`, "desk"))
 
 	const one, two = "127.0.0.11", "127.0.0.12"
 	ports := freePorts(t, one, two)
 	seeds := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", one, ports+3))
-	s.host("host-1", one, ports, seeds)
-	stop := s.host("host-2", two, ports, seeds)
+	s.startHost("host-1", one, ports, seeds)
+	stop := s.startHost("host-2", two, ports, seeds)
 	front := func(ip string) string { return fmt.Sprintf("%s:%d", ip, ports) }
 	directory := fmt.Sprintf("%s:%d", one, ports+2)
-	s.until("clients are directed to both hosts", func() bool { return len(s.resolve(directory)) == 2 })
-	s.say("clients are told %d hosts", len(s.resolve(directory)))
+	s.waitFor("clients are directed to both hosts", func() bool { return len(s.resolve(directory)) == 2 })
+	s.addLine("clients are told %d hosts", len(s.resolve(directory)))
 
-	s.show("query", front(one), http.MethodGet, "/bundles/blue?q=1", "")
-	s.show("write", front(two), http.MethodPost, "/desk/drop", "three bags")
-	s.show("unknown path", front(one), http.MethodGet, "/elsewhere/", "")
+	s.recordRequest("query", front(one), http.MethodGet, "/bundles/blue?q=1", "")
+	s.recordRequest("write", front(two), http.MethodPost, "/desk/drop", "three bags")
+	s.recordRequest("unknown path", front(one), http.MethodGet, "/elsewhere/", "")
 
 	s.store.Set("config", "main", platformtest.Config(7, `"s1","s2","s3"`, "none"))
-	s.until("version 7 is in force on both hosts", func() bool {
-		_, a := s.call(front(one), http.MethodGet, "/bundles/blue", "")
-		_, b := s.call(front(two), http.MethodGet, "/bundles/blue", "")
+	s.waitFor("version 7 is in force on both hosts", func() bool {
+		_, a := s.doRequest(front(one), http.MethodGet, "/bundles/blue", "")
+		_, b := s.doRequest(front(two), http.MethodGet, "/bundles/blue", "")
 		return strings.Contains(a, "i-3") && strings.Contains(b, "i-3")
 	})
-	s.show("query of version 7", front(two), http.MethodGet, "/bundles/blue", "")
-	s.show("write to a service without replicas", front(two), http.MethodPost, "/desk/drop", "three bags")
+	s.recordRequest("query of version 7", front(two), http.MethodGet, "/bundles/blue", "")
+	s.recordRequest("write to a service without replicas", front(two), http.MethodPost, "/desk/drop", "three bags")
 
 	s.store.Delete("servers", "i-3")
-	s.until("neither host uses the removed replica", func() bool {
-		_, a := s.call(front(one), http.MethodGet, "/bundles/blue", "")
-		_, b := s.call(front(two), http.MethodGet, "/bundles/blue", "")
+	s.waitFor("neither host uses the removed replica", func() bool {
+		_, a := s.doRequest(front(one), http.MethodGet, "/bundles/blue", "")
+		_, b := s.doRequest(front(two), http.MethodGet, "/bundles/blue", "")
 		return !strings.Contains(a, "i-3") && !strings.Contains(b, "i-3")
 	})
-	s.show("query without a replica of s3", front(one), http.MethodGet, "/bundles/blue", "")
+	s.recordRequest("query without a replica of s3", front(one), http.MethodGet, "/bundles/blue", "")
 
 	failed := make(chan string, 1)
 	stopped := make(chan struct{})
@@ -237,7 +237,7 @@
 				return
 			default:
 			}
-			status, line := s.call(front(one), http.MethodGet, "/bundles/blue", "")
+			status, line := s.doRequest(front(one), http.MethodGet, "/bundles/blue", "")
 			if status != http.StatusOK {
 				failed <- line
 				return
@@ -246,11 +246,11 @@
 	}()
 	stop()
 	close(stopped)
-	s.say("answers cut off while a host stopped: %q", <-failed)
-	s.until("clients are not directed to the stopped host", func() bool { return len(s.resolve(directory)) == 1 })
-	s.say("clients are told %d host", len(s.resolve(directory)))
+	s.addLine("answers cut off while a host stopped: %q", <-failed)
+	s.waitFor("clients are not directed to the stopped host", func() bool { return len(s.resolve(directory)) == 1 })
+	s.addLine("clients are told %d host", len(s.resolve(directory)))
 
-	s.compare("testdata/platform_session.txt")
+	s.compareGolden("testdata/platform_session.txt")
 }
 
 // TestSessionWithForgedEntries guards against invalid store entries that take down valid ones. Another program writes
@@ -261,43 +261,43 @@
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	s.addrs = []string{srv.Listener.Addr().String()}
+	s.storeAddrs = []string{srv.Listener.Addr().String()}
 	for i := range 200 {
 		s.store.SetRaw("servers", fmt.Sprintf("a-forged-%03d", i), fmt.Sprintf(`{"meta":{"name":"a-forged-%03d","rev":$rev},"spec":{"service":"s1"}}`, i))
 	}
 	addrs := map[string]string{}
 	for _, n := range []string{"1", "2", "3"} {
-		addrs[n] = s.replica("i-"+n, "s"+n, n+"_______________")
+		addrs[n] = s.startReplica("i-"+n, "s"+n, n+"_______________")
 	}
 	s.store.SetRaw("servers", "z-nameless", `{"meta":{"name":17,"rev":$rev},"spec":null}`)
 	s.store.Set("config", "main", platformtest.Config(3, `"s1","s2","s3"`, "desk"))
 
 	const ip = "127.0.0.13"
 	first := freePorts(t, ip)
-	s.host("host-1", ip, first, fmt.Sprintf("%q", fmt.Sprintf("%s:%d", ip, first+3)))
+	s.startHost("host-1", ip, first, fmt.Sprintf("%q", fmt.Sprintf("%s:%d", ip, first+3)))
 	front := fmt.Sprintf("%s:%d", ip, first)
 	ask := func() string {
-		_, line := s.call(front, http.MethodGet, "/bundles/blue", "")
+		_, line := s.doRequest(front, http.MethodGet, "/bundles/blue", "")
 		return line
 	}
-	s.show("query beside forged entries", front, http.MethodGet, "/bundles/blue", "")
+	s.recordRequest("query beside forged entries", front, http.MethodGet, "/bundles/blue", "")
 
 	s.store.SetRaw("servers", "i-2", `{"meta":{"name":"i-2","rev":$rev},"spec":"\ufffd\ufffd"}`)
 	// On a busy machine a response may lack another shard before the host receives the entry.
-	s.until("the invalid entry is not used", func() bool { return strings.Contains(ask(), "parts=[i-1 i-3] missing=1") })
-	s.show("query while an entry can't be read", front, http.MethodGet, "/bundles/blue", "")
+	s.waitFor("the invalid entry is not used", func() bool { return strings.Contains(ask(), "parts=[i-1 i-3] missing=1") })
+	s.recordRequest("query while an entry can't be read", front, http.MethodGet, "/bundles/blue", "")
 	s.store.Set("servers", "i-2", platformtest.Replica("s2", addrs["2"], "ready"))
-	s.until("the entry is valid again", func() bool { return strings.Contains(ask(), "missing=0") })
+	s.waitFor("the entry is valid again", func() bool { return strings.Contains(ask(), "missing=0") })
 
 	s.store.SetRaw("config", "main", `{"meta":{"name":"main","rev":$rev},"spec":{"version":"eight"}}`)
 	s.store.Set("servers", "i-3", platformtest.Replica("s3", addrs["3"], "draining"))
-	s.until("changes after the invalid configuration are received", func() bool { return strings.Contains(ask(), "parts=[i-1 i-2] missing=1") })
-	s.show("query under the last good configuration", front, http.MethodGet, "/bundles/blue", "")
+	s.waitFor("changes after the invalid configuration are received", func() bool { return strings.Contains(ask(), "parts=[i-1 i-2] missing=1") })
+	s.recordRequest("query under the last good configuration", front, http.MethodGet, "/bundles/blue", "")
 
 	s.store.Set("servers", "i-3", platformtest.ReplicaStarted("s3", addrs["3"], "ready", time.Now().UnixMilli(), 1))
-	s.until("the restarted replica is used", func() bool { return strings.Contains(ask(), "missing=0") })
-	s.show("query after a replica started again", front, http.MethodGet, "/bundles/blue", "")
-	s.compare("testdata/platform_forged.txt")
+	s.waitFor("the restarted replica is used", func() bool { return strings.Contains(ask(), "missing=0") })
+	s.recordRequest("query after a replica started again", front, http.MethodGet, "/bundles/blue", "")
+	s.compareGolden("testdata/platform_forged.txt")
 }
 
 // TestSessionWithEvacuation guards against requests to replicas of an evacuated zone, also from a host that starts
@@ -307,44 +307,44 @@
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	s.addrs = []string{srv.Listener.Addr().String()}
-	s.replica("i-1", "s1", "1_______________")
-	s.replicaIn("picton-shed", "i-2", "s2", "2_______________")
-	s.replica("i-3", "s3", "3_______________")
-	s.replicaIn("picton-shed", "i-4", "desk", "recorded")
+	s.storeAddrs = []string{srv.Listener.Addr().String()}
+	s.startReplica("i-1", "s1", "1_______________")
+	s.startReplicaIn("picton-shed", "i-2", "s2", "2_______________")
+	s.startReplica("i-3", "s3", "3_______________")
+	s.startReplicaIn("picton-shed", "i-4", "desk", "recorded")
 	s.store.Set("config", "main", platformtest.Config(3, `"s1","s2","s3"`, "desk"))
 
 	const one, two = "127.0.0.14", "127.0.0.15"
 	ports := freePorts(t, one, two)
 	seeds := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", one, ports+3))
-	s.host("host-1", one, ports, seeds)
+	s.startHost("host-1", one, ports, seeds)
 	front := func(ip string) string { return fmt.Sprintf("%s:%d", ip, ports) }
-	serves := func(ip, page string) bool {
-		_, line := s.call(front(ip), http.MethodGet, "/bundles/blue", "")
-		return strings.Contains(line, page)
+	serves := func(ip, part string) bool {
+		_, line := s.doRequest(front(ip), http.MethodGet, "/bundles/blue", "")
+		return strings.Contains(line, part)
 	}
-	const spared, whole = "parts=[i-1 i-3] missing=1", "missing=0"
-	s.show("query", front(one), http.MethodGet, "/bundles/blue", "")
+	const partial, complete = "parts=[i-1 i-3] missing=1", "missing=0"
+	s.recordRequest("query", front(one), http.MethodGet, "/bundles/blue", "")
 	s.store.Set("evacuations", "elsewhere", `{}`)
 	s.store.Set("evacuations", "picton-shed", `{}`)
-	s.until("the evacuated zone is not used", func() bool { return serves(one, spared) })
-	s.show("query while the zone is evacuated", front(one), http.MethodGet, "/bundles/blue", "")
-	s.show("write to a service that is only there", front(one), http.MethodPost, "/desk/drop", "three bags")
+	s.waitFor("the evacuated zone is not used", func() bool { return serves(one, partial) })
+	s.recordRequest("query while the zone is evacuated", front(one), http.MethodGet, "/bundles/blue", "")
+	s.recordRequest("write to a service that is only there", front(one), http.MethodPost, "/desk/drop", "three bags")
 
 	s.store.Fail(http.StatusServiceUnavailable)
-	s.host("host-2", two, ports, seeds)
-	s.show("query at a host that started in it, without the store", front(two), http.MethodGet, "/bundles/blue", "")
+	s.startHost("host-2", two, ports, seeds)
+	s.recordRequest("query at a host that started in it, without the store", front(two), http.MethodGet, "/bundles/blue", "")
 	s.store.Fail(0)
 
 	s.store.Delete("evacuations", "picton-shed")
-	s.until("both hosts use the zone again", func() bool { return serves(one, whole) && serves(two, whole) })
-	s.show("query after the zone was released", front(two), http.MethodGet, "/bundles/blue", "")
-	s.show("write after it", front(one), http.MethodPost, "/desk/drop", "three bags")
-	s.compare("testdata/platform_evacuation.txt")
+	s.waitFor("both hosts use the zone again", func() bool { return serves(one, complete) && serves(two, complete) })
+	s.recordRequest("query after the zone was released", front(two), http.MethodGet, "/bundles/blue", "")
+	s.recordRequest("write after it", front(one), http.MethodPost, "/desk/drop", "three bags")
+	s.compareGolden("testdata/platform_evacuation.txt")
 }
 
-// compare compares the recorded text with a golden file, or rewrites the file if -update is set.
-func (s *session) compare(golden string) {
+// compareGolden compares the recorded text with a golden file, or rewrites the file if -update is set.
+func (s *session) compareGolden(golden string) {
 	if *update {
 		qt.Assert(s.t, os.WriteFile(golden, []byte(s.out.String()), 0o600), qt.IsNil)
 	}
