--- a/sessions/proofs_test.go
+++ b/sessions/proofs_test.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	provenTest    = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
-	provenSession = regexp.MustCompile(`session (\w+) in sessions|TestSessions/(\w+)`)
-	declared      = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
+	testNamePattern    = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
+	sessionNamePattern = regexp.MustCompile(`session (\w+) in sessions|TestSessions/(\w+)`)
+	declarationPattern = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
 )
 
 // TestProofsAreThere guards against a merge that drops a test or session: all checks stay green while docs/PROOFS.md
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	page := string(b)
-	there := testNames(t)
-	for _, name := range provenTest.FindAllString(page, -1) {
-		if !there[name] {
+	existing := testNames(t)
+	for _, name := range testNamePattern.FindAllString(page, -1) {
+		if !existing[name] {
 			t.Errorf("docs/PROOFS.md names the test %s, which does not exist in the repository", name)
 		}
 	}
@@ -37,7 +37,7 @@
 	for _, f := range files {
 		sessions[strings.TrimSuffix(filepath.Base(f), ".txtar")] = false
 	}
-	for _, m := range provenSession.FindAllStringSubmatch(page, -1) {
+	for _, m := range sessionNamePattern.FindAllStringSubmatch(page, -1) {
 		name := m[1] + m[2]
 		if _, ok := sessions[name]; !ok {
 			t.Errorf("docs/PROOFS.md names the session %s, which does not exist in testdata", name)
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		for _, m := range declared.FindAllStringSubmatch(string(b), -1) {
+		for _, m := range declarationPattern.FindAllStringSubmatch(string(b), -1) {
 			names[m[1]] = true
 		}
 		return nil
--- a/sessions/sessions_test.go
+++ b/sessions/sessions_test.go
@@ -30,10 +30,10 @@
 var binDir string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "sessions")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -64,8 +64,8 @@
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
 			"ports":  ports,
 			"get":    get,
-			"post":   sender(http.MethodPost),
-			"put":    sender(http.MethodPut),
+			"post":   sendCommand(http.MethodPost),
+			"put":    sendCommand(http.MethodPut),
 			"until":  until,
 			"grab":   grab,
 			"golden": golden,
@@ -122,8 +122,9 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(base)), true
 }
 
-// sender returns the command URL BODY [HEADER:VALUE]..., which sends a request and prints the status and the response.
-func sender(method string) func(ts *testscript.TestScript, neg bool, args []string) {
+// sendCommand returns the command URL BODY [HEADER:VALUE]..., which sends a request and prints the status and the
+// response.
+func sendCommand(method string) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if len(args) < 2 {
 			ts.Fatalf("usage: post or put URL BODY [HEADER:VALUE]...")
@@ -170,8 +171,8 @@
 }
 
 const (
-	untilLimit = 30 * time.Second
-	untilPause = 20 * time.Millisecond
+	untilTimeout  = 30 * time.Second
+	untilInterval = 20 * time.Millisecond
 )
 
 // until PATTERN PROGRAM ARGS... runs a program repeatedly until its output matches PATTERN. The program "get" sends a
@@ -182,13 +183,13 @@
 	}
 	want := regexp.MustCompile(args[0])
 	var last string
-	for end := time.Now().Add(untilLimit); time.Now().Before(end); time.Sleep(untilPause) {
+	for end := time.Now().Add(untilTimeout); time.Now().Before(end); time.Sleep(untilInterval) {
 		last = output(ts, args[1], args[2:])
 		if want.MatchString(last) {
 			return
 		}
 	}
-	ts.Fatalf("%s did not print %q within %v; last output:\n%s", args[1], args[0], untilLimit, last)
+	ts.Fatalf("%s did not print %q within %v; last output:\n%s", args[1], args[0], untilTimeout, last)
 }
 
 // output returns what a program prints, or the response and error of a GET request.
@@ -232,8 +233,8 @@
 	ts.Setenv(args[0], m[1])
 }
 
-// varying lists the parts of the output that differ between runs, with the names that replace them.
-var varying = []struct {
+// replacements lists the parts of the output that differ between runs, with the names that replace them.
+var replacements = []struct {
 	pattern *regexp.Regexp
 	name    string
 }{
@@ -249,7 +250,7 @@
 		ts.Fatalf("usage: golden FILE")
 	}
 	got := ts.ReadFile("stdout")
-	for _, v := range varying {
+	for _, v := range replacements {
 		got = v.pattern.ReplaceAllString(got, v.name)
 	}
 	want := ts.ReadFile(args[0])
