--- a/core/upstream/attempt.go
+++ b/core/upstream/attempt.go
@@ -13,7 +13,7 @@
 
 var errLate = errors.New("the deadline passed before the first byte was sent")
 
-// attempt follows one request down to the connection that carries it.
+// attempt tracks one request and the connection that carries it.
 type attempt struct {
 	clock    clock.Clock
 	deadline time.Time
@@ -21,17 +21,17 @@
 	start    uint64
 
 	silence *silence
-	// cancel ends the request early; it is nil where the request waits for its own deadline.
+	// cancel ends the request early; nil if the request waits until its own deadline.
 	cancel context.CancelFunc
-	// usual says that the request's time is typical of the replica's.
+	// usual is set if the latency of the request counts toward the replica's average.
 	usual bool
-	// sent and overtaken belong to silence.
+	// sent and overtaken are owned by silence and protected by its lock.
 	sent      time.Time
 	overtaken int
 	silent    atomic.Bool
 }
 
-// trace returns req with the hook that tells the attempt its connection.
+// trace returns req with hooks that record its connection and the first byte of its reply.
 func (at *attempt) trace(req *http.Request) *http.Request {
 	at.deadline, _ = req.Context().Deadline()
 	hooks := &httptrace.ClientTrace{GotConn: at.gotConn, GotFirstResponseByte: at.answered}
@@ -46,7 +46,7 @@
 
 func (at *attempt) answered() { at.silence.answered(at, at.usual) }
 
-// giveUpSilent marks the request as one on a silent connection, and ends it where it may be tried elsewhere.
+// giveUpSilent marks the connection of the request as silent and cancels the request if it can be retried elsewhere.
 func (at *attempt) giveUpSilent() {
 	at.silent.Store(true)
 	if at.cancel != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// end says that the request no longer uses its connection.
+// end marks the connection as no longer used by the request.
 func (at *attempt) end() {
 	at.silence.ended(at)
 	if at.conn != nil {
@@ -69,16 +69,16 @@
 	return nil
 }
 
-// giveUp ends the attempt's use of its connection and reports whether a byte of the request may have left.
+// giveUp stops all writes on the attempt's connection and reports whether a byte of the request may have been sent.
 func (at *attempt) giveUp() bool {
 	return at.conn != nil && at.conn.fence(at.start)
 }
 
-// noRedirect is a transport that hides where a redirect points to, since the client would follow it by itself:
-// a 303 becomes a GET at whatever address the reply names, and a 307 without a body is sent a second time.
+// noRedirect is a transport that removes the Location header, because the HTTP client follows redirects by itself:
+// it turns a 303 into a GET of any address that the reply names, and sends a 307 without a body a second time.
 type noRedirect struct{ next http.RoundTripper }
 
-// RoundTrip sends req once.
+// RoundTrip sends req once and removes the Location header of the response.
 func (t noRedirect) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := t.next.RoundTrip(req)
 	if err == nil {
--- a/core/upstream/client.go
+++ b/core/upstream/client.go
@@ -23,19 +23,19 @@
 
 // Options configures a Client.
 type Options struct {
-	// Clock tells the time; nil means the system's.
+	// Clock is the source of time; nil means the system clock.
 	Clock clock.Clock
-	// Seats is the most connections held to each replica.
+	// Seats is the maximum number of connections to each replica.
 	Seats int
 
 	cold bool
 }
 
-// Client sends tries to the replicas of one service; it never sends one twice.
+// Client sends attempts to the replicas of one service; it never sends the same attempt twice.
 type Client struct {
 	clock clock.Clock
 	cold  bool
-	// lane carries the requests that come next; SetSeats replaces it.
+	// lane sends all new requests; SetSeats replaces it.
 	lane atomic.Pointer[lane]
 
 	mu    sync.Mutex
@@ -43,13 +43,13 @@
 	seats map[string]*seats
 }
 
-// lane is an HTTP client over a transport that holds at most a number of connections to a replica.
+// lane is an HTTP client and its transport, which has a fixed limit of connections to each replica.
 type lane struct {
 	http *khttp.Client
 	tr   *http.Transport
 }
 
-// New returns a client without any connection yet.
+// New returns a client without open connections.
 func New(opts Options) (*Client, error) {
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
@@ -79,11 +79,11 @@
 	return &lane{http: hc, tr: tr}, nil
 }
 
-// SetSeats changes the most connections held to each replica; requests in flight end on the connections that they have.
+// SetSeats changes the maximum number of connections to each replica; requests in flight finish on their connections.
 //
-// Operators lower the limit because a replica's connections are wanted elsewhere. A transport can't be given
-// another limit while it runs, so later requests go through a new one; both dial through the same seats, whose count
-// of open connections goes on, so that the replica never sees more than the higher of the two limits.
+// Operators lower the limit if other systems need the connections of a replica. The limit of a running transport can't
+// be changed, so later requests use a new transport. Both transports dial through the same pool and share its count of
+// open connections, so a replica never has more connections than the higher of the two limits.
 func (c *Client) SetSeats(most int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,12 +99,12 @@
 		s.setMost(most)
 	}
 	old := c.lane.Swap(l)
-	// The transport closes the connections that are idle now, and the others as their requests end.
+	// The transport closes its idle connections now and each other connection when its request ends.
 	old.tr.CloseIdleConnections()
 	return nil
 }
 
-// seat returns the connections held to the replica at addr.
+// seat returns the connection pool of the replica at addr and creates it on first use.
 func (c *Client) seat(addr string) *seats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +121,7 @@
 	return c.seat(addr).take(ctx)
 }
 
-// renew looks after the seats at one replica twice in idleLimit, until the replica is no longer used.
+// renew maintains the connection pool of one replica twice in each idleLimit and deletes it once the replica is unused.
 func (c *Client) renew(s *seats) {
 	if s.renew() {
 		c.mu.Lock()
@@ -134,7 +134,7 @@
 	c.clock.AfterFunc(idleLimit/2, func() { c.renew(s) })
 }
 
-// Stats returns the sums over all replicas; Peak is the highest of any one.
+// Stats returns the sums over all replicas; Peak is the highest value of a single replica.
 func (c *Client) Stats() SeatStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +153,7 @@
 	return sum
 }
 
-// Close drops the connections that no request uses.
+// Close closes all connections that no request uses.
 func (c *Client) Close() {
 	c.mu.Lock()
 	for _, s := range c.seats {
@@ -163,18 +163,18 @@
 	c.lane.Load().tr.CloseIdleConnections()
 }
 
-// QueryTry is one try of a query at one replica.
+// QueryTry is one attempt of a query at one replica.
 type QueryTry struct {
 	ID      string
 	Version int64
 	Shard   int
 	Body    []byte
-	// Patient lets the try wait for its deadline on a connection that looks silent: a long query looks like that too,
-	// and must not be cut off again where it is tried next.
+	// Patient makes the attempt wait until its deadline even if its connection appears silent. A long query looks
+	// the same, and its retry must not be canceled for that reason again.
 	Patient bool
 }
 
-// Query sends one try; the deadline of ctx is passed on and its cancellation reaches the replica.
+// Query sends one attempt of a query; the deadline and the cancellation of ctx are passed on to the replica.
 func (c *Client) Query(ctx context.Context, addr netip.AddrPort, try QueryTry) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -195,7 +195,7 @@
 	if err := json.Unmarshal(body, &res.Query); err != nil {
 		return failed(res, KindError, fmt.Sprintf("reply can't be read: %v", err))
 	}
-	// A late reply of an earlier request on the same connection must never be taken for this one's.
+	// A late reply to an earlier request on the same connection must not be accepted for this request.
 	q := res.Query
 	if q.RequestID != try.ID || q.Version != try.Version || q.Shard != try.Shard {
 		return failed(res, KindForeign, fmt.Sprintf("reply belongs to request %q, version %d, shard %d", q.RequestID, q.Version, q.Shard))
@@ -203,13 +203,13 @@
 	return res
 }
 
-// Write sends one try of a non-idempotent request; nothing below this call sends it again.
+// Write sends one attempt of a non-idempotent request; nothing below this call sends it again.
 func (c *Client) Write(ctx context.Context, addr netip.AddrPort, id string, body []byte) Result {
 	req, err := c.request(ctx, http.MethodPost, addr, "/v1/write", id, body)
 	if err != nil {
 		return Result{Kind: KindNotSent, Detail: err.Error()}
 	}
-	// A write is never given up early: its reply may still come, and nothing is won by not knowing sooner.
+	// A write is never canceled early: its reply may still arrive, and an earlier unknown outcome has no benefit.
 	res, b := c.do(ctx, req, &attempt{usual: true})
 	if res.Kind != KindOK {
 		return res
@@ -247,7 +247,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("request to %s: %w", addr, err)
 	}
-	// Without GetBody neither net/http's transport nor a redirect can send the body a second time.
+	// Without GetBody neither the transport of net/http nor a redirect can send the body a second time.
 	req.GetBody = nil
 	if id != "" {
 		req.Header.Set(HeaderRequest, id)
@@ -284,7 +284,7 @@
 		Draining: resp.Header.Get(HeaderDraining) == "1",
 		Claimed:  resp.Header.Get(HeaderLoad),
 	}
-	// A reply that is cut at the bound may still parse, and would pass for a whole one.
+	// A reply that is truncated at the limit may still be valid JSON and would be accepted as complete.
 	if len(body) > maxReply {
 		return failed(res, KindError, fmt.Sprintf("the reply is over %d bytes", maxReply)), nil
 	}
@@ -313,7 +313,7 @@
 		return failed(res, KindError, fmt.Sprintf("status %d", resp.StatusCode))
 	}
 	detail := string(p.Code) + ": " + p.Reason
-	// A refusal that answers an earlier request on the connection says nothing about this one.
+	// A refusal of an earlier request on the connection does not apply to this request.
 	if p.RequestID != "" && p.RequestID != id {
 		return failed(res, KindForeign, fmt.Sprintf("refusal belongs to request %q", p.RequestID))
 	}
--- a/core/upstream/conn.go
+++ b/core/upstream/conn.go
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// linger is how long a closed connection waits for the replica to close its side.
+// linger is how long a closed connection waits until the replica closes its side.
 const linger = 250 * time.Millisecond
 
 var errFenced = errors.New("the request was given up before it was sent")
 
-// conn counts the bytes that leave on one connection, so that a try can tell truly whether any of its own did.
+// conn counts the bytes sent on one connection, so that an attempt knows for certain whether any of its bytes were
+// sent.
 //
-// net/http hands a request to a writing goroutine of the connection and may return from a cancelled request
-// while that goroutine has yet to write. A count taken then says zero and the bytes leave afterwards. fence closes
-// that gap: it decides under the lock of Write, and no write begins after it.
+// net/http passes a request to a writing goroutine of the connection and may return from a canceled request before
+// that goroutine writes. The count is then still zero, and the bytes are sent afterwards. fence closes this race: it
+// reads the count under the lock that Write takes, and no write begins after it.
 type conn struct {
 	net.Conn
 	seats  *seats
 	opened time.Time
 
-	// received is set once a byte came back, ended once the other side closed, closing once this side did.
+	// received is set after the first received byte, ended after the other side closed the connection, closing after
+	// this side did.
 	received, ended, closing atomic.Bool
 	closeOnce                sync.Once
 
@@ -32,12 +34,12 @@
 	writing bool
 	fenced  bool
 	guard   func() error
-	// busy is set while a request uses the connection; heard is when it last received.
+	// busy is set while a request uses the connection; heard is the time of the last received byte.
 	busy  bool
 	heard time.Time
 }
 
-// begin marks the start of a request, whose first byte leaves only if guard allows it then.
+// begin marks the start of a request; its first byte is sent only if guard returns nil at that moment.
 func (c *conn) begin(guard func() error) (start uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +62,7 @@
 	return !c.busy && c.opened.Before(t) && c.heard.Before(t)
 }
 
-// fence forbids further writes and reports whether a byte may have left since start.
+// fence blocks all further writes and reports whether a byte may have been sent since start.
 func (c *conn) fence(start uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +70,7 @@
 	return c.writing || c.sent > start
 }
 
-// Write sends b, or nothing where the connection is fenced or the guard of the request refuses its first byte.
+// Write sends b, or nothing if the connection is fenced or the guard of the request rejects its first byte.
 func (c *conn) Write(b []byte) (int, error) {
 	if err := c.enter(); err != nil {
 		return 0, err
@@ -87,7 +89,7 @@
 	if c.fenced {
 		return errFenced
 	}
-	// A host that was paused between the decision to send and this line must not start the request late.
+	// A host that was paused after the decision to send must not start the request after its deadline.
 	if c.guard != nil {
 		if err := c.guard(); err != nil {
 			c.fenced = true
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// Read reads from the connection; once it is closing, what still arrives belongs to nobody.
+// Read reads from the connection; once the connection is closing, received bytes are discarded.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.closing.Load() {
@@ -119,13 +121,13 @@
 	return n, err
 }
 
-// Close ends the sending side at once, which is how a replica learns of a cancel, and gives the seat back once the
-// replica has closed its side too: until then it counts the connection against its limit.
+// Close shuts down the sending side at once, which signals a cancellation to the replica. The connection counts as
+// open until the replica has closed its side too, because the replica counts it against its limit until then.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		c.closing.Store(true)
 		c.fence(0)
-		// net/http may wait for its reading and writing goroutines, which a plain close would have woken.
+		// net/http may wait for its reading and writing goroutines; the deadline unblocks them, as a plain close would.
 		_ = c.SetDeadline(time.Unix(1, 0))
 		go c.windUp()
 	})
@@ -141,7 +143,7 @@
 	c.seats.release(c, c.ended.Load() && !c.received.Load())
 }
 
-// drain reads until the other side closes or the deadline of the connection passes.
+// drain reads until the other side closes the connection or the read deadline passes.
 func drain(c net.Conn) {
 	buf := make([]byte, 4<<10)
 	for {
--- a/core/upstream/doc.go
+++ b/core/upstream/doc.go
@@ -1,2 +1,2 @@
-// Package upstream talks to the replicas of a service over HTTP/1.1: queries, writes and health.
+// Package upstream sends queries, writes and health checks to the replicas of a service over HTTP/1.1.
 package upstream
--- a/core/upstream/messages.go
+++ b/core/upstream/messages.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// Headers of the upstream's API.
+// Headers of the upstream API.
 const (
-	// HeaderRequest carries an id that is unique to each try; the reply echoes it.
+	// HeaderRequest carries an id that is unique to each attempt; the reply repeats it.
 	HeaderRequest = "X-Request-Id"
 	// HeaderDeadline carries the time left, in milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
 	// HeaderVersion pins the index version of a query.
 	HeaderVersion = "X-Index-Version"
-	// HeaderShard names the shard wanted, in the numbering of the pinned version.
+	// HeaderShard is the number of the requested shard in the shard map of the pinned version.
 	HeaderShard = "X-Shard"
-	// HeaderVersions lists the versions that the replica holds, as FormatHoldings writes them.
+	// HeaderVersions lists the versions that the replica holds, in the format of FormatHoldings.
 	HeaderVersions = "X-Index-Versions"
-	// HeaderDraining is "1" on every reply of a replica that is leaving.
+	// HeaderDraining is "1" on every reply of a draining replica.
 	HeaderDraining = "X-Draining"
-	// HeaderNotRun is "true" on an error reply where the request truly did not run.
+	// HeaderNotRun is "true" on an error reply if the request certainly did not run.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLoad is what the replica claims of its load, as "running/slots"; it lags or misleads.
+	// HeaderLoad is the load that the replica reports, as "running/slots"; it may be stale or wrong.
 	HeaderLoad = "X-Load"
 )
 
@@ -52,7 +52,7 @@
 	Limit int    `json:"limit"`
 }
 
-// Encode returns the body that each replica is sent.
+// Encode returns the request body that is sent to each replica.
 func (q Query) Encode() []byte {
 	b, err := json.Marshal(q)
 	if err != nil {
@@ -88,7 +88,7 @@
 	Result    json.RawMessage `json:"result,omitempty"`
 }
 
-// Health is the reply of the health endpoint, which lags or misleads.
+// Health is the reply of the health endpoint; it may be stale or wrong.
 type Health struct {
 	Draining bool      `json:"draining"`
 	Running  int       `json:"running"`
@@ -96,17 +96,17 @@
 	Holdings []Holding `json:"holdings"`
 }
 
-// Holding says which shard of a version a replica holds, and into how many that version is split.
+// Holding is the shard that a replica holds of one index version, and the number of shards of that version.
 type Holding struct {
 	Version int64 `json:"version"`
 	Shard   int   `json:"shard"`
 	Shards  int   `json:"shards"`
 }
 
-// MaxHoldings is the most versions that a replica may name in one header.
+// MaxHoldings is the maximum number of versions in one HeaderVersions.
 const MaxHoldings = 16
 
-// FormatHoldings writes holdings as HeaderVersions carries them: "41=3/10,42=7/15".
+// FormatHoldings formats holdings as the value of HeaderVersions, such as "41=3/10,42=7/15".
 func FormatHoldings(list []Holding) string {
 	parts := make([]string, len(list))
 	for i, h := range list {
@@ -115,7 +115,7 @@
 	return strings.Join(parts, ",")
 }
 
-// ParseHoldings reads what FormatHoldings wrote and rejects anything else.
+// ParseHoldings parses the output of FormatHoldings and rejects anything else.
 func ParseHoldings(s string) ([]Holding, error) {
 	if s == "" {
 		return nil, nil
@@ -145,7 +145,7 @@
 		return Holding{}, fmt.Errorf("%s: %q is not version=shard/shards", HeaderVersions, s)
 	}
 	h := Holding{Version: v, Shard: n, Shards: of}
-	// The numbers are also read with signs and leading zeros, in which one holding would have many spellings.
+	// The parsers also accept signs and leading zeros, so one holding would have several valid forms.
 	if FormatHoldings([]Holding{h}) != s {
 		return Holding{}, fmt.Errorf("%s: %q is not version=shard/shards", HeaderVersions, s)
 	}
--- a/core/upstream/once_test.go
+++ b/core/upstream/once_test.go
@@ -19,10 +19,10 @@
 	"guavaspring.org/core/clock"
 )
 
-// peer is a fake replica on a real socket: it keeps the id of every request whose first bytes reached it.
+// peer is a fake replica on a real socket; it counts the requests received under each id.
 type peer struct {
 	l net.Listener
-	// serve answers one request and reports whether the connection goes on.
+	// serve answers one request and reports whether the connection stays open.
 	serve func(c net.Conn, id string, nth int) bool
 
 	mu    sync.Mutex
@@ -107,8 +107,8 @@
 	return c
 }
 
-// A donor drop-off is sent on a connection that was used before. The replica reads it, books it and dies before it
-// replies. net/http resends a request that it deems replayable on a new connection, and the drop-off is booked twice.
+// Guards against a write that runs twice: a replica runs a write on a reused connection and dies before its reply.
+// net/http resends requests that it considers replayable on a new connection.
 func TestWriteIsNotResentOnReusedConnection(t *testing.T) {
 	for _, body := range []string{`{"op_id":"a"}`, ""} {
 		p := newPeer(t, func(c net.Conn, id string, nth int) bool { return nth == 1 && done(c, id) })
@@ -120,8 +120,8 @@
 	}
 }
 
-// A replica answers a write with a redirect. The HTTP client follows it by itself and the write, or a GET made of it,
-// reaches an address that this host never chose.
+// A replica answers a write with a redirect. An HTTP client that follows it sends the write, or a GET in its place, to
+// an address that this host did not choose.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		for _, body := range []string{`{"op_id":"a"}`, ""} {
@@ -138,8 +138,8 @@
 	}
 }
 
-// A replica closes a connection that lay idle just as a booking goes out on it. If the host calls it not sent although
-// the replica read it, the caller books again and the member has two appointments.
+// A replica closes an idle connection while a write is sent on it. If the result is KindNotSent although the replica
+// read the write, the caller repeats it and it runs twice.
 func TestNotSentIsTrueWhenIdleConnectionCloses(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, id string, _ int) bool {
 		done(c, id)
@@ -156,8 +156,8 @@
 	}
 }
 
-// A caller gives up at the very moment its write goes out. net/http returns at once while its writing goroutine still
-// holds the request; a count taken then says that no byte left, and the write runs after the caller was told not_run.
+// A write is canceled while it is being sent. net/http returns at once while its writing goroutine still holds the
+// request; a byte count read then is zero, and the write runs after the caller received not_run.
 func TestNotSentIsTrueWhenCancelled(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, id string, _ int) bool { return done(c, id) })
 	c := newTestClient(t, Options{Seats: 8})
@@ -181,12 +181,12 @@
 		n := p.count(fmt.Sprintf("w%d", i))
 		qt.Assert(t, n <= 1, qt.IsTrue)
 		if kind == KindNotSent {
-			qt.Assert(t, n, qt.Equals, 0, qt.Commentf("write %d was called not sent", i))
+			qt.Assert(t, n, qt.Equals, 0, qt.Commentf("write %d was received but its result is not_sent", i))
 		}
 	}
 }
 
-// The same moment, step by step: the try is given up first and the writing goroutine comes second.
+// The same race in a fixed order: the attempt is given up before the writing goroutine writes.
 func TestFencedConnectionSendsNothing(t *testing.T) {
 	a, b := net.Pipe()
 	b.Close()
@@ -197,7 +197,7 @@
 	qt.Assert(t, errors.Is(err, errFenced), qt.IsTrue)
 }
 
-// jumpClock is a clock that jumps ahead after its first readings, as it looks to a process that was paused.
+// jumpClock is a clock that jumps ahead after its first readings, as for a process that was paused.
 type jumpClock struct {
 	clock.System
 	mu    sync.Mutex
@@ -216,8 +216,8 @@
 	return time.Now()
 }
 
-// A host is paused after it decided to send a write and wakes up past the deadline. The caller was told long ago that
-// nobody knows; a write that starts now surprises everyone. The right to send is read again at the first byte.
+// A host is paused after its decision to send a write and resumes after the deadline, when the caller already has an
+// unknown outcome. The deadline must be checked again before the first byte, so that the write does not start late.
 func TestPausedHostDoesNotSendLate(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, id string, _ int) bool { return done(c, id) })
 	c := newTestClient(t, Options{Clock: &jumpClock{after: 2, by: 2 * time.Hour}})
@@ -228,8 +228,8 @@
 	qt.Assert(t, p.count("w"), qt.Equals, 0)
 }
 
-// Nothing listens at the replica's address, or every seat to it is taken until the caller's deadline. Nothing was sent,
-// and a host that calls this broken would tell the caller unknown for a write that can safely be tried elsewhere.
+// Nothing listens at the replica's address, or all its connections are in use until the request is canceled. Nothing
+// was sent; KindBroken would give the caller an unknown outcome for a write that can safely be retried elsewhere.
 func TestNotSentWithoutConnection(t *testing.T) {
 	c := newTestClient(t, Options{Seats: 1})
 	l := listen(t)
@@ -253,8 +253,8 @@
 	wg.Wait()
 }
 
-// A refusal left over from an earlier request says "shed, not run". Taken for this write's, the host sends the write
-// to another replica while the first still runs it.
+// A refusal that belongs to an earlier request says "shed, not run". If it is accepted for this write, the host sends
+// the write to another replica while the first still runs it.
 func TestRefusalOfAnotherRequestProvesNothing(t *testing.T) {
 	for _, test := range []struct {
 		id   string
@@ -268,8 +268,8 @@
 	}
 }
 
-// A shard sends a page larger than the bound. Cut at the bound it may still be valid JSON, and the quilter sees a part
-// of the remnants as if it were all of them.
+// A replica sends a reply above the size limit. Truncated at the limit it may still be valid JSON, and a part of the
+// hits would be returned as all of them.
 func TestOversizedReplyIsAnError(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, id string, _ int) bool {
 		return answer(c, 200, "", fmt.Sprintf(`{"request_id":%q}`, id)+strings.Repeat(" ", maxReply))
--- a/core/upstream/seats.go
+++ b/core/upstream/seats.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// idleLimit is how long a connection may lie idle and how long an unused replica keeps its seats warm. A connection
-	// that something in between has forgotten is then silent for a bounded time only; dialling five anew each 30 s
-	// costs a replica with 40 connections and 6 ms a dial 0.8% of a core.
+	// idleLimit is how long a connection may be idle, and how long connections to an unused replica are kept open. It
+	// limits how long a connection that a middlebox has forgotten stays undetected. Redialing five connections every
+	// 30 s costs a replica with 40 connections and 6 ms per dial 0.8% of a core.
 	idleLimit = 30 * time.Second
-	// firstBackOff and lastBackOff bound the wait after a replica refused a connection or closed one unused.
+	// firstBackOff and lastBackOff are the minimum and maximum backoff after a replica refused a connection or closed
+	// an unused one.
 	firstBackOff = 20 * time.Millisecond
 	lastBackOff  = 500 * time.Millisecond
 	dialTimeout  = time.Second
@@ -29,18 +30,18 @@
 	errBackOff = errors.New("the replica refuses connections; a new one is not tried yet")
 )
 
-// seats holds this host's share of one replica's connections, counted from dial to close.
+// seats is a connection pool to one replica. It limits the number of open connections, counted from dial to close.
 //
-// It answers many requests at once and storms of cancels. A new connection costs the replica some 6 ms before its first
-// request is read, so connections are dialled ahead and lie ready; a request dials only if none is. A seat is free
-// again once the replica has closed its side too: while it still winds up a cancelled request it counts the connection,
-// and one more would be over its limit. A replica that closes a connection unused is over its limit or going down, and
-// is left alone for a while instead of being dialled in a loop.
+// It is built for many concurrent requests and frequent cancellations. A new connection costs the replica about 6 ms
+// before it reads the first request, so connections are dialed in advance; a request dials only if no spare one is
+// left. A closed connection counts as open until the replica has closed its side too: the replica counts it against
+// its limit while it finishes a canceled request, and one more connection would exceed the limit. A replica that closes
+// an unused connection is over its limit or shutting down; it is dialed again after a backoff instead of in a loop.
 type seats struct {
 	addr  string
 	most  int
 	clock clock.Clock
-	// cold turns dialling ahead off, to measure what it brings.
+	// cold turns off dialing in advance, for comparison in the benchmark.
 	cold    bool
 	silence *silence
 
@@ -57,16 +58,16 @@
 	stats   SeatStats
 }
 
-// SeatStats counts what became of connections.
+// SeatStats holds counters of connections.
 type SeatStats struct {
-	// Ready counts requests for a connection that were met by one dialled ahead, Dialled those that had to dial or
-	// wait.
+	// Ready counts requests that took a connection dialed in advance, Dialled those that had to dial one themselves.
 	Ready, Dialled uint64
-	// Refused counts connections that the replica refused or closed unused.
+	// Refused counts connections that the replica refused, or closed before they were used.
 	Refused uint64
-	// Silent counts requests found on a silent connection, Refreshed idle connections replaced on suspicion.
+	// Silent counts requests on connections that were found silent, Refreshed idle connections that were replaced as
+	// possibly silent.
 	Silent, Refreshed uint64
-	// Open is how many connections are open now, and Peak the most that ever were at one replica.
+	// Open is the current number of open connections, Peak the highest number that one replica had.
 	Open, Peak int
 }
 
@@ -76,7 +77,7 @@
 	return s
 }
 
-// take returns a connection dialled ahead, or dials one, or waits for a seat until ctx ends.
+// take returns a connection dialed in advance, or dials one, or waits for either until ctx ends.
 func (s *seats) take(ctx context.Context) (net.Conn, error) {
 	for {
 		s.mu.Lock()
@@ -106,7 +107,7 @@
 	}
 }
 
-// barred says why no connection may be dialled now; s.mu is held.
+// barred returns an error if no connection may be dialed now; s.mu is held.
 func (s *seats) barred() error {
 	if s.closed {
 		return errClosed
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// spare returns the oldest connection dialled ahead that is still open; s.mu is held.
+// spare returns the oldest connection dialed in advance that is still open, or nil; s.mu is held.
 func (s *seats) spare() *conn {
 	for len(s.spares) > 0 {
 		c := s.spares[0]
@@ -136,7 +137,7 @@
 	s.stats.Peak = max(s.stats.Peak, s.open)
 }
 
-// connect dials for a seat that was reserved.
+// connect dials a connection whose place was reserved before.
 func (s *seats) connect(ctx context.Context) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", s.addr)
@@ -151,7 +152,7 @@
 	return c, nil
 }
 
-// refresh replaces the idle connections that were opened before since and have received nothing after it.
+// refresh closes the idle connections that were opened before since and have received nothing after it.
 func (s *seats) refresh(since time.Time) {
 	s.mu.Lock()
 	var drop []*conn
@@ -168,7 +169,8 @@
 	}
 }
 
-// release frees the seat of c, nil where the dial failed; refused says that the replica did not want the connection.
+// release frees the place of c, which is nil if the dial failed. If the replica refused the connection, refused is set
+// and the backoff grows.
 func (s *seats) release(c *conn, refused bool) {
 	s.mu.Lock()
 	s.open--
@@ -183,20 +185,20 @@
 	s.fill()
 }
 
-// answered ends the wait after refusals: the replica serves its connections.
+// answered resets the backoff: the replica serves its connections.
 func (s *seats) answered() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backOff, s.until = 0, time.Time{}
 }
 
-// wake tells those who wait for a seat to look again; s.mu is held.
+// wake wakes all requests that wait for a connection; s.mu is held.
 func (s *seats) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// touch notes that the replica is in use and keeps its seats warm.
+// touch marks the replica as in use and fills the pool again after a second without use.
 func (s *seats) touch() {
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -208,7 +210,7 @@
 	}
 }
 
-// fill dials the seats that are free, one after another and apart from any request.
+// fill starts a goroutine that dials connections up to the limit, one after another.
 func (s *seats) fill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +238,7 @@
 	}
 }
 
-// keep lays a connection ready, unless the seats were closed while it was dialled.
+// keep adds a connection to the spare ones, unless the pool was closed while it was dialed.
 func (s *seats) keep(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,7 +250,8 @@
 	return true
 }
 
-// next reserves a seat to be dialled, or says how long to wait, or that nothing is left to do.
+// next reserves a place for a connection to dial (wait is 0), or returns the time to wait before the next call, or
+// reports that there is nothing more to dial.
 func (s *seats) next() (wait time.Duration, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,8 +267,7 @@
 	return 0, true
 }
 
-// renew closes the connections dialled ahead that are dead or older than idleLimit, and all of them where the replica
-// is unused.
+// renew closes the spare connections that are dead or older than idleLimit, and all of them if the replica is unused.
 func (s *seats) renew() (unused bool) {
 	s.mu.Lock()
 	now := s.clock.Now()
@@ -286,7 +288,7 @@
 	return unused
 }
 
-// setMost changes the number of seats; connections dialled ahead that are too many by it are closed at once.
+// setMost changes the maximum number of connections; spare connections above it are closed at once.
 func (s *seats) setMost(most int) {
 	s.mu.Lock()
 	s.most = most
--- a/core/upstream/seats_test.go
+++ b/core/upstream/seats_test.go
@@ -15,8 +15,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// limited is a replica that closes each connection over its limit, counts a connection until it has closed it itself,
-// and winds up a cancelled request before it does.
+// limited is a fake replica that closes each connection above its limit. A connection counts until the replica has
+// closed it, which it does after it has finished a canceled request.
 type limited struct {
 	l    net.Listener
 	most int
@@ -91,8 +91,8 @@
 	return p.peak, p.refused
 }
 
-// storm sends n writes from the given number of callers and cancels the tries that cancel picks; it returns how many
-// got through.
+// storm sends n writes from the given number of concurrent callers, cancels write i after cancelAfter(i) unless that is
+// negative, and returns the number of writes that succeeded.
 func storm(ctx context.Context, c *Client, addr netip.AddrPort, callers, n int, cancelAfter func(i int) time.Duration) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -124,9 +124,9 @@
 	return ok
 }
 
-// Hedged tries are cancelled all the time, and each cancel closes a connection. The replica still winds up the request
-// and counts the connection while the host dials the next one: over the limit, the replica closes new connections at
-// once, and the queries of other hosts on this replica fail too.
+// Hedging cancels attempts often, and each cancellation closes a connection. The replica counts the connection until it
+// has finished the request. If the host dials the next one before that, the replica is over its limit and closes new
+// connections at once, and queries of other hosts on this replica fail too.
 func TestSeatsStayUnderTheLimitThroughCancels(t *testing.T) {
 	const most = 4
 	p := newLimited(t, most, 0, func(string) { time.Sleep(2 * time.Millisecond) })
@@ -140,11 +140,11 @@
 	peak, refused := p.counts()
 	qt.Assert(t, refused, qt.Equals, 0, qt.Commentf("peak %d of %d", peak, most))
 	qt.Assert(t, c.Stats().Peak <= most, qt.IsTrue)
-	qt.Assert(t, ok >= 300, qt.IsTrue, qt.Commentf("%d of the 300 that nobody cancelled got through", ok))
+	qt.Assert(t, ok >= 300, qt.IsTrue, qt.Commentf("%d of the 300 writes that were not canceled succeeded", ok))
 }
 
-// A replica is over its limit and closes every connection as soon as it accepts it. A host that dials again at once, in
-// a loop, takes the seats that others need and burns the replica's time.
+// A replica over its limit closes every connection as soon as it accepts it. A host that redials in a loop takes
+// connections that other hosts need and wastes CPU time of the replica.
 func TestRefusedConnectionsAreNotDialledInALoop(t *testing.T) {
 	p := newLimited(t, 0, 0, func(string) {})
 	c := newTestClient(t, Options{Seats: 4})
@@ -156,8 +156,8 @@
 	qt.Assert(t, refused <= 100, qt.IsTrue, qt.Commentf("%d connections were refused", refused))
 }
 
-// BenchmarkDialAhead plays hedging: 5 seats, 6 ms a new connection, one in ten tries cancelled. It reports the share of
-// connections taken that the request had to wait for, against a client that dials on demand.
+// BenchmarkDialAhead simulates hedging: 5 connections, 6 ms for a new connection, one in ten attempts canceled. It
+// reports the share of requests that had to dial, with and without dialing in advance.
 func BenchmarkDialAhead(b *testing.B) {
 	for _, cold := range []bool{true, false} {
 		b.Run(fmt.Sprintf("cold=%t", cold), func(b *testing.B) {
@@ -180,9 +180,9 @@
 	}
 }
 
-// A draper's servers are to be shared with another system, and the operators lower upstream.connections. The
-// document is in force at once, but a host that kept its old share until its next restart would go on taking
-// the connections of the other system for weeks. Raised again, the host must use what it is given.
+// Operators lower upstream.connections because another system shares the replicas. A host that kept its old limit until
+// its next restart would take the connections of the other system for weeks. After the limit is raised again, the host
+// must use it.
 func TestSeatsFollowTheDocument(t *testing.T) {
 	const many, few = 6, 2
 	p := newLimited(t, many, 0, func(string) {})
@@ -202,7 +202,7 @@
 	}
 }
 
-// settle waits until the replica has exactly n connections and counts its peak from there.
+// settle waits until the replica has exactly n connections and resets its peak to n.
 func (p *limited) settle(tb testing.TB, n int) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
--- a/core/upstream/silence.go
+++ b/core/upstream/silence.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// patienceFactor times the replica's usual time to the first byte is how long a request waits before its connection
-	// is suspect; below leastPatience the jitter of a busy host would count as silence.
+	// patienceFactor times the replica's average time to the first byte is how long a request waits before its
+	// connection is suspected of silence. Below leastPatience, scheduling jitter of a busy host would count as silence.
 	patienceFactor = 4
 	leastPatience  = 20 * time.Millisecond
-	// firstPatience stands in until the replica has answered.
+	// firstPatience is used until the replica has replied for the first time.
 	firstPatience = 200 * time.Millisecond
-	// overtakes is how many requests sent later must be answered first: one may have been short by chance.
+	// overtakes is the number of requests sent later that must be answered first; a single one may be short by chance.
 	overtakes = 2
-	// refreshEvery bounds how often the idle connections to one replica are replaced on suspicion.
+	// refreshEvery is the minimum time between two replacements of the suspect idle connections to one replica.
 	refreshEvery = time.Second
-	// usualWeight is the weight of a new sample in the usual time, as one part in usualWeight.
+	// usualWeight is the inverse weight of a new sample in the moving average of the time to the first byte.
 	usualWeight = 8
 )
 
-// silence finds connections of one replica that stay open and say nothing any more.
+// silence detects connections to one replica that are open but no longer deliver anything.
 //
-// Something between the two ends forgets a connection: requests on it vanish while new connections work, and the
-// replica looks slow or dead to those who only see the time. Two signs tell it from a slow replica. A request that has
-// waited for several times the usual and was overtaken by later ones sits on a silent connection, and is given up
-// without blame. Where nothing at all comes back, it can't be told yet: the idle connections are replaced, which harms
-// nobody, and the requests that come next, on fresh connections, bring the evidence.
+// If a firewall or NAT drops the state of a connection, requests on it are lost while new connections work, and by
+// latency alone the replica looks slow or dead. A request that has waited for several times the average and was
+// overtaken by later requests is on a silent connection; it is given up without counting against the replica. If no
+// reply arrives at all, a silent connection can't be distinguished from a slow replica yet: the idle connections are
+// replaced, which is harmless, and the next requests on new connections show which of the two it is.
 type silence struct {
 	clock clock.Clock
-	// refresh replaces the idle connections that were opened before a time and have received nothing since.
+	// refresh closes the idle connections that were opened before the given time and have received nothing since.
 	refresh func(since time.Time)
 
 	mu        sync.Mutex
@@ -46,7 +46,7 @@
 	return &silence{clock: clk, refresh: refresh, waiting: map[*attempt]struct{}{}}
 }
 
-// sent notes that a request is about to go out.
+// sent records that a request is about to be sent.
 func (s *silence) sent(at *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	s.arm()
 }
 
-// answered notes that the first byte of a reply came back; usual says whether its time is typical of requests.
+// answered records that the first byte of a reply was received; usual is set if its latency counts toward the average.
 func (s *silence) answered(at *attempt, usual bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,14 +75,14 @@
 	}
 }
 
-// ended notes that a request was given up.
+// ended records that a request is over.
 func (s *silence) ended(at *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiting, at)
 }
 
-// count returns how many requests were found on silent connections.
+// count returns the number of requests that were found on silent connections.
 func (s *silence) count() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 	return max(leastPatience, patienceFactor*s.usual)
 }
 
-// arm starts the watch over the requests that wait; s.mu is held.
+// arm schedules the next check of the requests in flight; s.mu is held.
 func (s *silence) arm() {
 	if s.watching {
 		return
@@ -115,7 +115,8 @@
 	}
 }
 
-// look returns the requests on silent connections, and when the oldest was sent of those that can't be judged yet.
+// look returns the requests on silent connections, and the time at which the oldest overdue request was sent.
+// That time is zero if there is none or if the idle connections were replaced within refreshEvery.
 func (s *silence) look() (silent []*attempt, stuck time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/upstream/silence_test.go
+++ b/core/upstream/silence_test.go
@@ -27,7 +27,7 @@
 	return r
 }
 
-// answer plays one request that the replica answers after d.
+// answer simulates one request that the replica answers after d.
 func (r *silenceRun) answer(d time.Duration) {
 	at := &attempt{silence: r.s, usual: true}
 	r.s.sent(at)
@@ -42,16 +42,15 @@
 	return at, gaveUp
 }
 
-// A greeter's lookup goes out on a connection that a firewall has forgotten, and freezes until its deadline although
-// the replica answers everyone else. A lookup that is merely slow, on a replica where all are slow, must not be cut
-// off.
+// A query is sent on a connection whose state a firewall has dropped, and hangs until its deadline although the replica
+// answers other requests. A query on a replica where all requests are slow must not be canceled.
 func TestSilentConnectionIsToldFromSlowReplica(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		others time.Duration
 		gaveUp bool
 	}{
-		{"the replica answers others as usual", 10 * time.Millisecond, true},
+		{"the replica answers other requests in time", 10 * time.Millisecond, true},
 		{"the whole replica is slow", time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,9 +71,8 @@
 	}
 }
 
-// Every open connection to a replica falls silent at once and nothing comes back at all. Waiting for evidence takes for
-// ever, since each next request sits on a silent connection too: the idle ones are replaced on suspicion, once a
-// second.
+// All open connections to a replica become silent at once, so no later request can overtake an earlier one: each next
+// request is on a silent connection too. The idle connections must be replaced without proof, once a second.
 func TestStuckReplicaGetsFreshConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newSilenceRun()
@@ -88,9 +86,8 @@
 	})
 }
 
-// The same on a socket: one connection falls silent under a lookup. Those that come after it get their answers on
-// others, and the lookup is given back as silent, without waiting for a deadline (it has none here), so that it can be
-// tried again.
+// One real connection becomes silent during a query while later queries are answered on others. The query must end with
+// KindSilent before its deadline (it has none here), so that it can be retried.
 func TestLookupOnSilentConnectionIsGivenBack(t *testing.T) {
 	lost := make(chan struct{})
 	p := newPeer(t, func(c net.Conn, id string, nth int) bool {
