--- a/core/document/doc.go
+++ b/core/document/doc.go
@@ -1,2 +1,2 @@
-// Package document reads a service's document, the one file by which its operators steer the system.
+// Package document parses and validates the document of a service, the file in which its operators configure it.
 package document
--- a/core/document/document.go
+++ b/core/document/document.go
@@ -9,103 +9,103 @@
 	"github.com/goccy/go-yaml"
 )
 
-// MaxBytes is the largest document accepted, in bytes; the platform holds values of up to a megabyte.
+// MaxBytes is the maximum size of a document in bytes; the platform stores values of up to a megabyte.
 const MaxBytes = 256 << 10
 
-// Preference says what a service gives up first when a shard is late.
+// Preference is whether a service prefers low latency or full coverage when a shard is late.
 type Preference string
 
-// The two preferences: answer at the soft budget with what there is, or wait for the whole deadline.
+// The preferences: answer at the soft deadline with the shards received so far, or wait until the deadline.
 const (
 	PreferLatency  Preference = "latency"
 	PreferCoverage Preference = "coverage"
 )
 
-// Document is what the operators of one service write; Parse fills in the defaults.
+// Document is the configuration of one service; Parse fills in the defaults.
 type Document struct {
-	// Service names the service, such as "remnant-finder".
+	// Service is the name of the service, such as "remnant-finder".
 	Service string `json:"service" yaml:"service"`
 	// Upstream holds the limits of each replica of the service.
 	Upstream Upstream `json:"upstream" yaml:"upstream"`
 	// Deadline holds the time limits of a query.
 	Deadline Deadline `json:"deadline" yaml:"deadline"`
-	// Prefer says what gives way first when a shard is late.
+	// Prefer is whether to answer without a late shard or to wait for it.
 	Prefer Preference `json:"prefer" yaml:"prefer"`
-	// Hedge limits the second tries that are sent while the first still runs.
+	// Hedge limits the attempts that are sent while the first one still runs.
 	Hedge Hedge `json:"hedge" yaml:"hedge"`
-	// Retry limits the tries that follow a failed one.
+	// Retry limits the attempts that follow a failed one.
 	Retry Retry `json:"retry" yaml:"retry"`
-	// Admission limits what waits inside a host.
+	// Admission limits the queries that run and wait inside a host.
 	Admission Admission `json:"admission" yaml:"admission"`
-	// Writes holds the rules of non-idempotent requests; they are refused unless Enabled.
+	// Writes configures non-idempotent requests; they are refused unless Enabled is set.
 	Writes Writes `json:"writes" yaml:"writes"`
-	// Addresses holds how callers are spread over the hosts.
+	// Addresses configures how callers are distributed over the hosts.
 	Addresses Addresses `json:"addresses" yaml:"addresses"`
 }
 
 // Upstream holds the limits of one replica.
 type Upstream struct {
-	// Slots is how many requests a replica runs at once.
+	// Slots is the number of requests that a replica runs concurrently.
 	Slots int `json:"slots" yaml:"slots"`
-	// Connections is how many connections a replica accepts from all hosts together.
+	// Connections is the number of connections that a replica accepts from all hosts together.
 	Connections int `json:"connections" yaml:"connections"`
-	// EntryHosts is the largest number of hosts that may hold connections to a replica at once, those being replaced
-	// included.
+	// EntryHosts is the maximum number of hosts that have connections to a replica at the same time, including hosts
+	// that are being replaced.
 	EntryHosts int `json:"entry_hosts" yaml:"entry_hosts"`
 }
 
 // Deadline holds the time limits of a query.
 type Deadline struct {
-	// Default is the deadline of a request that names none.
+	// Default is the deadline of a request that specifies none.
 	Default Duration `json:"default" yaml:"default"`
-	// Max is the longest deadline a caller may ask for.
+	// Max is the longest deadline that a caller may request.
 	Max Duration `json:"max" yaml:"max"`
-	// Soft is when a service that prefers latency answers with what it has.
+	// Soft is the time after which a service that prefers latency answers with the shards received so far.
 	Soft Duration `json:"soft" yaml:"soft"`
 }
 
-// Hedge limits second tries.
+// Hedge limits hedged attempts.
 type Hedge struct {
-	// BudgetPercent is the most hedges for each hundred first tries; zero turns hedging off.
+	// BudgetPercent is the maximum number of hedges per hundred first attempts; zero turns hedging off.
 	BudgetPercent float64 `json:"budget_percent" yaml:"budget_percent"`
-	// Quantile is the share of replies that arrive before a hedge is sent, between 0.5 and 0.999.
+	// Quantile is the latency quantile of replies after which a hedge is sent, between 0.5 and 0.999.
 	Quantile float64 `json:"quantile" yaml:"quantile"`
 }
 
-// Retry limits tries that follow a failed one.
+// Retry limits attempts that follow a failed one.
 type Retry struct {
-	// BudgetPercent is the most retries for each hundred first tries.
+	// BudgetPercent is the maximum number of retries per hundred first attempts.
 	BudgetPercent float64 `json:"budget_percent" yaml:"budget_percent"`
 }
 
-// Admission limits what runs and waits inside a host.
+// Admission limits the queries that run and wait inside a host.
 type Admission struct {
-	// Concurrency is the most queries of the service that run at once on one host.
+	// Concurrency is the maximum number of queries of the service that run concurrently on one host.
 	Concurrency int `json:"concurrency" yaml:"concurrency"`
-	// Queue is the most queries of the service that wait on one host.
+	// Queue is the maximum number of queries of the service that wait on one host.
 	Queue int `json:"queue" yaml:"queue"`
-	// CallerShare is the largest share of Concurrency and Queue that one caller may take while others wait, between 0
-	// and 1.
+	// CallerShare is the maximum share of Concurrency and Queue for one caller while others wait, above 0 and at
+	// most 1.
 	CallerShare float64 `json:"caller_share" yaml:"caller_share"`
 }
 
-// Writes holds the rules of non-idempotent requests.
+// Writes configures non-idempotent requests.
 type Writes struct {
-	// Enabled says whether the service takes writes at all.
+	// Enabled is whether the service accepts writes.
 	Enabled bool `json:"enabled" yaml:"enabled"`
-	// TicketLife is how long a write ticket can be used after it was handed out.
+	// TicketLife is how long a write ticket is valid after it was issued.
 	TicketLife Duration `json:"ticket_life" yaml:"ticket_life"`
 }
 
-// Addresses holds how callers are spread over the hosts.
+// Addresses configures how callers are distributed over the hosts.
 type Addresses struct {
-	// Keep is how long a caller may keep an address answer.
+	// Keep is how long a caller may cache an address response.
 	Keep Duration `json:"keep" yaml:"keep"`
-	// Count is how many addresses an answer holds at most.
+	// Count is the maximum number of addresses in a response.
 	Count int `json:"count" yaml:"count"`
 }
 
-// FieldError names the key of a document that is wrong, its value, why, and what would be right.
+// FieldError reports an invalid key of a document: its value, the reason, and the valid values.
 type FieldError struct {
 	Key    string
 	Value  string
@@ -113,7 +113,7 @@
 	Want   string
 }
 
-// Error returns the whole explanation on one line.
+// Error returns the key, value, reason and valid values on one line.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %s: %s; want %s", e.Key, e.Value, e.Reason, e.Want)
 }
@@ -127,7 +127,7 @@
 // MarshalText writes the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads a duration with its unit; a bare number is an error, since its unit would be a guess.
+// UnmarshalText parses a duration with its unit; a number without a unit is an error because it is ambiguous.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// Default returns a document whose every value but the service's name is a working default.
+// Default returns a document with usable defaults for all values except the name of the service.
 func Default() Document {
 	return Document{
 		Upstream:  Upstream{Slots: 5, Connections: 40, EntryHosts: 8},
@@ -153,9 +153,9 @@
 
 var validName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// Parse reads a document in YAML or JSON, fills in defaults and validates it; unknown keys are errors.
+// Parse parses a document in YAML or JSON, fills in defaults and validates it; unknown keys are errors.
 //
-// The error joins a *FieldError for everything that is wrong, so that operators see all of it at once.
+// The error joins a *FieldError for each problem, so that operators see all problems at once.
 func Parse(b []byte) (Document, error) {
 	if len(b) > MaxBytes {
 		return Document{}, &FieldError{"document", fmt.Sprintf("%d bytes", len(b)), "too large", fmt.Sprintf("at most %d bytes", MaxBytes)}
@@ -173,7 +173,7 @@
 	return doc, nil
 }
 
-// Encode returns the document with every default written out, as JSON.
+// Encode returns the document as JSON, including all defaults.
 func (doc Document) Encode() []byte {
 	b, err := json.Marshal(doc)
 	if err != nil {
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -18,8 +18,8 @@
 
 var update = flag.Bool("update", false, "write docs/document.schema.json anew")
 
-// An operator's edit is wrong. The message must name the key, what was written, why it is wrong and what
-// would be right, each on one line, rather than Go's types or nothing at all.
+// The error for an invalid document must state for each problem, on one line, the key, its value, the reason and the
+// valid values, rather than Go types or nothing.
 func TestParseSaysWhatIsWrong(t *testing.T) {
 	for _, test := range []struct{ name, doc, want string }{
 		{"empty", "", `document: 0 documents: not one document; want one mapping of keys to values`},
@@ -57,7 +57,7 @@
 	}
 }
 
-// The schema that editors and other programs check documents with must be the one that hosts apply.
+// The published schema, which editors and other programs use, must match the rules of the hosts.
 func TestSchemaIsPublished(t *testing.T) {
 	const path = "../../docs/document.schema.json"
 	if *update {
@@ -68,8 +68,8 @@
 	qt.Assert(t, string(b), qt.Equals, string(document.Schema()), qt.Commentf("run: go test ./document -run TestSchemaIsPublished -update"))
 }
 
-// What a host stores and hands on must be read back as the same document, or hosts would differ in what is
-// in force.
+// A document that a host stores and forwards must be parsed as the same document, or hosts would use different
+// configurations.
 func TestEncodeIsReadBack(t *testing.T) {
 	c := qt.New(t)
 	doc, err := document.Parse([]byte("service: a\ndeadline: {default: 1500ms, soft: 1s}\n"))
@@ -79,8 +79,8 @@
 	c.Check(again, qt.Equals, doc)
 }
 
-// FuzzParse looks for a document that ends the process, is wrong without a reason on each line, or is taken
-// and not read back the same.
+// FuzzParse guards against a panic, an error without the valid values on each line, and a document that is changed by
+// Encode and Parse.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"service: remnant-finder\nupstream: {slots: 5, connections: 40}\nprefer: latency\n",
@@ -93,20 +93,20 @@
 		if err != nil {
 			for line := range strings.SplitSeq(err.Error(), "\n") {
 				if !strings.Contains(line, "; want ") {
-					t.Fatalf("%q: %q does not say what would be right", b, line)
+					t.Fatalf("%q: %q does not state the valid values", b, line)
 				}
 			}
 			return
 		}
 		again, err := document.Parse(doc.Encode())
 		if err != nil || again != doc {
-			t.Fatalf("%q: read as %+v, and again as %+v: %v", b, doc, again, err)
+			t.Fatalf("%q: parsed as %+v, after Encode as %+v: %v", b, doc, again, err)
 		}
 	})
 }
 
-// A key that the page does not explain can't be used by an operator, who has nothing else to steer by; one that the
-// page explains and the program refuses is worse. The page must name each key with its default, and no other.
+// The page for operators must list each key with its default and no other key: operators can't use a key that is not
+// listed, and a listed key that the program refuses makes their document invalid.
 func TestEveryKeyIsExplained(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/DOCUMENT.md")
@@ -128,7 +128,7 @@
 	Default    any             `json:"default"`
 }
 
-// rows returns "key default" of each key below n.
+// rows returns a "key default" line for each key below n.
 func (n node) rows(key string) []string {
 	if len(n.Properties) == 0 {
 		if n.Default == nil {
--- a/core/document/schema.go
+++ b/core/document/schema.go
@@ -8,7 +8,7 @@
 
 // Schema returns the JSON schema of a document, as published in docs/document.schema.json.
 //
-// It can't say what holds between two keys, such as that deadline.default is at most deadline.max; Validate does.
+// It can't express constraints between two keys, such as deadline.default <= deadline.max; Validate checks those.
 func Schema() []byte {
 	root := schemaOf("", reflect.ValueOf(Default()))
 	root["$schema"] = "https://json-schema.org/draft/2020-12/schema"
--- a/core/document/shape.go
+++ b/core/document/shape.go
@@ -14,10 +14,10 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// checkShape reports unknown keys, values of the wrong type and what YAML allows but a document does not.
+// checkShape reports unknown keys, values of the wrong type and YAML features that documents don't allow.
 //
-// The decoder alone names Go's types rather than the document's keys, stops at the first error, cuts 1.5 to
-// the whole number 1, and ignores a second document in the same file.
+// The decoder alone reports Go types rather than keys, stops at the first error, truncates 1.5 to 1 for an integer,
+// and ignores a second document in the same file.
 func checkShape(b []byte) error {
 	file, err := parser.ParseBytes(b, 0)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return n
 }
 
-// syntaxError says on one line where a file is neither YAML nor JSON.
+// syntaxError returns a one-line error with the position at which a file is neither YAML nor JSON.
 func syntaxError(err error) error {
 	var y yaml.Error
 	if !errors.As(err, &y) {
@@ -63,7 +63,8 @@
 	return &FieldError{"document", at, y.GetMessage(), "YAML or JSON"}
 }
 
-// plainOnly finds anchors, aliases and tags: a few lines of aliases can stand for more values than memory holds.
+// plainOnly rejects anchors, aliases and tags: a few lines of nested aliases can expand to more values than fit in
+// memory.
 type plainOnly struct{ err error }
 
 // Visit implements ast.Visitor.
@@ -79,7 +80,7 @@
 	return p
 }
 
-// shape checks a value that was read against the type that it is for.
+// shape checks a decoded value against the type of its field.
 func (c *checker) shape(key string, v any, t reflect.Type) {
 	want := wantOf(t)
 	switch {
@@ -181,7 +182,7 @@
 
 const maxShown = 40
 
-// show writes a value as an operator wrote it, on one line and cut where it is long.
+// show formats a value as in the document, on one line and truncated to maxShown bytes.
 func show(v any) string {
 	s := ""
 	switch v := v.(type) {
--- a/core/document/validate.go
+++ b/core/document/validate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Validate reports every field that is wrong, joined; each is a *FieldError.
+// Validate returns the joined errors of all invalid fields; each is a *FieldError.
 func (doc Document) Validate() error {
 	c := &checker{}
 	c.check(validName.MatchString(doc.Service), "service", fmt.Sprintf("%q", doc.Service), "not a service name", "lower-case letters, digits and hyphens, starting with a letter, at most 63")
@@ -24,7 +24,7 @@
 	return errors.Join(c.errs...)
 }
 
-// checker collects what is wrong, so that operators see all of it at once.
+// checker collects all errors, so that operators see all problems at once.
 type checker struct{ errs []error }
 
 func (c *checker) check(ok bool, key string, value any, reason, want string) {
@@ -57,7 +57,7 @@
 	c.check(ad.CallerShare > 0 && ad.CallerShare <= 1, "admission.caller_share", ad.CallerShare, "out of range", "above 0 and at most 1")
 }
 
-// bounds holds the least and the most of each number that has fixed ones; the schema is made from it too.
+// bounds holds the minimum and maximum of each number with fixed limits; Schema uses it too.
 var bounds = map[string][2]float64{
 	"upstream.slots":        {1, 10000},
 	"upstream.connections":  {1, 100000},
@@ -78,5 +78,5 @@
 	c.check(between(v, b[0], b[1]), key, number(v), "out of range", number(b[0])+" to "+number(b[1]))
 }
 
-// between is false for a NaN, which JSON can't carry but YAML can.
+// between reports whether v is in [least, most]. It is false for NaN, which YAML can express but JSON can't.
 func between[T cmp.Ordered](v, least, most T) bool { return v >= least && v <= most }
