--- a/core/caller/client.go
+++ b/core/caller/client.go
@@ -17,13 +17,13 @@
 
 const maxReply = 16 << 20
 
-// Client calls hosts as a caller does; it never resends a request by itself.
+// Client sends requests to hosts as a caller; it never resends a request by itself.
 type Client struct {
 	http *khttp.Client
 	name string
 }
 
-// Request is what goes with each call besides its body.
+// Request holds the parameters of a call other than its body.
 type Request struct {
 	Host     netip.AddrPort
 	Service  string
@@ -32,18 +32,18 @@
 	Ticket   string
 }
 
-// ProblemError is a host's refusal of a request that was wrong.
+// ProblemError is an error response of a host to an invalid request.
 type ProblemError struct {
 	Status  int
 	Problem Problem
 }
 
-// Error names the code and the reason the host gave.
+// Error returns the status, code and reason of the response.
 func (e *ProblemError) Error() string {
 	return fmt.Sprintf("host replied %d: %s: %s", e.Status, e.Problem.Code, e.Problem.Reason)
 }
 
-// New returns a client that calls itself name and holds at most conns idle connections to each host.
+// New returns a client that sends name as HeaderCaller and keeps at most conns idle connections to each host.
 func New(name string, conns int) (*Client, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: conns, IdleConnTimeout: time.Minute, DisableCompression: true}
 	hc, err := khttp.NewClient(context.Background(), khttp.WithTransport(transport), khttp.WithTimeout(0),
@@ -54,7 +54,7 @@
 	return &Client{http: hc, name: name}, nil
 }
 
-// Addresses asks the host at r.Host which hosts to use for r.Service, with n write tickets.
+// Addresses requests the addresses of the hosts for r.Service from the host at r.Host, with n write tickets.
 func (c *Client) Addresses(ctx context.Context, r Request, n int) (Addresses, error) {
 	var reply Addresses
 	path := "/v1/addresses?service=" + url.QueryEscape(r.Service) + "&tickets=" + strconv.Itoa(n)
@@ -62,21 +62,21 @@
 	return reply, err
 }
 
-// Query runs a query on the host at r.Host; a refusal is an Answer, not an error.
+// Query runs a query on the host at r.Host; a refused query is an Answer with OutcomeRefused, not an error.
 func (c *Client) Query(ctx context.Context, r Request, q Query) (Answer, error) {
 	var reply Answer
 	err := c.do(ctx, http.MethodPost, "/v1/services/"+url.PathEscape(r.Service)+"/query", r, q, &reply)
 	return reply, err
 }
 
-// Write runs a write on the host at r.Host; an error means that the outcome is unknown to the caller.
+// Write runs a write on the host at r.Host; an error means that the outcome of the write is unknown.
 func (c *Client) Write(ctx context.Context, r Request, w Write) (WriteAnswer, error) {
 	var reply WriteAnswer
 	err := c.do(ctx, http.MethodPost, "/v1/services/"+url.PathEscape(r.Service)+"/write", r, w, &reply)
 	return reply, err
 }
 
-// Get reads any other path of the host at r.Host, such as an explanation, into reply.
+// Get requests any other path of the host at r.Host, such as an explanation, and decodes the response into reply.
 func (c *Client) Get(ctx context.Context, r Request, path string, reply any) error {
 	return c.do(ctx, http.MethodGet, path, r, nil, reply)
 }
--- a/core/caller/doc.go
+++ b/core/caller/doc.go
@@ -1,2 +1,2 @@
-// Package caller speaks the caller's side of a host's HTTP API, for the programs that act as callers.
+// Package caller is a client of the HTTP API that hosts offer to callers.
 package caller
--- a/core/caller/explanation.go
+++ b/core/caller/explanation.go
@@ -9,7 +9,7 @@
 
 var idEncoding = base32.StdEncoding.WithPadding(base32.NoPadding)
 
-// NewExplanationID returns an id that names the host which keeps the explanation, since hosts share none of it.
+// NewExplanationID returns an id that contains the address of the host; only that host stores the explanation.
 func NewExplanationID(host netip.AddrPort, random string) string {
 	b, err := host.MarshalBinary()
 	if err != nil {
@@ -18,7 +18,7 @@
 	return idEncoding.EncodeToString(b) + "-" + random
 }
 
-// ExplanationHost returns the host that keeps the explanation with the id.
+// ExplanationHost returns the address of the host that stores the explanation with the id.
 func ExplanationHost(id string) (netip.AddrPort, error) {
 	head, _, ok := strings.Cut(id, "-")
 	var host netip.AddrPort
--- a/core/caller/messages.go
+++ b/core/caller/messages.go
@@ -7,54 +7,54 @@
 	"slices"
 )
 
-// Outcome says what became of a query.
+// Outcome is the outcome of a query.
 type Outcome string
 
 // The outcomes of a query.
 const (
-	// OutcomeComplete means that every shard of the snapshot answered.
+	// OutcomeComplete means that all shards of the snapshot answered.
 	OutcomeComplete Outcome = "complete"
 	// OutcomePartial means that the shards listed as missing did not answer in time.
 	OutcomePartial Outcome = "partial"
-	// OutcomeRefused means that nothing was sent upstream; RetryAfterMS says when to come back.
+	// OutcomeRefused means that nothing was sent upstream; the caller may retry after RetryAfterMS.
 	OutcomeRefused Outcome = "refused"
 	// OutcomeFailed means that no shard answered.
 	OutcomeFailed Outcome = "failed"
 )
 
-// WriteOutcome says what became of a write.
+// WriteOutcome is the outcome of a write.
 type WriteOutcome string
 
 // The outcomes of a write.
 const (
-	// WriteDone means that the upstream ran the write and said so.
+	// WriteDone means that the upstream confirmed that it ran the write.
 	WriteDone WriteOutcome = "done"
-	// WriteNotRun means that the write truly did not run, and never will under this ticket.
+	// WriteNotRun means that the write certainly did not run, and never will with this ticket.
 	WriteNotRun WriteOutcome = "not_run"
 	// WriteUnknown means that the write may or may not have run.
 	WriteUnknown WriteOutcome = "unknown"
 )
 
-// Headers of the caller's API.
+// Headers of the API for callers.
 const (
 	HeaderCaller   = "X-Caller"
 	HeaderDeadline = "X-Deadline-Ms"
 	HeaderRequest  = "X-Request-Id"
 	HeaderTicket   = "X-Ticket"
-	// HeaderUseAddresses is UseRefresh on a reply of a host that serves and should not be used for what comes next.
+	// HeaderUseAddresses is UseRefresh on a response of a host that serves but should not get further requests.
 	HeaderUseAddresses = "X-Use-Addresses"
 )
 
-// UseRefresh tells a caller to ask for addresses again, though its answer may still be kept.
+// UseRefresh tells a caller to request addresses again, even if its cached ones have not expired.
 const UseRefresh = "refresh"
 
 // Query is the body of a query.
 type Query struct {
-	// Query is passed on to every shard as it is.
+	// Query is sent unchanged to every shard.
 	Query string `json:"query"`
-	// Limit is the most hits wanted, 1 to 1000; zero means 20.
+	// Limit is the maximum number of hits, 1 to 1000; zero means 20.
 	Limit int `json:"limit,omitempty"`
-	// Key groups requests that load the same part of an upstream; it may be empty.
+	// Key groups requests that put load on the same part of an upstream; it may be empty.
 	Key string `json:"key,omitempty"`
 }
 
@@ -66,13 +66,13 @@
 	Data  json.RawMessage `json:"data,omitempty"`
 }
 
-// Snapshot names the index version and shard map that every hit of an answer comes from.
+// Snapshot is the index version and number of shards that all hits of an answer come from.
 type Snapshot struct {
 	Version int64 `json:"version"`
 	Shards  int   `json:"shards"`
 }
 
-// Coverage says which share of the snapshot answered.
+// Coverage is the number and share of the shards of the snapshot that answered.
 type Coverage struct {
 	Answered int     `json:"answered"`
 	Shards   int     `json:"shards"`
@@ -81,7 +81,7 @@
 	Missing []int `json:"missing,omitempty"`
 }
 
-// Outcome returns the outcome of a query that was sent upstream and came to this coverage.
+// Outcome returns the outcome of a query that was sent upstream and reached this coverage.
 func (cov Coverage) Outcome() Outcome {
 	switch cov.Answered {
 	case 0:
@@ -93,8 +93,7 @@
 	}
 }
 
-// Best returns the hits with the highest scores, at most limit, in the order in which an answer lists them; it sorts
-// hits.
+// Best returns at most limit hits with the highest scores, in the order of an answer; it sorts hits in place.
 func Best(hits []Hit, limit int) []Hit {
 	slices.SortFunc(hits, func(a, b Hit) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.ID, b.ID))
@@ -102,7 +101,7 @@
 	return hits[:min(len(hits), limit)]
 }
 
-// Answer is the reply to a query.
+// Answer is the response to a query.
 type Answer struct {
 	RequestID     string   `json:"request_id"`
 	Service       string   `json:"service"`
@@ -113,21 +112,21 @@
 	Hits          []Hit    `json:"hits"`
 	RetryAfterMS  int64    `json:"retry_after_ms,omitempty"`
 	ExplanationID string   `json:"explanation_id"`
-	// Generation is the configuration generation that the query ran under.
+	// Generation is the configuration generation that was used for the query.
 	Generation int64 `json:"generation"`
-	// RefreshAddresses tells the caller to ask for addresses again: this host should not be used for what comes next.
+	// RefreshAddresses tells the caller to request addresses again and to stop using this host.
 	RefreshAddresses bool `json:"refresh_addresses,omitempty"`
 }
 
 // Write is the body of a write.
 type Write struct {
-	// OpID names the operation for the service's own records.
+	// OpID identifies the operation in the records of the service.
 	OpID string `json:"op_id"`
-	// Payload is passed on to the upstream as it is.
+	// Payload is sent unchanged to the upstream.
 	Payload json.RawMessage `json:"payload,omitempty"`
 }
 
-// WriteAnswer is the reply to a write.
+// WriteAnswer is the response to a write.
 type WriteAnswer struct {
 	RequestID     string          `json:"request_id"`
 	Service       string          `json:"service"`
@@ -136,7 +135,7 @@
 	Result        json.RawMessage `json:"result,omitempty"`
 	RetryAfterMS  int64           `json:"retry_after_ms,omitempty"`
 	ExplanationID string          `json:"explanation_id"`
-	// RefreshAddresses tells the caller to ask for addresses again: this host should not be used for what comes next.
+	// RefreshAddresses tells the caller to request addresses again and to stop using this host.
 	RefreshAddresses bool `json:"refresh_addresses,omitempty"`
 }
 
@@ -146,21 +145,21 @@
 	Zone    string         `json:"zone"`
 	// Weight is the share of requests to send there, relative to the other addresses.
 	Weight float64 `json:"weight"`
-	// Tickets are rights to one write each, at this address only.
+	// Tickets each permit one write, at this address only.
 	Tickets []string `json:"tickets,omitempty"`
 }
 
-// Addresses is the reply to an address request.
+// Addresses is the response to an address request.
 type Addresses struct {
 	Service string `json:"service"`
-	// Generation is the configuration generation the answer rests on.
+	// Generation is the configuration generation that the response is based on.
 	Generation int64     `json:"generation"`
 	Addresses  []Address `json:"addresses"`
-	// KeepMS is how long the answer may be kept, in milliseconds.
+	// KeepMS is how long the caller may cache the response, in milliseconds.
 	KeepMS int64 `json:"keep_ms"`
 }
 
-// Problem is the body of a reply to a request that was wrong.
+// Problem is the body of a response to an invalid request.
 type Problem struct {
 	Code   string `json:"code"`
 	Reason string `json:"reason"`
