--- a/core/event/async.go
+++ b/core/event/async.go
@@ -7,14 +7,13 @@
 	"guavaspring.org/core/ring"
 )
 
-// queued is how many lines wait for a reader of the output that is slow; at a kilobyte a line they hold 2 MB at the
-// most.
+// queued is the maximum number of lines that wait for a slow output; at one kilobyte per line they use at most 2 MB.
 const queued = 2048
 
-// Async is a writer that never blocks: lines wait in a bounded ring for one goroutine that writes them.
+// Async is a writer that never blocks: it queues lines in a ring buffer, and one goroutine writes them.
 //
-// A process whose standard output is a pipe that nobody reads would stop in the middle of a request at its next log
-// line. Here the oldest lines are lost instead, and are counted.
+// If the output is a pipe that nobody reads, a blocking writer would stop a request at its next log line. Async drops
+// and counts the oldest lines instead.
 type Async struct {
 	lines *ring.Ring[[]byte]
 	out   io.Writer
@@ -23,26 +22,27 @@
 	quit  chan struct{}
 }
 
-// NewAsync returns a writer in front of out; Close ends it.
+// NewAsync returns an asynchronous writer to out and starts its goroutine, which Close stops.
 func NewAsync(out io.Writer) *Async {
 	a := &Async{lines: ring.New[[]byte](queued), out: out, done: make(chan struct{}), quit: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write queues a copy of b, which holds one line.
+// Write queues a copy of b, which must be one line.
 func (a *Async) Write(b []byte) (int, error) {
 	a.lines.Push(append([]byte(nil), b...))
 	return len(b), nil
 }
 
-// Sync does nothing: lines are on their way to the output all the time.
+// Sync does nothing, as queued lines are written continuously.
 func (a *Async) Sync() error { return nil }
 
-// Dropped returns how many lines were lost, to a full ring or an output that failed.
+// Dropped returns the number of lines lost to a full ring buffer or to a failed write.
 func (a *Async) Dropped() uint64 { return a.lines.Dropped() + a.lost.Load() }
 
-// Close writes what waits and ends the writer; it doesn't wait for an output that hangs longer than ready allows.
+// Close writes the queued lines and stops the writer. If the output blocks, it returns once ready receives or is
+// closed.
 func (a *Async) Close(ready <-chan struct{}) {
 	close(a.quit)
 	select {
@@ -66,7 +66,7 @@
 
 func (a *Async) flush() {
 	for line, ok := a.lines.Pop(); ok; line, ok = a.lines.Pop() {
-		// An output that was closed must not end the process; the loss is counted.
+		// A failed write, such as to a closed output, must not end the process; the lost line is counted.
 		if _, err := a.out.Write(line); err != nil {
 			a.lost.Add(1)
 		}
--- a/core/event/async_test.go
+++ b/core/event/async_test.go
@@ -16,8 +16,7 @@
 
 func (h hung) Write([]byte) (int, error) { <-h.never; return 0, errors.New("closed") }
 
-// Nobody reads the standard output any more, and its pipe is full. Requests must go on: no log line may wait for the
-// reader, and what is lost is counted.
+// The output is a full pipe that nobody reads. Writes must not block, and lost lines must be counted.
 func TestHungOutputBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := hung{never: make(chan struct{})}
@@ -36,7 +35,7 @@
 	})
 }
 
-// The output was closed. The process goes on, and counts what it could not write.
+// Writes to a closed output must not fail, and lost lines must be counted.
 func TestClosedOutputIsCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := hung{never: make(chan struct{})}
@@ -51,7 +50,7 @@
 	})
 }
 
-// What was logged before the end is written.
+// Close must write the lines that are still queued.
 func TestCloseWritesWhatWaits(t *testing.T) {
 	var out bytes.Buffer
 	a := event.NewAsync(&out)
@@ -61,8 +60,7 @@
 	qt.Assert(t, out.String(), qt.Equals, "stopped\n")
 }
 
-// A thousand requests fail within a second. The lines about them stay within the limit, and it is known how many are
-// missing.
+// A thousand lines within a second must stay within the limit, and the skipped ones must be counted.
 func TestLimit(t *testing.T) {
 	l := event.NewLimit(50)
 	now := time.Unix(0, 0)
--- a/core/event/doc.go
+++ b/core/event/doc.go
@@ -1,2 +1,2 @@
-// Package event writes numbered log events; docs/EVENTS.md catalogues every one of them.
+// Package event writes numbered log events; docs/EVENTS.md lists all of them.
 package event
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -12,19 +12,20 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Event is one catalogued kind of log line, registered by New.
+// Event is a kind of log line, registered by New.
 type Event struct {
-	// ID is the number that operators search for; it never changes its meaning.
+	// ID is the number that operators search for; its meaning never changes.
 	ID int
-	// Name is the short snake_case name written beside the number.
+	// Name is the short snake_case name of the event, which is logged with the number.
 	Name string
-	// Text says in one sentence when the line is written.
+	// Text describes in one sentence when the event is logged.
 	Text string
 }
 
 var catalogue []Event
 
-// New registers an event at package initialization; it panics on a number used twice, since the catalogue would lie.
+// New registers an event at package initialization; it panics if the number is already used, as it must identify one
+// event.
 func New(id int, name, text string) Event {
 	ev := Event{ID: id, Name: name, Text: text}
 	for _, other := range catalogue {
@@ -36,7 +37,7 @@
 	return ev
 }
 
-// Catalogue returns every event registered in this process, ordered by number.
+// Catalogue returns all events registered in this process, ordered by number.
 func Catalogue() []Event {
 	all := slices.Clone(catalogue)
 	slices.SortFunc(all, func(a, b Event) int { return a.ID - b.ID })
@@ -48,7 +49,7 @@
 	log.Info(ev.Name, append([]any{"event", ev.ID}, kv...)...)
 }
 
-// NewLogger returns a logger that writes one JSON object a line to w, or to standard error where w is nil.
+// NewLogger returns a logger that writes one JSON object per line to w, or to standard error if w is nil.
 func NewLogger(w io.Writer) logr.Logger {
 	if w == nil {
 		w = os.Stderr
--- a/core/event/limit.go
+++ b/core/event/limit.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limit bounds lines to a steady rate a second and a burst of as many.
+// Limit is a token bucket for log lines; its burst is as many lines as its rate allows in one second.
 type Limit struct {
 	rate float64
 
@@ -15,10 +15,10 @@
 	skipped uint64
 }
 
-// NewLimit returns a limit of rate lines a second.
+// NewLimit returns a limit of rate lines per second.
 func NewLimit(rate float64) *Limit { return &Limit{rate: rate, tokens: rate} }
 
-// Allow reports whether a line may be written now, and counts it as skipped otherwise.
+// Allow reports whether a line may be written at time now; otherwise it counts the line as skipped.
 func (l *Limit) Allow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	return true
 }
 
-// Skipped returns how many lines were not written.
+// Skipped returns the number of lines that Allow rejected.
 func (l *Limit) Skipped() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
