--- a/core/platform/client.go
+++ b/core/platform/client.go
@@ -18,10 +18,11 @@
 	"guavaspring.org/core/feed"
 )
 
-// Kind names a kind of object that the system keeps on the platform.
+// Kind is a kind of object that the system stores on the platform.
 type Kind string
 
-// The kinds of objects: what operators propose, what a host accepted, what is reported, and where hosts are found.
+// The kinds of objects: documents proposed by operators, documents accepted by a host, reported status, and addresses
+// of hosts.
 const (
 	KindDocument Kind = "document"
 	KindAccepted Kind = "accepted"
@@ -29,17 +30,17 @@
 	KindHosts    Kind = "entry_hosts"
 )
 
-// HeaderEra says in each reply how often the platform came back from an older copy of its objects, and in a conditional
-// update when the object that was read had been written.
+// HeaderEra is the restart era: in a reply, how often the platform's store was restored from a backup; in a conditional
+// update, the era in which the object that was read had been written.
 const HeaderEra = "X-Platform-Era"
 
-// countBits is how many lower bits of a version count updates in one era; the era stands above them.
+// countBits is the number of low bits of a version that count updates within one era; the era is in the bits above.
 const countBits = 40
 
-// MaxReply is the most bytes read from one reply of the platform.
+// MaxReply is the maximum size of a platform reply in bytes; the rest is not read.
 const MaxReply = 8 << 20
 
-// Errors of the object API that callers act on; every other failure is an outage.
+// Errors of the object API that callers handle; any other failure is treated as an outage.
 var (
 	ErrNotFound    = errors.New("platform: no such object")
 	ErrConflict    = errors.New("platform: the object has changed since it was read")
@@ -47,26 +48,25 @@
 	ErrUnavailable = errors.New("platform: unavailable")
 )
 
-// Object is one versioned value of the platform.
+// Object is a versioned object of the platform.
 type Object struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Version grows by one with each update of this object; zero means that it does not exist. The version that a Client
-	// returns is higher after the platform came back from an older copy than all before, though the platform counts on
-	// from the copy.
+	// Version grows by one with each update of the object; zero means that the object does not exist. After a restore the
+	// platform continues to count from the backup, but the versions that a Client returns are higher than all before.
 	Version int64 `json:"version"`
-	// Revision is the platform's global counter at the object's last update.
+	// Revision is the global revision of the platform at the last update of the object.
 	Revision int64 `json:"revision"`
-	// Era is the era of the object's last write where the platform's objects say it, and otherwise that of the answer which
-	// held the object; zero where neither is known.
+	// Era is the restart era of the last write of the object if the platform reports it, otherwise that of the reply that
+	// contained the object; zero if neither is known.
 	Era  int64           `json:"era,omitempty"`
 	Body json.RawMessage `json:"body"`
 }
 
-// ReplicaState is what the platform's host list says of an upstream replica.
+// ReplicaState is the state of an upstream replica in the platform's host list.
 type ReplicaState string
 
-// The two states of the host list; the list lags behind the truth.
+// The states in the host list, which may be stale.
 const (
 	StateLive    ReplicaState = "live"
 	StateLeaving ReplicaState = "leaving"
@@ -79,27 +79,27 @@
 	Addr    netip.AddrPort `json:"addr"`
 	Zone    string         `json:"zone"`
 	State   ReplicaState   `json:"state"`
-	// Slots is how many requests the replica runs at once, zero where it did not say.
+	// Slots is the number of requests that the replica runs concurrently, zero if it is not reported.
 	Slots int `json:"slots,omitempty"`
-	// Cold is how much longer the replica stays slow after its start or after it was not used, as of its writing the
-	// row.
+	// Cold is the remaining warmup time of the replica after its start or after a time without use, as of the writing of
+	// the row.
 	Cold time.Duration `json:"cold,omitempty"`
-	// Started is when the replica's process started, by the replica's own clock; the zero value where it did not say.
+	// Started is the start time of the replica's process by the replica's own clock, zero if it is not reported.
 	Started time.Time `json:"started,omitzero"`
-	// Sequence counts what the process has written of itself, from its start on; zero where it did not say.
+	// Sequence counts the rows that the process has written since its start, zero if it is not reported.
 	Sequence int64 `json:"sequence,omitempty"`
 }
 
-// SameProcess reports whether both rows tell of one process: a replica that starts again keeps its id and has another
-// start.
+// SameProcess reports whether both rows belong to the same process: a restarted replica keeps its id but has another
+// start time.
 func (r Replica) SameProcess(other Replica) bool {
 	return r.ID == other.ID && r.Service == other.Service && r.Addr == other.Addr && r.Started.Equal(other.Started)
 }
 
 // OlderThan reports whether r was written before other, by the same process or by one that started earlier.
 //
-// A write may reach the store seconds after its writer has given it up. It then stands there as the newest word, and
-// would bring back a process that is gone, or take back that a replica leaves.
+// A write may reach the store seconds after its writer has timed out. It is then the latest row in the store, and would
+// restore a process that is gone or revert the leaving state of a replica.
 func (r Replica) OlderThan(other Replica) bool {
 	if !r.Started.Equal(other.Started) {
 		return r.Started.Before(other.Started)
@@ -113,12 +113,12 @@
 	base string
 
 	mu sync.Mutex
-	// era is the newest that a reply bore, and watched that of the last watch of each kind.
+	// era is the highest era of all replies, watched the era of the last watch of each kind.
 	era     int64
 	watched map[Kind]int64
 }
 
-// New returns a client of the platform at addr; each call lasts as long as its context allows.
+// New returns a client of the platform at addr; only the context of a call limits its time.
 func New(addr netip.AddrPort) (*Client, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
 	hc, err := khttp.NewClient(context.Background(),
@@ -130,7 +130,7 @@
 	return &Client{http: hc, base: "http://" + addr.String(), watched: map[Kind]int64{}}, nil
 }
 
-// Era returns how often the platform came back from an older copy, as the replies until now say.
+// Era returns how often the platform's store was restored from a backup, according to the replies so far.
 func (c *Client) Era() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,14 +150,15 @@
 	return objs
 }
 
-// Get returns one object; ErrNotFound where it does not exist.
+// Get returns one object, or ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, kind Kind, name string) (Object, error) {
 	var obj Object
 	_, err := c.call(ctx, http.MethodGet, "/v1/objects/"+string(kind)+"/"+name, nil, nil, &obj)
 	return ordered(obj), err
 }
 
-// Put stores body if the object's version still is version (zero: does not exist yet); ErrConflict otherwise.
+// Put stores body if the object still has the given version (zero: it does not exist); otherwise it returns
+// ErrConflict.
 func (c *Client) Put(ctx context.Context, kind Kind, name string, version int64, body []byte) (Object, error) {
 	var obj Object
 	header := http.Header{}
@@ -167,7 +168,7 @@
 	return ordered(obj), err
 }
 
-// List returns all objects of a kind and the global revision they were read at.
+// List returns all objects of a kind and the global revision at which they were read.
 func (c *Client) List(ctx context.Context, kind Kind) ([]Object, int64, error) {
 	var reply struct {
 		Revision int64    `json:"revision"`
@@ -177,8 +178,8 @@
 	return orderedAll(reply.Objects), reply.Revision, err
 }
 
-// Watch waits at most wait for objects of a kind changed after the global revision, and returns them with the revision
-// to resume at. Where the platform came back from an older copy since the last watch, it returns all objects at once.
+// Watch waits at most wait for objects of a kind that change after the global revision after, and returns them with the
+// revision to continue from. If the platform's store was restored since the last watch, it returns all objects at once.
 func (c *Client) Watch(ctx context.Context, kind Kind, after int64, wait time.Duration) ([]Object, int64, error) {
 	var reply struct {
 		Revision int64    `json:"revision"`
@@ -197,7 +198,7 @@
 	return orderedAll(reply.Objects), reply.Revision, err
 }
 
-// Replicas returns the platform's list of upstream replicas, which lags.
+// Replicas returns the platform's list of upstream replicas, which may be stale.
 func (c *Client) Replicas(ctx context.Context) ([]Replica, error) {
 	var reply struct {
 		Hosts []Replica `json:"hosts"`
@@ -206,7 +207,7 @@
 	return reply.Hosts, err
 }
 
-// call makes one call and returns the era that its reply bears.
+// call makes one call and returns the era of its reply.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, body []byte, reply any) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -234,7 +235,7 @@
 	return era, nil
 }
 
-// noteEra reads the era of a reply; one that says none is of the first.
+// noteEra parses and records the era of a reply; a reply without one belongs to era zero.
 func (c *Client) noteEra(text string) int64 {
 	era := feed.ParseEra(text)
 	c.mu.Lock()
--- a/core/platform/client_test.go
+++ b/core/platform/client_test.go
@@ -15,8 +15,8 @@
 	"guavaspring.org/core/platform"
 )
 
-// Guards against versions that are compared though the platform has come back from an older copy between them, and
-// against updates and watches that continue from what it has lost.
+// Guards against versions that are not ordered across a restore of the platform's store from a backup, and against
+// updates and watches that continue from state that the restore has lost.
 func TestVersionsOfTwoErasAreOrdered(t *testing.T) {
 	era := "0"
 	var calls []string
