--- a/core/feed/doc.go
+++ b/core/feed/doc.go
@@ -1,2 +1,2 @@
-// Package feed holds what a store of objects tells of one kind: a page of all of them, and the changes since.
+// Package feed defines the types that a store returns for objects of one kind: lists of all objects, and later changes.
 package feed
