--- a/core/route/config.go
+++ b/core/route/config.go
@@ -4,81 +4,81 @@
 	"time"
 )
 
-// Config is one version of the whole configuration; it is never changed once it is in force.
+// Config is one version of the whole configuration; it is immutable once it is in effect.
 type Config struct {
-	// Version grows with every change, in uneven steps.
+	// Version increases with every change, in steps of any size.
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Keyed says that requests need a customer's key, except on public routes.
+	// Keyed is whether requests need the key of a customer, except on public routes.
 	Keyed     bool
 	Customers []Customer
-	// Unreadable counts the customers that could not be read; nobody has their keys.
+	// Unreadable is the number of customers that could not be decoded; their keys match no customer.
 	Unreadable int
 }
 
 // OlderThan reports whether c is an earlier version than other.
 func (c Config) OlderThan(other Config) bool { return c.Version < other.Version }
 
-// Route says where the requests of a host name and path prefix go.
+// Route maps the requests of a host name and path prefix to services.
 type Route struct {
 	Name string
-	// Host is the name that the request is addressed to, without a port.
+	// Host is the host name of the request, without a port.
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once; all others run at most once for each client attempt.
+	// Idempotent is whether requests may run more than once; otherwise they run at most once per client attempt.
 	Idempotent bool
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the maximum time until a request is answered.
 	Timeout time.Duration
-	// Objective is the latency within which an answer has its full use.
+	// Objective is the latency objective; a later answer is of less use to the client.
 	Objective time.Duration
-	// Priority ranks the route among others, 0 being the most urgent.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Attempts is the most replicas, of each shard, that one request may be sent to.
+	// Attempts is the maximum number of replicas of each shard to which a request may be sent.
 	Attempts int
-	// Split holds the services among which requests are distributed; it has one entry for a plain route and none for a
-	// query over shards.
+	// Split lists the services among which requests are distributed. It has one entry for a plain route and is empty for
+	// a query over shards.
 	Split []Share
-	// Shards holds the services that each hold one shard of the index; it is empty unless the route is a query over all
-	// of them.
+	// Shards lists the services that each hold one shard of the index; it is empty unless the route is a query over all
+	// shards.
 	Shards []string
-	// Homes are the regions in which alone requests may run; none means any.
+	// Homes are the only regions in which requests may run; empty means any region.
 	Homes []string
-	// Public requests need no key.
+	// Public is whether requests need no key.
 	Public bool
-	// TopK is how many of the greatest records an answer holds.
+	// TopK is the number of highest-ranked records in an answer.
 	TopK int
-	// LeastShare is the share of the shards, 0 to 1, below which an answer is no success.
+	// LeastShare is the minimum share of the shards, 0 to 1, for a successful answer.
 	LeastShare float64
 }
 
-// Share is one service of a split and its part of the requests.
+// Share is a service of a split and its share of the requests.
 type Share struct {
 	Service string
-	// Weight is relative to the sum over the split.
+	// Weight is relative to the sum of the weights of the split.
 	Weight float64
 }
 
-// Service holds what is configured of the replicas of one service.
+// Service configures the replicas of one service.
 type Service struct {
-	// MaxConns is the most connections that a replica accepts from all hosts together.
+	// MaxConns is the maximum number of connections that a replica accepts from all hosts together.
 	MaxConns int
-	// ColdFor is how long a replica is cold after its start.
+	// ColdFor is the warmup time of a replica after its start.
 	ColdFor time.Duration
-	// ColdPerSecond is how many requests a second a cold replica bears from all hosts together; zero where it bears as
-	// many as a warm one.
+	// ColdPerSecond is the maximum number of requests per second to a cold replica from all hosts together; zero means
+	// as many as to a warm one.
 	ColdPerSecond float64
 }
 
-// Limits bounds what a client may send; zero values mean no limit.
+// Limits holds the limits of client requests; zero values mean no limit.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// LeastShards returns how many shards an answer needs to be a success.
+// LeastShards returns the minimum number of shards for a successful answer.
 func (r *Route) LeastShards() int {
 	n := len(r.Shards)
 	for need := range n {
@@ -89,7 +89,7 @@
 	return n
 }
 
-// Services returns every service that requests of the route may be sent to.
+// Services returns all services to which requests of the route may be sent.
 func (r *Route) Services() []string {
 	if len(r.Shards) > 0 {
 		return r.Shards
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,3 +1,2 @@
-// Package route describes what operators configure for opaque requests: which request goes to which services, and how
-// long it may take.
+// Package route holds the configuration of opaque requests: which services serve a request, and within which limits.
 package route
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -9,8 +9,8 @@
 	"guavaspring.org/core/route"
 )
 
-// Two teams share a host name. The one with the longer prefix must get its own requests, and a path that only looks
-// alike must get none: a request run by the wrong service is worse than one that is refused.
+// Routes of two teams share a host name. A request must match the route with the longest prefix, and a path that is
+// only similar must match none: a request run by the wrong service is worse than a refused one.
 func TestLongestPrefixWins(t *testing.T) {
 	table := route.NewTable(route.Config{Routes: []route.Route{
 		{Name: "all", Host: "search.example", Prefix: "/"},
@@ -37,8 +37,8 @@
 	}
 }
 
-// A team asks for 0.89 of its shards. With ten of them nine are enough, with fifteen it takes fourteen; rounding down
-// would call an answer complete enough that hides more than the team allows.
+// A share of 0.89 requires nine of ten shards and fourteen of fifteen. Rounding down would accept an answer in which
+// more shards are missing than allowed.
 func TestLeastShards(t *testing.T) {
 	tests := []struct {
 		shards int
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against a key that finds another customer, or one that a newer configuration took away.
+// Guards against a key that is assigned to the wrong customer, or accepted although the configuration does not list it.
 func TestCustomerOfAKey(t *testing.T) {
 	table := route.NewTable(route.Config{Keyed: true, Customers: []route.Customer{
 		{Name: "quilts", Keys: []apikey.Key{apikey.Of("k1"), apikey.Of("k2")}},
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -8,7 +8,7 @@
 	"guavaspring.org/core/apikey"
 )
 
-// Table finds the route of a request in one version of the configuration.
+// Table finds the route and the customer of a request in one version of the configuration.
 type Table struct {
 	config Config
 	hosts  map[string][]*Route
@@ -16,7 +16,7 @@
 	names  map[string]*Customer
 }
 
-// NewTable returns the table of cfg, which must not be changed any more.
+// NewTable returns the table of cfg, which must not be modified afterwards.
 func NewTable(cfg Config) *Table {
 	t := &Table{config: cfg, hosts: map[string][]*Route{}, keys: map[apikey.Key]*Customer{}, names: map[string]*Customer{}}
 	for i := range cfg.Customers {
@@ -33,7 +33,7 @@
 	return t
 }
 
-// add lets a customer be found; of two that have a key or a name, it stays with the first.
+// add indexes a customer by its name and keys; if two customers share a name or key, the first one keeps it.
 func (t *Table) add(c *Customer) {
 	if t.names[c.Name] == nil {
 		t.names[c.Name] = c
@@ -45,16 +45,16 @@
 	}
 }
 
-// Customer returns the customer that has a key, or nil.
+// Customer returns the customer with the given key, or nil.
 func (t *Table) Customer(key apikey.Key) *Customer { return t.keys[key] }
 
-// CustomerNamed returns the customer with a name, or nil.
+// CustomerNamed returns the customer with the given name, or nil.
 func (t *Table) CustomerNamed(name string) *Customer { return t.names[name] }
 
-// Config returns the configuration that the table was made of.
+// Config returns the configuration of the table.
 func (t *Table) Config() *Config { return &t.config }
 
-// Of returns the routes of a host name, those with the longest prefixes first; the slice must not be changed.
+// Of returns the routes of a host name, longest prefix first; the slice must not be modified.
 func (t *Table) Of(host string) []*Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -62,7 +62,7 @@
 	return t.hosts[strings.ToLower(host)]
 }
 
-// Find returns the route of the host name whose prefix is the longest that begins path, or nil.
+// Find returns the route of the host name with the longest prefix of path, or nil.
 func (t *Table) Find(host, path string) *Route {
 	for _, r := range t.Of(host) {
 		if strings.HasPrefix(path, r.Prefix) {
