--- a/core/opaque/caller.go
+++ b/core/opaque/caller.go
@@ -1,9 +1,9 @@
 package opaque
 
-// Caller is a client that asks which addresses to use.
+// Caller is a client that requests addresses of hosts.
 type Caller struct {
-	// Host is the name to which its requests will be addressed.
+	// Host is the host name of its later requests.
 	Host string
-	// Region and Zone are where it is.
+	// Region and Zone are the location of the client.
 	Region, Zone string
 }
--- a/core/opaque/doc.go
+++ b/core/opaque/doc.go
@@ -1,2 +1,2 @@
-// Package opaque holds requests whose content the system forwards without reading it, and what is known of the replies.
+// Package opaque defines requests whose content is forwarded unread, and the metadata of their replies.
 package opaque
