--- a/core/ring/doc.go
+++ b/core/ring/doc.go
@@ -1,2 +1,3 @@
-// Package ring joins two goroutines by a bounded buffer that drops the oldest entry rather than block its writer.
+// Package ring provides a bounded queue between two goroutines that drops the oldest entry instead of blocking its
+// writer.
 package ring
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Ring is a bounded first-in-first-out buffer; when full, Push discards the oldest entry and counts it.
+// Ring is a bounded first-in-first-out buffer; if it is full, Push drops and counts the oldest entry.
 type Ring[T any] struct {
 	mu      sync.Mutex
 	buf     []T
@@ -12,7 +12,7 @@
 	wake    chan struct{}
 }
 
-// New returns a ring that holds at most size entries; it panics unless size is positive.
+// New returns a ring of at most size entries; it panics unless size is positive.
 func New[T any](size int) *Ring[T] {
 	if size <= 0 {
 		panic("ring: size must be positive")
@@ -20,7 +20,7 @@
 	return &Ring[T]{buf: make([]T, size), wake: make(chan struct{}, 1)}
 }
 
-// Push appends v, discarding the oldest entry of a full ring, and wakes the reader.
+// Push appends v, drops the oldest entry if the ring is full, and wakes the reader.
 func (r *Ring[T]) Push(v T) {
 	r.mu.Lock()
 	if r.n == len(r.buf) {
@@ -51,10 +51,11 @@
 	return v, true
 }
 
-// Ready receives after a Push; the reader then calls Pop until it reports false.
+// Ready returns a channel that receives after a Push; the reader must then call Pop until it reports false, as several
+// pushes may send one value.
 func (r *Ring[T]) Ready() <-chan struct{} { return r.wake }
 
-// Dropped returns how many entries were discarded because the reader was too slow.
+// Dropped returns the number of entries that were dropped because the reader was too slow.
 func (r *Ring[T]) Dropped() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -9,8 +9,7 @@
 	"guavaspring.org/core/ring"
 )
 
-// A slow reader must cost the writer nothing but the oldest entries: whatever the order of pushes and
-// pops, the ring holds the latest entries in their order and counts every one that it gave up.
+// For any sequence of pushes and pops, the ring must hold the latest entries in order and count each dropped one.
 func TestRingKeepsTheLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 5).Draw(t, "size")
@@ -42,7 +41,7 @@
 	})
 }
 
-// A reader that sleeps on Ready while several entries arrive is woken once and must find all of them.
+// A reader that waits on Ready while several entries are pushed is woken once and must receive all of them.
 func TestReadyAfterSeveralPushes(t *testing.T) {
 	c := qt.New(t)
 	r := ring.New[int](8)
