--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Clock tells the time and wakes its caller later; System is the only production implementation.
+// Clock provides the current time and timers; System is the only implementation outside tests.
 type Clock interface {
 	// Now returns the current time with its monotonic reading.
 	Now() time.Time
 	// After returns a channel that receives once d has passed.
 	After(d time.Duration) <-chan time.Time
-	// AfterFunc runs f on its own goroutine once d has passed, unless the returned stop function ran first.
+	// AfterFunc runs f in its own goroutine once d has passed, unless the returned stop function is called before that.
 	AfterFunc(d time.Duration, f func()) (stop func() bool)
 }
 
-// System is the Clock of the operating system; inside a testing/synctest bubble it is virtual.
+// System is the system clock; inside a testing/synctest bubble its time is virtual.
 type System struct{}
 
 // Now returns time.Now.
--- a/core/clock/doc.go
+++ b/core/clock/doc.go
@@ -1,2 +1,2 @@
-// Package clock lets time be passed in, so that decisions can be tested in virtual time.
+// Package clock provides an interface to the current time and timers, so that code can be tested with virtual time.
 package clock
--- a/core/clock/sleep.go
+++ b/core/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep returns once d has passed on c or ctx has ended, whichever comes first.
+// Sleep returns once d has passed on c or ctx is done, whichever is first.
 func Sleep(ctx context.Context, c Clock, d time.Duration) {
 	if d <= 0 {
 		return
