--- a/core/apikey/doc.go
+++ b/core/apikey/doc.go
@@ -1,2 +1,2 @@
-// Package apikey holds the digests by which customers' keys are known inside the system.
+// Package apikey computes the digests that represent customers' API keys inside the system.
 package apikey
--- a/core/apikey/key_test.go
+++ b/core/apikey/key_test.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/core/apikey"
 )
 
-// Guards against a key that can be read from a log line or from a message between hosts.
+// Guards against an API key that can be read from a log line or a message between hosts.
 func TestDigestDoesNotShowTheKey(t *testing.T) {
 	const text = "rvnzqjynjcfv8nmpby25"
 	key := apikey.Of(text)
@@ -24,7 +24,7 @@
 	qt.Assert(t, apikey.Of("a").IsZero(), qt.IsFalse)
 }
 
-// Guards against an empty key that counts as one.
+// Guards against an empty text that is accepted as a key.
 func TestEmptyTextIsNoKey(t *testing.T) {
 	qt.Assert(t, apikey.Of("").IsZero(), qt.IsTrue)
 	qt.Assert(t, apikey.Of("").String(), qt.Equals, "none")
