--- a/core/settings/doc.go
+++ b/core/settings/doc.go
@@ -1,2 +1,2 @@
-// Package settings reads a program's flags and environment variables and reports the one at fault.
+// Package settings parses the flags and environment variables of a program; its errors name the invalid one.
 package settings
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -14,11 +14,11 @@
 // Version is the version that every program prints for --version.
 const Version = "0.1.0"
 
-// ExitUsage is the exit status of a program whose settings or arguments are wrong.
+// ExitUsage is the exit status of a program with invalid settings or arguments.
 const ExitUsage = 2
 
-// New returns a command line whose flags can also be set by environment variables named after the program and the flag,
-// such as ENTRY_LISTEN.
+// New returns a command line parser whose flags can also be set by environment variables named after the program and
+// the flag, such as ENTRY_LISTEN.
 func New(name, help string) *kingpin.Application {
 	app := kingpin.New(name, help)
 	app.Version(Version)
@@ -28,14 +28,14 @@
 	return app
 }
 
-// Fail writes which setting is wrong to w and ends the process with ExitUsage.
+// Fail writes the error to w, prefixed with the program name, and ends the process with ExitUsage.
 func Fail(w io.Writer, program string, err error) {
 	fmt.Fprintf(w, "%s: %v\n", program, err)
 	os.Exit(ExitUsage)
 }
 
-// AddrPort registers a parser on clause for an "IP:port" setting; host names are errors, since processes talk by IP
-// number.
+// AddrPort registers a parser on clause for an "IP:port" setting. Host names are errors, as processes connect by IP
+// address.
 func AddrPort(clause *kingpin.FlagClause) *netip.AddrPort {
 	v := &addrPort{clause: clause}
 	clause.SetValue(v)
@@ -60,9 +60,9 @@
 	case err != nil:
 		return wrong(v.clause, s, "is not an IP number with a port, such as 127.0.0.1:7000")
 	case ap.Addr().IsUnspecified():
-		return wrong(v.clause, s, "names no host; others are told to connect to this address")
+		return wrong(v.clause, s, "is not the address of one host; other processes connect to this address")
 	case ap.Port() == 0:
-		return wrong(v.clause, s, "names no port; others are told to connect to this address")
+		return wrong(v.clause, s, "has no port; other processes connect to this address")
 	}
 	v.ap = ap
 	return nil
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// wrong names the setting, which kingpin leaves out of the error of a value.
+// wrong returns an error with the names of the flag and environment variable, which kingpin omits for invalid values.
 func wrong(clause *kingpin.FlagClause, value, why string) error {
 	model := clause.Model()
 	return fmt.Errorf("--%s (or %s): %q %s", model.Name, model.Envar, value, why)
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -8,21 +8,21 @@
 	"guavaspring.org/core/settings"
 )
 
-// A host is started with a setting that is wrong, by flag or by environment. The one line that it prints
-// must name the setting, or the operator looks through all of them.
+// The error for an invalid setting, by flag or environment variable, must name the setting; otherwise the operator has
+// to check all of them.
 func TestWrongSettingIsNamed(t *testing.T) {
 	right := map[string]string{"listen": "127.0.0.1:7000", "zone": "osborne-hall", "seeds": "127.0.0.1:7001"}
 	for _, test := range []struct{ flag, value, want string }{
 		{"listen", "localhost:7000", `--listen (or TEST_LISTEN): "localhost:7000" is not an IP number with a port, such as 127.0.0.1:7000`},
-		{"listen", "0.0.0.0:7000", `--listen (or TEST_LISTEN): "0.0.0.0:7000" names no host; others are told to connect to this address`},
-		{"listen", "127.0.0.1:0", `--listen (or TEST_LISTEN): "127.0.0.1:0" names no port; others are told to connect to this address`},
+		{"listen", "0.0.0.0:7000", `--listen (or TEST_LISTEN): "0.0.0.0:7000" is not the address of one host; other processes connect to this address`},
+		{"listen", "127.0.0.1:0", `--listen (or TEST_LISTEN): "127.0.0.1:0" has no port; other processes connect to this address`},
 		{"zone", "", `--zone (or TEST_ZONE): "" is not a name; want lower-case letters, digits and hyphens, starting with a letter, at most 63`},
 		{"zone", "Osborne Hall", `--zone (or TEST_ZONE): "Osborne Hall" is not a name; want lower-case letters, digits and hyphens, starting with a letter, at most 63`},
 		{"seeds", "127.0.0.1:7001,nowhere", `--seeds (or TEST_SEEDS): "nowhere" is not an IP number with a port, such as 127.0.0.1:7000`},
 	} {
 		for _, way := range []string{"flag", "environment"} {
 			if way == "environment" && test.value == "" {
-				// An empty variable is as good as none.
+				// An empty environment variable counts as not set.
 				continue
 			}
 			t.Run(test.flag+" "+test.value+" by "+way, func(t *testing.T) {
