--- a/core/upstream/attempt.go
+++ b/core/upstream/attempt.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/core/clock"
 )
 
-var errLate = errors.New("the deadline passed before the first byte was sent")
+var errDeadlinePassed = errors.New("the deadline passed before the first byte was sent")
 
 // attempt tracks one request and the connection that carries it.
 type attempt struct {
@@ -20,12 +20,12 @@
 	conn     *conn
 	start    uint64
 
-	silence *silence
+	silence *silenceDetector
 	// cancel ends the request early; nil if the request waits until its own deadline.
 	cancel context.CancelFunc
-	// usual is set if the latency of the request counts toward the replica's average.
-	usual bool
-	// sent and overtaken are owned by silence and protected by its lock.
+	// countsLatency is set if the latency of the request counts toward the replica's average.
+	countsLatency bool
+	// sent and overtaken are owned by the silenceDetector and protected by its lock.
 	sent      time.Time
 	overtaken int
 	silent    atomic.Bool
@@ -34,20 +34,20 @@
 // trace returns req with hooks that record its connection and the first byte of its reply.
 func (at *attempt) trace(req *http.Request) *http.Request {
 	at.deadline, _ = req.Context().Deadline()
-	hooks := &httptrace.ClientTrace{GotConn: at.gotConn, GotFirstResponseByte: at.answered}
+	hooks := &httptrace.ClientTrace{GotConn: at.gotConn, GotFirstResponseByte: at.gotFirstByte}
 	return req.WithContext(httptrace.WithClientTrace(req.Context(), hooks))
 }
 
 func (at *attempt) gotConn(info httptrace.GotConnInfo) {
 	at.conn = info.Conn.(*conn)
-	at.start = at.conn.begin(at.inTime)
+	at.start = at.conn.begin(at.checkDeadline)
 	at.silence.sent(at)
 }
 
-func (at *attempt) answered() { at.silence.answered(at, at.usual) }
+func (at *attempt) gotFirstByte() { at.silence.answered(at, at.countsLatency) }
 
-// giveUpSilent marks the connection of the request as silent and cancels the request if it can be retried elsewhere.
-func (at *attempt) giveUpSilent() {
+// abandonSilent marks the connection of the request as silent and cancels the request if it can be retried elsewhere.
+func (at *attempt) abandonSilent() {
 	at.silent.Store(true)
 	if at.cancel != nil {
 		at.cancel()
@@ -62,9 +62,9 @@
 	}
 }
 
-func (at *attempt) inTime() error {
+func (at *attempt) checkDeadline() error {
 	if !at.deadline.IsZero() && !at.clock.Now().Before(at.deadline) {
-		return errLate
+		return errDeadlinePassed
 	}
 	return nil
 }
--- a/core/upstream/client.go
+++ b/core/upstream/client.go
@@ -19,7 +19,7 @@
 	"guavaspring.org/core/clock"
 )
 
-const maxReply = 8 << 20
+const maxReplyBytes = 8 << 20
 
 // Options configures a Client.
 type Options struct {
@@ -28,23 +28,23 @@
 	// Seats is the maximum number of connections to each replica.
 	Seats int
 
-	cold bool
+	dialOnDemand bool
 }
 
 // Client sends attempts to the replicas of one service; it never sends the same attempt twice.
 type Client struct {
-	clock clock.Clock
-	cold  bool
-	// lane sends all new requests; SetSeats replaces it.
-	lane atomic.Pointer[lane]
+	clock        clock.Clock
+	dialOnDemand bool
+	// current is the HTTP client for all new requests; SetSeats replaces it.
+	current atomic.Pointer[httpClient]
 
-	mu    sync.Mutex
-	most  int
-	seats map[string]*seats
+	mu        sync.Mutex
+	connLimit int
+	pools     map[string]*connPool
 }
 
-// lane is an HTTP client and its transport, which has a fixed limit of connections to each replica.
-type lane struct {
+// httpClient is an HTTP client and its transport, which has a fixed limit of connections to each replica.
+type httpClient struct {
 	http *khttp.Client
 	tr   *http.Transport
 }
@@ -54,21 +54,21 @@
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
 	}
-	c := &Client{clock: opts.Clock, cold: opts.cold, most: opts.Seats, seats: map[string]*seats{}}
-	l, err := c.newLane(opts.Seats)
+	c := &Client{clock: opts.Clock, dialOnDemand: opts.dialOnDemand, connLimit: opts.Seats, pools: map[string]*connPool{}}
+	l, err := c.newHTTPClient(opts.Seats)
 	if err != nil {
 		return nil, err
 	}
-	c.lane.Store(l)
+	c.current.Store(l)
 	return c, nil
 }
 
-func (c *Client) newLane(most int) (*lane, error) {
+func (c *Client) newHTTPClient(connLimit int) (*httpClient, error) {
 	tr := &http.Transport{
 		DialContext:         c.dial,
-		MaxConnsPerHost:     most,
-		MaxIdleConnsPerHost: most,
-		IdleConnTimeout:     idleLimit,
+		MaxConnsPerHost:     connLimit,
+		MaxIdleConnsPerHost: connLimit,
+		IdleConnTimeout:     maxIdle,
 		DisableCompression:  true,
 	}
 	hc, err := khttp.NewClient(context.Background(), khttp.WithTransport(noRedirect{tr}), khttp.WithTimeout(0),
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("upstream client: %w", err)
 	}
-	return &lane{http: hc, tr: tr}, nil
+	return &httpClient{http: hc, tr: tr}, nil
 }
 
 // SetSeats changes the maximum number of connections to each replica; requests in flight finish on their connections.
@@ -84,65 +84,66 @@
 // Operators lower the limit if other systems need the connections of a replica. The limit of a running transport can't
 // be changed, so later requests use a new transport. Both transports dial through the same pool and share its count of
 // open connections, so a replica never has more connections than the higher of the two limits.
-func (c *Client) SetSeats(most int) error {
+func (c *Client) SetSeats(connLimit int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if most == c.most {
+	if connLimit == c.connLimit {
 		return nil
 	}
-	l, err := c.newLane(most)
+	l, err := c.newHTTPClient(connLimit)
 	if err != nil {
 		return err
 	}
-	c.most = most
-	for _, s := range c.seats {
-		s.setMost(most)
+	c.connLimit = connLimit
+	for _, s := range c.pools {
+		s.setConnLimit(connLimit)
 	}
-	old := c.lane.Swap(l)
+	old := c.current.Swap(l)
 	// The transport closes its idle connections now and each other connection when its request ends.
 	old.tr.CloseIdleConnections()
 	return nil
 }
 
-// seat returns the connection pool of the replica at addr and creates it on first use.
-func (c *Client) seat(addr string) *seats {
+// pool returns the connection pool of the replica at addr and creates it on first use.
+func (c *Client) pool(addr string) *connPool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.seats[addr]
+	s := c.pools[addr]
 	if s == nil {
-		s = newSeats(addr, c.most, c.clock, c.cold)
-		c.seats[addr] = s
-		c.clock.AfterFunc(idleLimit/2, func() { c.renew(s) })
+		s = newConnPool(addr, c.connLimit, c.clock, c.dialOnDemand)
+		c.pools[addr] = s
+		c.clock.AfterFunc(maxIdle/2, func() { c.maintain(s) })
 	}
 	return s
 }
 
 func (c *Client) dial(ctx context.Context, _, addr string) (net.Conn, error) {
-	return c.seat(addr).take(ctx)
+	return c.pool(addr).get(ctx)
 }
 
-// renew maintains the connection pool of one replica twice in each idleLimit and deletes it once the replica is unused.
-func (c *Client) renew(s *seats) {
-	if s.renew() {
+// maintain renews the spare connections of one replica twice in each maxIdle, and deletes its pool once the replica is
+// unused.
+func (c *Client) maintain(s *connPool) {
+	if s.closeExpired() {
 		c.mu.Lock()
-		delete(c.seats, s.addr)
+		delete(c.pools, s.addr)
 		c.mu.Unlock()
 		s.close()
 		return
 	}
 	s.fill()
-	c.clock.AfterFunc(idleLimit/2, func() { c.renew(s) })
+	c.clock.AfterFunc(maxIdle/2, func() { c.maintain(s) })
 }
 
 // Stats returns the sums over all replicas; Peak is the highest value of a single replica.
-func (c *Client) Stats() SeatStats {
+func (c *Client) Stats() PoolStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var sum SeatStats
-	for _, s := range c.seats {
+	var sum PoolStats
+	for _, s := range c.pools {
 		s.mu.Lock()
 		sum.Ready += s.stats.Ready
-		sum.Dialled += s.stats.Dialled
+		sum.Dialed += s.stats.Dialed
 		sum.Refused += s.stats.Refused
 		sum.Silent += s.silence.count()
 		sum.Refreshed += s.stats.Refreshed
@@ -156,11 +157,11 @@
 // Close closes all connections that no request uses.
 func (c *Client) Close() {
 	c.mu.Lock()
-	for _, s := range c.seats {
+	for _, s := range c.pools {
 		s.close()
 	}
 	c.mu.Unlock()
-	c.lane.Load().tr.CloseIdleConnections()
+	c.current.Load().tr.CloseIdleConnections()
 }
 
 // QueryTry is one attempt of a query at one replica.
@@ -184,7 +185,7 @@
 	}
 	req.Header.Set(HeaderVersion, strconv.FormatInt(try.Version, 10))
 	req.Header.Set(HeaderShard, strconv.Itoa(try.Shard))
-	at := &attempt{usual: true, cancel: cancel}
+	at := &attempt{countsLatency: true, cancel: cancel}
 	if try.Patient {
 		at.cancel = nil
 	}
@@ -210,7 +211,7 @@
 		return Result{Kind: KindNotSent, Detail: err.Error()}
 	}
 	// A write is never canceled early: its reply may still arrive, and an earlier unknown outcome has no benefit.
-	res, b := c.do(ctx, req, &attempt{usual: true})
+	res, b := c.do(ctx, req, &attempt{countsLatency: true})
 	if res.Kind != KindOK {
 		return res
 	}
@@ -264,16 +265,16 @@
 
 func (c *Client) do(ctx context.Context, req *http.Request, at *attempt) (Result, []byte) {
 	start := c.clock.Now()
-	seat := c.seat(req.URL.Host)
-	seat.touch()
-	at.clock, at.silence = c.clock, seat.silence
+	pool := c.pool(req.URL.Host)
+	pool.touch()
+	at.clock, at.silence = c.clock, pool.silence
 	defer at.end()
-	resp, err := c.lane.Load().http.Do(at.trace(req))
+	resp, err := c.current.Load().http.Do(at.trace(req))
 	if err != nil {
 		return c.transportFailure(ctx, at, start, err), nil
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
 	if err != nil {
 		return c.transportFailure(ctx, at, start, err), nil
 	}
@@ -285,8 +286,8 @@
 		Claimed:  resp.Header.Get(HeaderLoad),
 	}
 	// A reply that is truncated at the limit may still be valid JSON and would be accepted as complete.
-	if len(body) > maxReply {
-		return failed(res, KindError, fmt.Sprintf("the reply is over %d bytes", maxReply)), nil
+	if len(body) > maxReplyBytes {
+		return failed(res, KindError, fmt.Sprintf("the reply is over %d bytes", maxReplyBytes)), nil
 	}
 	if resp.StatusCode != http.StatusOK {
 		return refusal(res, resp, req.Header.Get(HeaderRequest), body), nil
--- a/core/upstream/conn.go
+++ b/core/upstream/conn.go
@@ -21,29 +21,29 @@
 // reads the count under the lock that Write takes, and no write begins after it.
 type conn struct {
 	net.Conn
-	seats  *seats
+	pool   *connPool
 	opened time.Time
 
-	// received is set after the first received byte, ended after the other side closed the connection, closing after
+	// received is set after the first received byte, peerClosed after the other side closed the connection, closing after
 	// this side did.
-	received, ended, closing atomic.Bool
-	closeOnce                sync.Once
-
-	mu      sync.Mutex
-	sent    uint64
-	writing bool
-	fenced  bool
-	guard   func() error
-	// busy is set while a request uses the connection; heard is the time of the last received byte.
-	busy  bool
-	heard time.Time
+	received, peerClosed, closing atomic.Bool
+	closeOnce                     sync.Once
+
+	mu          sync.Mutex
+	sent        uint64
+	writing     bool
+	fenced      bool
+	beforeWrite func() error
+	// busy is set while a request uses the connection; lastReceived is the time of the last received byte.
+	busy         bool
+	lastReceived time.Time
 }
 
-// begin marks the start of a request; its first byte is sent only if guard returns nil at that moment.
-func (c *conn) begin(guard func() error) (start uint64) {
+// begin marks the start of a request; its first byte is sent only if beforeWrite returns nil at that moment.
+func (c *conn) begin(beforeWrite func() error) (start uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.guard = guard
+	c.beforeWrite = beforeWrite
 	c.busy = true
 	return c.sent
 }
@@ -59,7 +59,7 @@
 func (c *conn) idleSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.busy && c.opened.Before(t) && c.heard.Before(t)
+	return !c.busy && c.opened.Before(t) && c.lastReceived.Before(t)
 }
 
 // fence blocks all further writes and reports whether a byte may have been sent since start.
@@ -70,9 +70,9 @@
 	return c.writing || c.sent > start
 }
 
-// Write sends b, or nothing if the connection is fenced or the guard of the request rejects its first byte.
+// Write sends b, or nothing if the connection is fenced or beforeWrite returns an error before the first byte.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginWrite(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -83,19 +83,19 @@
 	return n, err
 }
 
-func (c *conn) enter() error {
+func (c *conn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fenced {
 		return errFenced
 	}
 	// A host that was paused after the decision to send must not start the request after its deadline.
-	if c.guard != nil {
-		if err := c.guard(); err != nil {
+	if c.beforeWrite != nil {
+		if err := c.beforeWrite(); err != nil {
 			c.fenced = true
 			return err
 		}
-		c.guard = nil
+		c.beforeWrite = nil
 	}
 	c.writing = true
 	return nil
@@ -109,14 +109,14 @@
 	}
 	if n > 0 {
 		c.mu.Lock()
-		c.heard = c.seats.clock.Now()
+		c.lastReceived = c.pool.clock.Now()
 		c.mu.Unlock()
 	}
 	if n > 0 && !c.received.Swap(true) {
-		c.seats.answered()
+		c.pool.resetBackoff()
 	}
 	if err != nil {
-		c.ended.Store(true)
+		c.peerClosed.Store(true)
 	}
 	return n, err
 }
@@ -129,18 +129,18 @@
 		c.fence(0)
 		// net/http may wait for its reading and writing goroutines; the deadline unblocks them, as a plain close would.
 		_ = c.SetDeadline(time.Unix(1, 0))
-		go c.windUp()
+		go c.closeGracefully()
 	})
 	return nil
 }
 
-func (c *conn) windUp() {
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && !c.ended.Load() && tcp.CloseWrite() == nil {
+func (c *conn) closeGracefully() {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && !c.peerClosed.Load() && tcp.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(linger))
 		drain(c.Conn)
 	}
 	_ = c.Conn.Close()
-	c.seats.release(c, c.ended.Load() && !c.received.Load())
+	c.pool.release(c, c.peerClosed.Load() && !c.received.Load())
 }
 
 // drain reads until the other side closes the connection or the read deadline passes.
--- a/core/upstream/once_test.go
+++ b/core/upstream/once_test.go
@@ -19,8 +19,8 @@
 	"guavaspring.org/core/clock"
 )
 
-// peer is a fake replica on a real socket; it counts the requests received under each id.
-type peer struct {
+// fakeReplica is a fake replica on a real socket; it counts the requests received under each id.
+type fakeReplica struct {
 	l net.Listener
 	// serve answers one request and reports whether the connection stays open.
 	serve func(c net.Conn, id string, nth int) bool
@@ -30,16 +30,16 @@
 	conns sync.WaitGroup
 }
 
-func newPeer(t *testing.T, serve func(c net.Conn, id string, nth int) bool) *peer {
+func newFakeReplica(t *testing.T, serve func(c net.Conn, id string, nth int) bool) *fakeReplica {
 	l := listen(t)
-	p := &peer{l: l, serve: serve, seen: map[string]int{}}
+	p := &fakeReplica{l: l, serve: serve, seen: map[string]int{}}
 	p.conns.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p.conns.Go(func() { p.talk(c) })
+			p.conns.Go(func() { p.serveConn(c) })
 		}
 	})
 	t.Cleanup(func() { l.Close() })
@@ -53,9 +53,9 @@
 	return l
 }
 
-func (p *peer) addr() netip.AddrPort { return netip.MustParseAddrPort(p.l.Addr().String()) }
+func (p *fakeReplica) addr() netip.AddrPort { return netip.MustParseAddrPort(p.l.Addr().String()) }
 
-func (p *peer) talk(c net.Conn) {
+func (p *fakeReplica) serveConn(c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for nth := 1; ; nth++ {
@@ -64,35 +64,35 @@
 		}
 		r, err := http.ReadRequest(br)
 		if err != nil {
-			p.note("cut")
+			p.record("cut")
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := r.Header.Get(HeaderRequest)
-		p.note(id)
+		p.record(id)
 		if !p.serve(c, id, nth) {
 			return
 		}
 	}
 }
 
-func (p *peer) note(id string) {
+func (p *fakeReplica) record(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seen[id]++
 }
 
-func (p *peer) count(id string) int {
+func (p *fakeReplica) count(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.seen[id]
 }
 
-func done(c net.Conn, id string) bool {
-	return answer(c, 200, "", fmt.Sprintf(`{"request_id":%q}`, id))
+func replyOK(c net.Conn, id string) bool {
+	return writeReply(c, 200, "", fmt.Sprintf(`{"request_id":%q}`, id))
 }
 
-func answer(c net.Conn, status int, headers, body string) bool {
+func writeReply(c net.Conn, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), headers, body)
 	return err == nil
 }
@@ -111,7 +111,7 @@
 // net/http resends requests that it considers replayable on a new connection.
 func TestWriteIsNotResentOnReusedConnection(t *testing.T) {
 	for _, body := range []string{`{"op_id":"a"}`, ""} {
-		p := newPeer(t, func(c net.Conn, id string, nth int) bool { return nth == 1 && done(c, id) })
+		p := newFakeReplica(t, func(c net.Conn, id string, nth int) bool { return nth == 1 && replyOK(c, id) })
 		c := newTestClient(t, Options{Seats: 1})
 		qt.Assert(t, c.Write(t.Context(), p.addr(), "first", []byte(body)).Kind, qt.Equals, KindOK)
 		res := c.Write(t.Context(), p.addr(), "second", []byte(body))
@@ -125,9 +125,9 @@
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		for _, body := range []string{`{"op_id":"a"}`, ""} {
-			other := newPeer(t, func(c net.Conn, id string, _ int) bool { return done(c, id) })
-			p := newPeer(t, func(c net.Conn, _ string, _ int) bool {
-				return answer(c, status, fmt.Sprintf("Location: http://%s/v1/write\r\n", other.addr()), "{}")
+			other := newFakeReplica(t, func(c net.Conn, id string, _ int) bool { return replyOK(c, id) })
+			p := newFakeReplica(t, func(c net.Conn, _ string, _ int) bool {
+				return writeReply(c, status, fmt.Sprintf("Location: http://%s/v1/write\r\n", other.addr()), "{}")
 			})
 			c := newTestClient(t, Options{})
 			res := c.Write(t.Context(), p.addr(), "w", []byte(body))
@@ -141,8 +141,8 @@
 // A replica closes an idle connection while a write is sent on it. If the result is KindNotSent although the replica
 // read the write, the caller repeats it and it runs twice.
 func TestNotSentIsTrueWhenIdleConnectionCloses(t *testing.T) {
-	p := newPeer(t, func(c net.Conn, id string, _ int) bool {
-		done(c, id)
+	p := newFakeReplica(t, func(c net.Conn, id string, _ int) bool {
+		replyOK(c, id)
 		return false
 	})
 	c := newTestClient(t, Options{Seats: 1})
@@ -159,7 +159,7 @@
 // A write is canceled while it is being sent. net/http returns at once while its writing goroutine still holds the
 // request; a byte count read then is zero, and the write runs after the caller received not_run.
 func TestNotSentIsTrueWhenCancelled(t *testing.T) {
-	p := newPeer(t, func(c net.Conn, id string, _ int) bool { return done(c, id) })
+	p := newFakeReplica(t, func(c net.Conn, id string, _ int) bool { return replyOK(c, id) })
 	c := newTestClient(t, Options{Seats: 8})
 	kinds := make([]Kind, 400)
 	var wg sync.WaitGroup
@@ -219,7 +219,7 @@
 // A host is paused after its decision to send a write and resumes after the deadline, when the caller already has an
 // unknown outcome. The deadline must be checked again before the first byte, so that the write does not start late.
 func TestPausedHostDoesNotSendLate(t *testing.T) {
-	p := newPeer(t, func(c net.Conn, id string, _ int) bool { return done(c, id) })
+	p := newFakeReplica(t, func(c net.Conn, id string, _ int) bool { return replyOK(c, id) })
 	c := newTestClient(t, Options{Clock: &jumpClock{after: 2, by: 2 * time.Hour}})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 	defer cancel()
@@ -238,10 +238,10 @@
 	qt.Assert(t, c.Write(t.Context(), gone, "w", []byte("{}")).Kind, qt.Equals, KindNotSent)
 
 	begun, hold := make(chan struct{}), make(chan struct{})
-	p := newPeer(t, func(c net.Conn, id string, _ int) bool {
+	p := newFakeReplica(t, func(c net.Conn, id string, _ int) bool {
 		close(begun)
 		<-hold
-		return done(c, id)
+		return replyOK(c, id)
 	})
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Write(t.Context(), p.addr(), "first", []byte("{}")) })
@@ -260,8 +260,8 @@
 		id   string
 		want Kind
 	}{{"w", KindShed}, {"other", KindForeign}, {"", KindError}} {
-		p := newPeer(t, func(c net.Conn, _ string, _ int) bool {
-			return answer(c, 503, HeaderNotRun+": true\r\n", fmt.Sprintf(`{"code":"shed","request_id":%q}`, test.id))
+		p := newFakeReplica(t, func(c net.Conn, _ string, _ int) bool {
+			return writeReply(c, 503, HeaderNotRun+": true\r\n", fmt.Sprintf(`{"code":"shed","request_id":%q}`, test.id))
 		})
 		c := newTestClient(t, Options{})
 		qt.Assert(t, c.Write(t.Context(), p.addr(), "w", []byte("{}")).Kind, qt.Equals, test.want)
@@ -271,8 +271,8 @@
 // A replica sends a reply above the size limit. Truncated at the limit it may still be valid JSON, and a part of the
 // hits would be returned as all of them.
 func TestOversizedReplyIsAnError(t *testing.T) {
-	p := newPeer(t, func(c net.Conn, id string, _ int) bool {
-		return answer(c, 200, "", fmt.Sprintf(`{"request_id":%q}`, id)+strings.Repeat(" ", maxReply))
+	p := newFakeReplica(t, func(c net.Conn, id string, _ int) bool {
+		return writeReply(c, 200, "", fmt.Sprintf(`{"request_id":%q}`, id)+strings.Repeat(" ", maxReplyBytes))
 	})
 	c := newTestClient(t, Options{})
 	qt.Assert(t, c.Write(t.Context(), p.addr(), "w", []byte("{}")).Kind, qt.Equals, KindError)
--- a/core/upstream/seats.go
+++ b/core/upstream/pool.go
@@ -14,54 +14,53 @@
 )
 
 const (
-	// idleLimit is how long a connection may be idle, and how long connections to an unused replica are kept open. It
+	// maxIdle is how long a connection may be idle, and how long connections to an unused replica are kept open. It
 	// limits how long a connection that a middlebox has forgotten stays undetected. Redialing five connections every
 	// 30 s costs a replica with 40 connections and 6 ms per dial 0.8% of a core.
-	idleLimit = 30 * time.Second
-	// firstBackOff and lastBackOff are the minimum and maximum backoff after a replica refused a connection or closed
-	// an unused one.
-	firstBackOff = 20 * time.Millisecond
-	lastBackOff  = 500 * time.Millisecond
-	dialTimeout  = time.Second
+	maxIdle = 30 * time.Second
+	// minBackoff and maxBackoff limit the backoff after a replica refused a connection or closed an unused one.
+	minBackoff  = 20 * time.Millisecond
+	maxBackoff  = 500 * time.Millisecond
+	dialTimeout = time.Second
 )
 
 var (
 	errClosed  = errors.New("the client is closed")
-	errBackOff = errors.New("the replica refuses connections; a new one is not tried yet")
+	errBackoff = errors.New("the replica refuses connections; a new one is not tried yet")
 )
 
-// seats is a connection pool to one replica. It limits the number of open connections, counted from dial to close.
+// connPool holds the connections to one replica. It limits the number of open ones, counted from dial to close.
 //
 // It is built for many concurrent requests and frequent cancellations. A new connection costs the replica about 6 ms
 // before it reads the first request, so connections are dialed in advance; a request dials only if no spare one is
 // left. A closed connection counts as open until the replica has closed its side too: the replica counts it against
 // its limit while it finishes a canceled request, and one more connection would exceed the limit. A replica that closes
 // an unused connection is over its limit or shutting down; it is dialed again after a backoff instead of in a loop.
-type seats struct {
-	addr  string
-	most  int
-	clock clock.Clock
-	// cold turns off dialing in advance, for comparison in the benchmark.
-	cold    bool
-	silence *silence
+type connPool struct {
+	addr      string
+	connLimit int
+	clock     clock.Clock
+	// dialOnDemand turns off dialing in advance, for comparison in the benchmark.
+	dialOnDemand bool
+	silence      *silenceDetector
 
-	mu      sync.Mutex
-	open    int
-	conns   map[*conn]struct{}
-	spares  []*conn
-	changed chan struct{}
-	filling bool
-	closed  bool
-	used    time.Time
-	until   time.Time
-	backOff time.Duration
-	stats   SeatStats
+	mu           sync.Mutex
+	open         int
+	conns        map[*conn]struct{}
+	spares       []*conn
+	changed      chan struct{}
+	filling      bool
+	closed       bool
+	lastUsed     time.Time
+	backoffUntil time.Time
+	backoff      time.Duration
+	stats        PoolStats
 }
 
-// SeatStats holds counters of connections.
-type SeatStats struct {
-	// Ready counts requests that took a connection dialed in advance, Dialled those that had to dial one themselves.
-	Ready, Dialled uint64
+// PoolStats holds counters of connections.
+type PoolStats struct {
+	// Ready counts requests that took a connection dialed in advance, Dialed those that had to dial one themselves.
+	Ready, Dialed uint64
 	// Refused counts connections that the replica refused, or closed before they were used.
 	Refused uint64
 	// Silent counts requests on connections that were found silent, Refreshed idle connections that were replaced as
@@ -71,28 +70,28 @@
 	Open, Peak int
 }
 
-func newSeats(addr string, most int, clk clock.Clock, cold bool) *seats {
-	s := &seats{addr: addr, most: most, clock: clk, cold: cold, changed: make(chan struct{}), conns: map[*conn]struct{}{}, used: clk.Now()}
-	s.silence = newSilence(clk, s.refresh)
+func newConnPool(addr string, connLimit int, clk clock.Clock, dialOnDemand bool) *connPool {
+	s := &connPool{addr: addr, connLimit: connLimit, clock: clk, dialOnDemand: dialOnDemand, changed: make(chan struct{}), conns: map[*conn]struct{}{}, lastUsed: clk.Now()}
+	s.silence = newSilenceDetector(clk, s.closeIdleSince)
 	return s
 }
 
-// take returns a connection dialed in advance, or dials one, or waits for either until ctx ends.
-func (s *seats) take(ctx context.Context) (net.Conn, error) {
+// get returns a connection dialed in advance, or dials one, or waits for either until ctx ends.
+func (s *connPool) get(ctx context.Context) (net.Conn, error) {
 	for {
 		s.mu.Lock()
-		if c := s.spare(); c != nil {
+		if c := s.popSpare(); c != nil {
 			s.stats.Ready++
 			s.mu.Unlock()
 			return c, nil
 		}
-		if err := s.barred(); err != nil {
+		if err := s.checkDial(); err != nil {
 			s.mu.Unlock()
 			return nil, err
 		}
-		if s.open < s.most {
+		if s.open < s.connLimit {
 			s.reserve()
-			s.stats.Dialled++
+			s.stats.Dialed++
 			s.mu.Unlock()
 			s.fill()
 			return s.connect(ctx)
@@ -107,53 +106,53 @@
 	}
 }
 
-// barred returns an error if no connection may be dialed now; s.mu is held.
-func (s *seats) barred() error {
+// checkDial returns an error if no connection may be dialed now; s.mu is held.
+func (s *connPool) checkDial() error {
 	if s.closed {
 		return errClosed
 	}
-	if s.clock.Now().Before(s.until) {
-		return errBackOff
+	if s.clock.Now().Before(s.backoffUntil) {
+		return errBackoff
 	}
 	return nil
 }
 
-// spare returns the oldest connection dialed in advance that is still open, or nil; s.mu is held.
-func (s *seats) spare() *conn {
+// popSpare returns the oldest connection dialed in advance that is still open, or nil; s.mu is held.
+func (s *connPool) popSpare() *conn {
 	for len(s.spares) > 0 {
 		c := s.spares[0]
 		s.spares = s.spares[1:]
 		if alive(c.Conn) {
 			return c
 		}
-		c.ended.Store(true)
+		c.peerClosed.Store(true)
 		go func() { _ = c.Close() }()
 	}
 	return nil
 }
 
-func (s *seats) reserve() {
+func (s *connPool) reserve() {
 	s.open++
 	s.stats.Peak = max(s.stats.Peak, s.open)
 }
 
 // connect dials a connection whose place was reserved before.
-func (s *seats) connect(ctx context.Context) (*conn, error) {
+func (s *connPool) connect(ctx context.Context) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", s.addr)
 	if err != nil {
 		s.release(nil, ctx.Err() == nil)
 		return nil, fmt.Errorf("dial %s: %w", s.addr, err)
 	}
-	c := &conn{Conn: raw, seats: s, opened: s.clock.Now()}
+	c := &conn{Conn: raw, pool: s, opened: s.clock.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
 	return c, nil
 }
 
-// refresh closes the idle connections that were opened before since and have received nothing after it.
-func (s *seats) refresh(since time.Time) {
+// closeIdleSince closes the idle connections that were opened before since and have received nothing after it.
+func (s *connPool) closeIdleSince(since time.Time) {
 	s.mu.Lock()
 	var drop []*conn
 	for c := range s.conns {
@@ -171,39 +170,39 @@
 
 // release frees the place of c, which is nil if the dial failed. If the replica refused the connection, refused is set
 // and the backoff grows.
-func (s *seats) release(c *conn, refused bool) {
+func (s *connPool) release(c *conn, refused bool) {
 	s.mu.Lock()
 	s.open--
 	delete(s.conns, c)
 	if refused {
 		s.stats.Refused++
-		s.backOff = min(max(firstBackOff, 2*s.backOff), lastBackOff)
-		s.until = s.clock.Now().Add(s.backOff)
+		s.backoff = min(max(minBackoff, 2*s.backoff), maxBackoff)
+		s.backoffUntil = s.clock.Now().Add(s.backoff)
 	}
-	s.wake()
+	s.notifyWaiters()
 	s.mu.Unlock()
 	s.fill()
 }
 
-// answered resets the backoff: the replica serves its connections.
-func (s *seats) answered() {
+// resetBackoff ends the backoff after the replica has sent a byte on a connection.
+func (s *connPool) resetBackoff() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.backOff, s.until = 0, time.Time{}
+	s.backoff, s.backoffUntil = 0, time.Time{}
 }
 
-// wake wakes all requests that wait for a connection; s.mu is held.
-func (s *seats) wake() {
+// notifyWaiters wakes all requests that wait for a connection; s.mu is held.
+func (s *connPool) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // touch marks the replica as in use and fills the pool again after a second without use.
-func (s *seats) touch() {
+func (s *connPool) touch() {
 	now := s.clock.Now()
 	s.mu.Lock()
-	idle := now.Sub(s.used) > time.Second
-	s.used = now
+	idle := now.Sub(s.lastUsed) > time.Second
+	s.lastUsed = now
 	s.mu.Unlock()
 	if idle {
 		s.fill()
@@ -211,19 +210,19 @@
 }
 
 // fill starts a goroutine that dials connections up to the limit, one after another.
-func (s *seats) fill() {
+func (s *connPool) fill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.filling || s.cold || s.closed {
+	if s.filling || s.dialOnDemand || s.closed {
 		return
 	}
 	s.filling = true
 	go s.dialAhead()
 }
 
-func (s *seats) dialAhead() {
+func (s *connPool) dialAhead() {
 	for {
-		wait, more := s.next()
+		wait, more := s.reserveNext()
 		if !more {
 			return
 		}
@@ -232,49 +231,50 @@
 			continue
 		}
 		c, err := s.connect(context.Background())
-		if err == nil && !s.keep(c) {
+		if err == nil && !s.addSpare(c) {
 			_ = c.Close()
 		}
 	}
 }
 
-// keep adds a connection to the spare ones, unless the pool was closed while it was dialed.
-func (s *seats) keep(c *conn) bool {
+// addSpare adds a connection to the spare ones, unless the pool was closed while it was dialed.
+func (s *connPool) addSpare(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
 	s.spares = append(s.spares, c)
-	s.wake()
+	s.notifyWaiters()
 	return true
 }
 
-// next reserves a place for a connection to dial (wait is 0), or returns the time to wait before the next call, or
-// reports that there is nothing more to dial.
-func (s *seats) next() (wait time.Duration, more bool) {
+// reserveNext reserves a place for a connection to dial (wait is 0), or returns the time to wait before another call,
+// or reports that there is nothing more to dial.
+func (s *connPool) reserveNext() (wait time.Duration, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if s.closed || s.open >= s.most || now.Sub(s.used) > idleLimit {
+	if s.closed || s.open >= s.connLimit || now.Sub(s.lastUsed) > maxIdle {
 		s.filling = false
 		return 0, false
 	}
-	if wait := s.until.Sub(now); wait > 0 {
+	if wait := s.backoffUntil.Sub(now); wait > 0 {
 		return wait, true
 	}
 	s.reserve()
 	return 0, true
 }
 
-// renew closes the spare connections that are dead or older than idleLimit, and all of them if the replica is unused.
-func (s *seats) renew() (unused bool) {
+// closeExpired closes the spare connections that are dead or older than maxIdle, and all of them if the replica is
+// unused.
+func (s *connPool) closeExpired() (unused bool) {
 	s.mu.Lock()
 	now := s.clock.Now()
-	unused = now.Sub(s.used) > idleLimit
+	unused = now.Sub(s.lastUsed) > maxIdle
 	var keep, drop []*conn
 	for _, c := range s.spares {
-		if unused || now.Sub(c.opened) > idleLimit || !alive(c.Conn) {
+		if unused || now.Sub(c.opened) > maxIdle || !alive(c.Conn) {
 			drop = append(drop, c)
 			continue
 		}
@@ -288,14 +288,14 @@
 	return unused
 }
 
-// setMost changes the maximum number of connections; spare connections above it are closed at once.
-func (s *seats) setMost(most int) {
+// setConnLimit changes the maximum number of connections; spare connections above it are closed at once.
+func (s *connPool) setConnLimit(connLimit int) {
 	s.mu.Lock()
-	s.most = most
-	n := min(max(0, s.open-most), len(s.spares))
+	s.connLimit = connLimit
+	n := min(max(0, s.open-connLimit), len(s.spares))
 	drop := slices.Clone(s.spares[:n])
 	s.spares = s.spares[n:]
-	s.wake()
+	s.notifyWaiters()
 	s.mu.Unlock()
 	for _, c := range drop {
 		_ = c.Close()
@@ -303,7 +303,7 @@
 	s.fill()
 }
 
-func (s *seats) close() {
+func (s *connPool) close() {
 	s.mu.Lock()
 	s.closed = true
 	spares := s.spares
--- a/core/upstream/seats_test.go
+++ b/core/upstream/pool_test.go
@@ -15,9 +15,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// limited is a fake replica that closes each connection above its limit. A connection counts until the replica has
-// closed it, which it does after it has finished a canceled request.
-type limited struct {
+// limitedReplica is a fake replica that closes each connection above its limit. A connection counts until the replica
+// has closed it, which it does after it has finished a canceled request.
+type limitedReplica struct {
 	l    net.Listener
 	most int
 	cost time.Duration
@@ -29,19 +29,19 @@
 	refused int
 }
 
-func newLimited(tb testing.TB, most int, cost time.Duration, work func(id string)) *limited {
+func newLimitedReplica(tb testing.TB, most int, cost time.Duration, work func(id string)) *limitedReplica {
 	var lc net.ListenConfig
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	qt.Assert(tb, err, qt.IsNil)
-	p := &limited{l: l, most: most, cost: cost, work: work}
+	p := &limitedReplica{l: l, most: most, cost: cost, work: work}
 	tb.Cleanup(func() { l.Close() })
 	go p.accept()
 	return p
 }
 
-func (p *limited) addr() netip.AddrPort { return netip.MustParseAddrPort(p.l.Addr().String()) }
+func (p *limitedReplica) addr() netip.AddrPort { return netip.MustParseAddrPort(p.l.Addr().String()) }
 
-func (p *limited) accept() {
+func (p *limitedReplica) accept() {
 	for {
 		c, err := p.l.Accept()
 		if err != nil {
@@ -55,11 +55,11 @@
 			p.refused++
 		}
 		p.mu.Unlock()
-		go p.talk(c, over)
+		go p.serveConn(c, over)
 	}
 }
 
-func (p *limited) talk(c net.Conn, over bool) {
+func (p *limitedReplica) serveConn(c net.Conn, over bool) {
 	defer c.Close()
 	defer func() {
 		p.mu.Lock()
@@ -79,21 +79,21 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := r.Header.Get(HeaderRequest)
 		p.work(id)
-		if !done(c, id) {
+		if !replyOK(c, id) {
 			return
 		}
 	}
 }
 
-func (p *limited) counts() (peak, refused int) {
+func (p *limitedReplica) counts() (peak, refused int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peak, p.refused
 }
 
-// storm sends n writes from the given number of concurrent callers, cancels write i after cancelAfter(i) unless that is
-// negative, and returns the number of writes that succeeded.
-func storm(ctx context.Context, c *Client, addr netip.AddrPort, callers, n int, cancelAfter func(i int) time.Duration) int {
+// sendWrites sends n writes from the given number of concurrent callers, cancels write i after cancelAfter(i) unless
+// that is negative, and returns the number of writes that succeeded.
+func sendWrites(ctx context.Context, c *Client, addr netip.AddrPort, callers, n int, cancelAfter func(i int) time.Duration) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	ok, next := 0, 0
@@ -129,9 +129,9 @@
 // connections at once, and queries of other hosts on this replica fail too.
 func TestSeatsStayUnderTheLimitThroughCancels(t *testing.T) {
 	const most = 4
-	p := newLimited(t, most, 0, func(string) { time.Sleep(2 * time.Millisecond) })
+	p := newLimitedReplica(t, most, 0, func(string) { time.Sleep(2 * time.Millisecond) })
 	c := newTestClient(t, Options{Seats: most})
-	ok := storm(t.Context(), c, p.addr(), 16, 600, func(i int) time.Duration {
+	ok := sendWrites(t.Context(), c, p.addr(), 16, 600, func(i int) time.Duration {
 		if i%2 == 0 {
 			return time.Duration(i%5) * 500 * time.Microsecond
 		}
@@ -146,7 +146,7 @@
 // A replica over its limit closes every connection as soon as it accepts it. A host that redials in a loop takes
 // connections that other hosts need and wastes CPU time of the replica.
 func TestRefusedConnectionsAreNotDialledInALoop(t *testing.T) {
-	p := newLimited(t, 0, 0, func(string) {})
+	p := newLimitedReplica(t, 0, 0, func(string) {})
 	c := newTestClient(t, Options{Seats: 4})
 	for i := range 500 {
 		res := c.Write(t.Context(), p.addr(), fmt.Sprint(i), []byte("{}"))
@@ -161,11 +161,11 @@
 func BenchmarkDialAhead(b *testing.B) {
 	for _, cold := range []bool{true, false} {
 		b.Run(fmt.Sprintf("cold=%t", cold), func(b *testing.B) {
-			p := newLimited(b, 5, 6*time.Millisecond, func(string) { time.Sleep(5 * time.Millisecond) })
-			c, err := New(Options{Seats: 5, cold: cold})
+			p := newLimitedReplica(b, 5, 6*time.Millisecond, func(string) { time.Sleep(5 * time.Millisecond) })
+			c, err := New(Options{Seats: 5, dialOnDemand: cold})
 			qt.Assert(b, err, qt.IsNil)
 			defer c.Close()
-			storm(b.Context(), c, p.addr(), 4, b.N, func(i int) time.Duration {
+			sendWrites(b.Context(), c, p.addr(), 4, b.N, func(i int) time.Duration {
 				if i%10 == 0 {
 					return 3 * time.Millisecond
 				}
@@ -173,7 +173,7 @@
 			})
 			st := c.Stats()
 			_, refused := p.counts()
-			b.ReportMetric(100*float64(st.Dialled)/float64(b.N), "%dialled")
+			b.ReportMetric(100*float64(st.Dialed)/float64(b.N), "%dialled")
 			b.ReportMetric(100*float64(st.Ready)/float64(b.N), "%ready")
 			b.ReportMetric(float64(refused), "refused")
 		})
@@ -185,25 +185,25 @@
 // must use it.
 func TestSeatsFollowTheDocument(t *testing.T) {
 	const many, few = 6, 2
-	p := newLimited(t, many, 0, func(string) {})
+	p := newLimitedReplica(t, many, 0, func(string) {})
 	c := newTestClient(t, Options{Seats: many})
 	never := func(int) time.Duration { return -1 }
-	storm(t.Context(), c, p.addr(), 16, 200, never)
-	p.settle(t, many)
+	sendWrites(t.Context(), c, p.addr(), 16, 200, never)
+	p.waitForConns(t, many)
 	for _, most := range []int{few, many, few} {
 		qt.Assert(t, c.SetSeats(most), qt.IsNil)
-		p.settle(t, most)
-		ok := storm(t.Context(), c, p.addr(), 16, 200, never)
+		p.waitForConns(t, most)
+		ok := sendWrites(t.Context(), c, p.addr(), 16, 200, never)
 		qt.Assert(t, ok, qt.Equals, 200)
-		p.settle(t, most)
+		p.waitForConns(t, most)
 		peak, refused := p.counts()
 		qt.Assert(t, peak, qt.Equals, most)
 		qt.Assert(t, refused, qt.Equals, 0)
 	}
 }
 
-// settle waits until the replica has exactly n connections and resets its peak to n.
-func (p *limited) settle(tb testing.TB, n int) {
+// waitForConns waits until the replica has exactly n connections and resets its peak to n.
+func (p *limitedReplica) waitForConns(tb testing.TB, n int) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		if p.open == n {
--- a/core/upstream/silence_test.go
+++ b/core/upstream/silence_test.go
@@ -13,14 +13,14 @@
 	"guavaspring.org/core/clock"
 )
 
-type silenceRun struct {
-	s         *silence
+type detectorTest struct {
+	s         *silenceDetector
 	refreshed atomic.Int32
 }
 
-func newSilenceRun() *silenceRun {
-	r := &silenceRun{}
-	r.s = newSilence(clock.System{}, func(time.Time) { r.refreshed.Add(1) })
+func newDetectorTest() *detectorTest {
+	r := &detectorTest{}
+	r.s = newSilenceDetector(clock.System{}, func(time.Time) { r.refreshed.Add(1) })
 	for range 8 {
 		r.answer(10 * time.Millisecond)
 	}
@@ -28,16 +28,16 @@
 }
 
 // answer simulates one request that the replica answers after d.
-func (r *silenceRun) answer(d time.Duration) {
-	at := &attempt{silence: r.s, usual: true}
+func (r *detectorTest) answer(d time.Duration) {
+	at := &attempt{silence: r.s, countsLatency: true}
 	r.s.sent(at)
 	time.Sleep(d)
-	at.answered()
+	at.gotFirstByte()
 }
 
-func (r *silenceRun) wait() (at *attempt, gaveUp *atomic.Bool) {
+func (r *detectorTest) startRequest() (at *attempt, gaveUp *atomic.Bool) {
 	gaveUp = &atomic.Bool{}
-	at = &attempt{silence: r.s, usual: true, cancel: func() { gaveUp.Store(true) }}
+	at = &attempt{silence: r.s, countsLatency: true, cancel: func() { gaveUp.Store(true) }}
 	r.s.sent(at)
 	return at, gaveUp
 }
@@ -55,8 +55,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newSilenceRun()
-				at, gaveUp := r.wait()
+				r := newDetectorTest()
+				at, gaveUp := r.startRequest()
 				var others sync.WaitGroup
 				for range 8 {
 					others.Go(func() { r.answer(test.others) })
@@ -75,8 +75,8 @@
 // request is on a silent connection too. The idle connections must be replaced without proof, once a second.
 func TestStuckReplicaGetsFreshConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newSilenceRun()
-		at, gaveUp := r.wait()
+		r := newDetectorTest()
+		at, gaveUp := r.startRequest()
 		time.Sleep(900 * time.Millisecond)
 		qt.Assert(t, r.refreshed.Load(), qt.Equals, int32(1))
 		qt.Assert(t, gaveUp.Load(), qt.IsFalse)
@@ -90,13 +90,13 @@
 // KindSilent before its deadline (it has none here), so that it can be retried.
 func TestLookupOnSilentConnectionIsGivenBack(t *testing.T) {
 	lost := make(chan struct{})
-	p := newPeer(t, func(c net.Conn, id string, nth int) bool {
+	p := newFakeReplica(t, func(c net.Conn, id string, nth int) bool {
 		if id == "lost" {
 			close(lost)
 			<-t.Context().Done()
 			return false
 		}
-		return answer(c, 200, "", `{"request_id":"`+id+`","version":1,"shard":0}`)
+		return writeReply(c, 200, "", `{"request_id":"`+id+`","version":1,"shard":0}`)
 	})
 	c := newTestClient(t, Options{Seats: 3})
 	query := func(id string) Result {
