--- a/core/document/shape.go
+++ b/core/document/shape.go
@@ -36,7 +36,7 @@
 		return syntaxError(err)
 	}
 	c := &checker{}
-	c.shape("", v, reflect.TypeFor[Document]())
+	c.value("", v, reflect.TypeFor[Document]())
 	return errors.Join(c.errs...)
 }
 
@@ -80,27 +80,27 @@
 	return p
 }
 
-// shape checks a decoded value against the type of its field.
-func (c *checker) shape(key string, v any, t reflect.Type) {
-	want := wantOf(t)
+// value checks a decoded value against the type of its field.
+func (c *checker) value(key string, v any, t reflect.Type) {
+	want := describeType(t)
 	switch {
 	case t == reflect.TypeFor[Duration]():
 		s, ok := v.(string)
 		if !ok {
-			c.check(false, key, show(v), "not a duration with a unit", want)
+			c.check(false, key, formatValue(v), "not a duration with a unit", want)
 			return
 		}
 		_, err := time.ParseDuration(s)
-		c.check(err == nil, key, show(v), "not a duration with a unit", want)
+		c.check(err == nil, key, formatValue(v), "not a duration with a unit", want)
 	case t.Kind() == reflect.Struct:
 		m, ok := v.(map[string]any)
 		if !ok {
-			c.check(false, orDocument(key), show(v), "wrong type", want)
+			c.check(false, orDocument(key), formatValue(v), "wrong type", want)
 			return
 		}
 		c.keys(key, m, t)
 	default:
-		c.check(fits(v, t.Kind()), key, show(v), "wrong type", want)
+		c.check(matchesKind(v, t.Kind()), key, formatValue(v), "wrong type", want)
 	}
 }
 
@@ -115,10 +115,10 @@
 		key := join(prefix, name)
 		i := slices.IndexFunc(fields, func(f field) bool { return f.name == name })
 		if i < 0 {
-			c.check(false, key, show(m[name]), "unknown key", "one of "+listOf(fields))
+			c.check(false, key, formatValue(m[name]), "unknown key", "one of "+joinNames(fields))
 			continue
 		}
-		c.shape(key, m[name], fields[i].typ)
+		c.value(key, m[name], fields[i].typ)
 	}
 }
 
@@ -136,7 +136,7 @@
 	return list
 }
 
-func listOf(fields []field) string {
+func joinNames(fields []field) string {
 	names := make([]string, len(fields))
 	for i, f := range fields {
 		names[i] = f.name
@@ -144,12 +144,12 @@
 	return strings.Join(names, ", ")
 }
 
-func wantOf(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
 		return "a number with its unit, such as 60ms or 2s"
 	case t.Kind() == reflect.Struct:
-		return "a mapping of " + listOf(fieldsOf(t))
+		return "a mapping of " + joinNames(fieldsOf(t))
 	}
 	switch t.Kind() {
 	case reflect.Int:
@@ -163,7 +163,7 @@
 	}
 }
 
-func fits(v any, kind reflect.Kind) bool {
+func matchesKind(v any, kind reflect.Kind) bool {
 	switch v := v.(type) {
 	case string:
 		return kind == reflect.String
@@ -180,10 +180,10 @@
 	}
 }
 
-const maxShown = 40
+const maxShownBytes = 40
 
-// show formats a value as in the document, on one line and truncated to maxShown bytes.
-func show(v any) string {
+// formatValue formats a value as in the document, on one line and truncated to maxShownBytes.
+func formatValue(v any) string {
 	s := ""
 	switch v := v.(type) {
 	case nil:
@@ -197,8 +197,8 @@
 	default:
 		s = fmt.Sprint(v)
 	}
-	if len(s) > maxShown {
-		s = s[:maxShown] + "..."
+	if len(s) > maxShownBytes {
+		s = s[:maxShownBytes] + "..."
 	}
 	return s
 }
--- a/core/document/validate.go
+++ b/core/document/validate.go
@@ -15,11 +15,11 @@
 	c.check(doc.Prefer == PreferLatency || doc.Prefer == PreferCoverage, "prefer", fmt.Sprintf("%q", doc.Prefer), "unknown preference", `"latency" or "coverage"`)
 	c.upstream(doc.Upstream)
 	c.deadline(doc.Deadline)
-	c.tries(doc.Hedge, doc.Retry)
+	c.attempts(doc.Hedge, doc.Retry)
 	c.admission(doc.Admission)
 	life, keep := doc.Writes.TicketLife.Std(), doc.Addresses.Keep.Std()
-	c.check(between(life, time.Second, 10*time.Minute), "writes.ticket_life", life, "out of range", "1s to 10m")
-	c.check(between(keep, 100*time.Millisecond, time.Hour), "addresses.keep", keep, "out of range", "100ms to 1h")
+	c.check(inRange(life, time.Second, 10*time.Minute), "writes.ticket_life", life, "out of range", "1s to 10m")
+	c.check(inRange(keep, 100*time.Millisecond, time.Hour), "addresses.keep", keep, "out of range", "100ms to 1h")
 	c.number("addresses.count", float64(doc.Addresses.Count))
 	return errors.Join(c.errs...)
 }
@@ -36,16 +36,16 @@
 func (c *checker) upstream(up Upstream) {
 	c.number("upstream.slots", float64(up.Slots))
 	c.number("upstream.connections", float64(up.Connections))
-	c.check(between(up.EntryHosts, 1, up.Connections), "upstream.entry_hosts", up.EntryHosts, "every host needs at least one connection to a replica", "1 to upstream.connections")
+	c.check(inRange(up.EntryHosts, 1, up.Connections), "upstream.entry_hosts", up.EntryHosts, "every host needs at least one connection to a replica", "1 to upstream.connections")
 }
 
 func (c *checker) deadline(dl Deadline) {
-	c.check(between(dl.Max, 1, Duration(time.Minute)), "deadline.max", dl.Max.Std(), "out of range", "above 0 and at most 1m")
-	c.check(between(dl.Default, 1, dl.Max), "deadline.default", dl.Default.Std(), "out of range", "above 0 and at most deadline.max")
-	c.check(between(dl.Soft, 1, dl.Default), "deadline.soft", dl.Soft.Std(), "out of range", "above 0 and at most deadline.default")
+	c.check(inRange(dl.Max, 1, Duration(time.Minute)), "deadline.max", dl.Max.Std(), "out of range", "above 0 and at most 1m")
+	c.check(inRange(dl.Default, 1, dl.Max), "deadline.default", dl.Default.Std(), "out of range", "above 0 and at most deadline.max")
+	c.check(inRange(dl.Soft, 1, dl.Default), "deadline.soft", dl.Soft.Std(), "out of range", "above 0 and at most deadline.default")
 }
 
-func (c *checker) tries(hedge Hedge, retry Retry) {
+func (c *checker) attempts(hedge Hedge, retry Retry) {
 	c.number("hedge.budget_percent", hedge.BudgetPercent)
 	c.number("hedge.quantile", hedge.Quantile)
 	c.number("retry.budget_percent", retry.BudgetPercent)
@@ -75,8 +75,8 @@
 		panic("document: no bounds are known for " + key)
 	}
 	number := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
-	c.check(between(v, b[0], b[1]), key, number(v), "out of range", number(b[0])+" to "+number(b[1]))
+	c.check(inRange(v, b[0], b[1]), key, number(v), "out of range", number(b[0])+" to "+number(b[1]))
 }
 
-// between reports whether v is in [least, most]. It is false for NaN, which YAML can express but JSON can't.
-func between[T cmp.Ordered](v, least, most T) bool { return v >= least && v <= most }
+// inRange reports whether v is in [least, most]. It is false for NaN, which YAML can express but JSON can't.
+func inRange[T cmp.Ordered](v, least, most T) bool { return v >= least && v <= most }
