--- a/core/caller/client.go
+++ b/core/caller/client.go
@@ -15,7 +15,7 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-const maxReply = 16 << 20
+const maxReplyBytes = 16 << 20
 
 // Client sends requests to hosts as a caller; it never resends a request by itself.
 type Client struct {
@@ -102,7 +102,7 @@
 		return fmt.Errorf("host %s: %w", r.Host, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return fmt.Errorf("host %s: %w", r.Host, err)
 	}
