--- a/core/event/async.go
+++ b/core/event/async.go
@@ -7,8 +7,9 @@
 	"guavaspring.org/core/ring"
 )
 
-// queued is the maximum number of lines that wait for a slow output; at one kilobyte per line they use at most 2 MB.
-const queued = 2048
+// maxQueuedLines is the maximum number of lines that wait for a slow output; at one kilobyte per line they use at most
+// 2 MB.
+const maxQueuedLines = 2048
 
 // Async is a writer that never blocks: it queues lines in a ring buffer, and one goroutine writes them.
 //
@@ -24,7 +25,7 @@
 
 // NewAsync returns an asynchronous writer to out and starts its goroutine, which Close stops.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{lines: ring.New[[]byte](queued), out: out, done: make(chan struct{}), quit: make(chan struct{})}
+	a := &Async{lines: ring.New[[]byte](maxQueuedLines), out: out, done: make(chan struct{}), quit: make(chan struct{})}
 	go a.run()
 	return a
 }
@@ -41,13 +42,13 @@
 // Dropped returns the number of lines lost to a full ring buffer or to a failed write.
 func (a *Async) Dropped() uint64 { return a.lines.Dropped() + a.lost.Load() }
 
-// Close writes the queued lines and stops the writer. If the output blocks, it returns once ready receives or is
+// Close writes the queued lines and stops the writer. If the output blocks, it returns once timeout receives or is
 // closed.
-func (a *Async) Close(ready <-chan struct{}) {
+func (a *Async) Close(timeout <-chan struct{}) {
 	close(a.quit)
 	select {
 	case <-a.done:
-	case <-ready:
+	case <-timeout:
 	}
 }
 
--- a/core/event/async_test.go
+++ b/core/event/async_test.go
@@ -12,14 +12,14 @@
 	"guavaspring.org/core/event"
 )
 
-type hung struct{ never chan struct{} }
+type blockedWriter struct{ never chan struct{} }
 
-func (h hung) Write([]byte) (int, error) { <-h.never; return 0, errors.New("closed") }
+func (h blockedWriter) Write([]byte) (int, error) { <-h.never; return 0, errors.New("closed") }
 
 // The output is a full pipe that nobody reads. Writes must not block, and lost lines must be counted.
 func TestHungOutputBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := hung{never: make(chan struct{})}
+		out := blockedWriter{never: make(chan struct{})}
 		a := event.NewAsync(out)
 		began := time.Now()
 		for range 5000 {
@@ -38,7 +38,7 @@
 // Writes to a closed output must not fail, and lost lines must be counted.
 func TestClosedOutputIsCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := hung{never: make(chan struct{})}
+		out := blockedWriter{never: make(chan struct{})}
 		close(out.never)
 		a := event.NewAsync(out)
 		for range 3 {
