--- a/core/platform/client.go
+++ b/core/platform/client.go
@@ -34,8 +34,9 @@
 // update, the era in which the object that was read had been written.
 const HeaderEra = "X-Platform-Era"
 
-// countBits is the number of low bits of a version that count updates within one era; the era is in the bits above.
-const countBits = 40
+// versionCountBits is the number of low bits of a version that count updates within one era; the era is in the bits
+// above.
+const versionCountBits = 40
 
 // MaxReply is the maximum size of a platform reply in bytes; the rest is not read.
 const MaxReply = 8 << 20
@@ -113,9 +114,9 @@
 	base string
 
 	mu sync.Mutex
-	// era is the highest era of all replies, watched the era of the last watch of each kind.
-	era     int64
-	watched map[Kind]int64
+	// era is the highest era of all replies, watchedEras holds the era of the last watch of each kind.
+	era         int64
+	watchedEras map[Kind]int64
 }
 
 // New returns a client of the platform at addr; only the context of a call limits its time.
@@ -127,7 +128,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("platform client for %s: %w", addr, err)
 	}
-	return &Client{http: hc, base: "http://" + addr.String(), watched: map[Kind]int64{}}, nil
+	return &Client{http: hc, base: "http://" + addr.String(), watchedEras: map[Kind]int64{}}, nil
 }
 
 // Era returns how often the platform's store was restored from a backup, according to the replies so far.
@@ -137,15 +138,15 @@
 	return c.era
 }
 
-// ordered returns an object whose version is higher than those of all earlier eras.
-func ordered(obj Object) Object {
-	obj.Version, obj.Era = obj.Era<<countBits|obj.Version, 0
+// orderVersion returns an object whose version is higher than those of all earlier eras.
+func orderVersion(obj Object) Object {
+	obj.Version, obj.Era = obj.Era<<versionCountBits|obj.Version, 0
 	return obj
 }
 
-func orderedAll(objs []Object) []Object {
+func orderVersions(objs []Object) []Object {
 	for i := range objs {
-		objs[i] = ordered(objs[i])
+		objs[i] = orderVersion(objs[i])
 	}
 	return objs
 }
@@ -154,7 +155,7 @@
 func (c *Client) Get(ctx context.Context, kind Kind, name string) (Object, error) {
 	var obj Object
 	_, err := c.call(ctx, http.MethodGet, "/v1/objects/"+string(kind)+"/"+name, nil, nil, &obj)
-	return ordered(obj), err
+	return orderVersion(obj), err
 }
 
 // Put stores body if the object still has the given version (zero: it does not exist); otherwise it returns
@@ -162,10 +163,10 @@
 func (c *Client) Put(ctx context.Context, kind Kind, name string, version int64, body []byte) (Object, error) {
 	var obj Object
 	header := http.Header{}
-	header.Set("If-Match", strconv.FormatInt(version&(1<<countBits-1), 10))
-	header.Set(HeaderEra, strconv.FormatInt(version>>countBits, 10))
+	header.Set("If-Match", strconv.FormatInt(version&(1<<versionCountBits-1), 10))
+	header.Set(HeaderEra, strconv.FormatInt(version>>versionCountBits, 10))
 	_, err := c.call(ctx, http.MethodPut, "/v1/objects/"+string(kind)+"/"+name, header, body, &obj)
-	return ordered(obj), err
+	return orderVersion(obj), err
 }
 
 // List returns all objects of a kind and the global revision at which they were read.
@@ -175,7 +176,7 @@
 		Objects  []Object `json:"objects"`
 	}
 	_, err := c.call(ctx, http.MethodGet, "/v1/objects/"+string(kind), nil, nil, &reply)
-	return orderedAll(reply.Objects), reply.Revision, err
+	return orderVersions(reply.Objects), reply.Revision, err
 }
 
 // Watch waits at most wait for objects of a kind that change after the global revision after, and returns them with the
@@ -186,16 +187,16 @@
 		Objects  []Object `json:"objects"`
 	}
 	c.mu.Lock()
-	era := c.watched[kind]
+	era := c.watchedEras[kind]
 	c.mu.Unlock()
 	path := fmt.Sprintf("/v1/watch/%s?after=%d&era=%d&wait_ms=%d", kind, after, era, wait.Milliseconds())
 	era, err := c.call(ctx, http.MethodGet, path, nil, nil, &reply)
 	if err == nil {
 		c.mu.Lock()
-		c.watched[kind] = era
+		c.watchedEras[kind] = era
 		c.mu.Unlock()
 	}
-	return orderedAll(reply.Objects), reply.Revision, err
+	return orderVersions(reply.Objects), reply.Revision, err
 }
 
 // Replicas returns the platform's list of upstream replicas, which may be stale.
@@ -221,7 +222,7 @@
 		return 0, fmt.Errorf("%w: %s %s: %w", ErrUnavailable, method, path, err)
 	}
 	defer resp.Body.Close()
-	era := c.noteEra(resp.Header.Get(HeaderEra))
+	era := c.recordEra(resp.Header.Get(HeaderEra))
 	b, err := io.ReadAll(io.LimitReader(resp.Body, MaxReply))
 	if err != nil {
 		return 0, fmt.Errorf("%w: %s %s: %w", ErrUnavailable, method, path, err)
@@ -235,8 +236,8 @@
 	return era, nil
 }
 
-// noteEra parses and records the era of a reply; a reply without one belongs to era zero.
-func (c *Client) noteEra(text string) int64 {
+// recordEra parses and records the era of a reply; a reply without one belongs to era zero.
+func (c *Client) recordEra(text string) int64 {
 	era := feed.ParseEra(text)
 	c.mu.Lock()
 	defer c.mu.Unlock()
