--- a/core/route/table.go
+++ b/core/route/table.go
@@ -20,7 +20,7 @@
 func NewTable(cfg Config) *Table {
 	t := &Table{config: cfg, hosts: map[string][]*Route{}, keys: map[apikey.Key]*Customer{}, names: map[string]*Customer{}}
 	for i := range cfg.Customers {
-		t.add(&cfg.Customers[i])
+		t.addCustomer(&cfg.Customers[i])
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
@@ -33,8 +33,8 @@
 	return t
 }
 
-// add indexes a customer by its name and keys; if two customers share a name or key, the first one keeps it.
-func (t *Table) add(c *Customer) {
+// addCustomer indexes a customer by its name and keys; if two customers share a name or key, the first one keeps it.
+func (t *Table) addCustomer(c *Customer) {
 	if t.names[c.Name] == nil {
 		t.names[c.Name] = c
 	}
