--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -9,7 +9,7 @@
 	head    int
 	n       int
 	dropped uint64
-	wake    chan struct{}
+	ready   chan struct{}
 }
 
 // New returns a ring of at most size entries; it panics unless size is positive.
@@ -17,7 +17,7 @@
 	if size <= 0 {
 		panic("ring: size must be positive")
 	}
-	return &Ring[T]{buf: make([]T, size), wake: make(chan struct{}, 1)}
+	return &Ring[T]{buf: make([]T, size), ready: make(chan struct{}, 1)}
 }
 
 // Push appends v, drops the oldest entry if the ring is full, and wakes the reader.
@@ -32,7 +32,7 @@
 	r.n++
 	r.mu.Unlock()
 	select {
-	case r.wake <- struct{}{}:
+	case r.ready <- struct{}{}:
 	default:
 	}
 }
@@ -53,7 +53,7 @@
 
 // Ready returns a channel that receives after a Push; the reader must then call Pop until it reports false, as several
 // pushes may send one value.
-func (r *Ring[T]) Ready() <-chan struct{} { return r.wake }
+func (r *Ring[T]) Ready() <-chan struct{} { return r.ready }
 
 // Dropped returns the number of entries that were dropped because the reader was too slow.
 func (r *Ring[T]) Dropped() uint64 {
