--- a/core/apikey/key.go
+++ b/core/apikey/key.go
@@ -9,8 +9,8 @@
 // purpose is the HMAC key; it separates these digests from other digests of the same text.
 const purpose = "guavaspring api key"
 
-// shown is the number of bytes of a digest that String returns.
-const shown = 4
+// shownBytes is the number of bytes of a digest that String returns.
+const shownBytes = 4
 
 // Key is the digest of a customer's API key; the zero value means no key.
 //
@@ -37,5 +37,5 @@
 	if k.IsZero() {
 		return "none"
 	}
-	return hex.EncodeToString(k[:shown])
+	return hex.EncodeToString(k[:shownBytes])
 }
