--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -58,11 +58,11 @@
 	ap, err := netip.ParseAddrPort(s)
 	switch {
 	case err != nil:
-		return wrong(v.clause, s, "is not an IP number with a port, such as 127.0.0.1:7000")
+		return invalidSetting(v.clause, s, "is not an IP number with a port, such as 127.0.0.1:7000")
 	case ap.Addr().IsUnspecified():
-		return wrong(v.clause, s, "is not the address of one host; other processes connect to this address")
+		return invalidSetting(v.clause, s, "is not the address of one host; other processes connect to this address")
 	case ap.Port() == 0:
-		return wrong(v.clause, s, "has no port; other processes connect to this address")
+		return invalidSetting(v.clause, s, "has no port; other processes connect to this address")
 	}
 	v.ap = ap
 	return nil
@@ -117,14 +117,15 @@
 
 func (v *name) Set(s string) error {
 	if !validName.MatchString(s) {
-		return wrong(v.clause, s, "is not a name; want lower-case letters, digits and hyphens, starting with a letter, at most 63")
+		return invalidSetting(v.clause, s, "is not a name; want lower-case letters, digits and hyphens, starting with a letter, at most 63")
 	}
 	v.s = s
 	return nil
 }
 
-// wrong returns an error with the names of the flag and environment variable, which kingpin omits for invalid values.
-func wrong(clause *kingpin.FlagClause, value, why string) error {
+// invalidSetting returns an error with the names of the flag and environment variable, which kingpin omits for invalid
+// values.
+func invalidSetting(clause *kingpin.FlagClause, value, why string) error {
 	model := clause.Model()
 	return fmt.Errorf("--%s (or %s): %q %s", model.Name, model.Envar, value, why)
 }
