--- a/core/document/shape.go
+++ b/core/document/shape.go
@@ -14,10 +14,10 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// checkShape reports unknown keys, values of the wrong type and what YAML allows but a document does not.
+// checkShape reports unknown keys, values of the wrong type and YAML features that documents don't allow.
 //
-// The decoder alone names Go's types rather than the document's keys, stops at the first error, cuts 1.5 to
-// the whole number 1, and ignores a second document in the same file.
+// The decoder alone reports Go types rather than keys, stops at the first error, truncates 1.5 to 1 for an integer,
+// and ignores a second document in the same file.
 func checkShape(b []byte) error {
 	file, err := parser.ParseBytes(b, 0)
 	if err != nil {
@@ -36,7 +36,7 @@
 		return syntaxError(err)
 	}
 	c := &checker{}
-	c.shape("", v, reflect.TypeFor[Document]())
+	c.value("", v, reflect.TypeFor[Document]())
 	return errors.Join(c.errs...)
 }
 
@@ -50,7 +50,7 @@
 	return n
 }
 
-// syntaxError says on one line where a file is neither YAML nor JSON.
+// syntaxError returns a one-line error with the position at which a file is neither YAML nor JSON.
 func syntaxError(err error) error {
 	var y yaml.Error
 	if !errors.As(err, &y) {
@@ -63,7 +63,8 @@
 	return &FieldError{"document", at, y.GetMessage(), "YAML or JSON"}
 }
 
-// plainOnly finds anchors, aliases and tags: a few lines of aliases can stand for more values than memory holds.
+// plainOnly rejects anchors, aliases and tags: a few lines of nested aliases can expand to more values than fit in
+// memory.
 type plainOnly struct{ err error }
 
 // Visit implements ast.Visitor.
@@ -79,27 +80,27 @@
 	return p
 }
 
-// shape checks a value that was read against the type that it is for.
-func (c *checker) shape(key string, v any, t reflect.Type) {
-	want := wantOf(t)
+// value checks a decoded value against the type of its field.
+func (c *checker) value(key string, v any, t reflect.Type) {
+	want := describeType(t)
 	switch {
 	case t == reflect.TypeFor[Duration]():
 		s, ok := v.(string)
 		if !ok {
-			c.check(false, key, show(v), "not a duration with a unit", want)
+			c.check(false, key, formatValue(v), "not a duration with a unit", want)
 			return
 		}
 		_, err := time.ParseDuration(s)
-		c.check(err == nil, key, show(v), "not a duration with a unit", want)
+		c.check(err == nil, key, formatValue(v), "not a duration with a unit", want)
 	case t.Kind() == reflect.Struct:
 		m, ok := v.(map[string]any)
 		if !ok {
-			c.check(false, orDocument(key), show(v), "wrong type", want)
+			c.check(false, orDocument(key), formatValue(v), "wrong type", want)
 			return
 		}
 		c.keys(key, m, t)
 	default:
-		c.check(fits(v, t.Kind()), key, show(v), "wrong type", want)
+		c.check(matchesKind(v, t.Kind()), key, formatValue(v), "wrong type", want)
 	}
 }
 
@@ -114,10 +115,10 @@
 		key := join(prefix, name)
 		i := slices.IndexFunc(fields, func(f field) bool { return f.name == name })
 		if i < 0 {
-			c.check(false, key, show(m[name]), "unknown key", "one of "+listOf(fields))
+			c.check(false, key, formatValue(m[name]), "unknown key", "one of "+joinNames(fields))
 			continue
 		}
-		c.shape(key, m[name], fields[i].typ)
+		c.value(key, m[name], fields[i].typ)
 	}
 }
 
@@ -135,7 +136,7 @@
 	return list
 }
 
-func listOf(fields []field) string {
+func joinNames(fields []field) string {
 	names := make([]string, len(fields))
 	for i, f := range fields {
 		names[i] = f.name
@@ -143,12 +144,12 @@
 	return strings.Join(names, ", ")
 }
 
-func wantOf(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
 		return "a number with its unit, such as 60ms or 2s"
 	case t.Kind() == reflect.Struct:
-		return "a mapping of " + listOf(fieldsOf(t))
+		return "a mapping of " + joinNames(fieldsOf(t))
 	}
 	switch t.Kind() {
 	case reflect.Int:
@@ -162,7 +163,7 @@
 	}
 }
 
-func fits(v any, kind reflect.Kind) bool {
+func matchesKind(v any, kind reflect.Kind) bool {
 	switch v := v.(type) {
 	case string:
 		return kind == reflect.String
@@ -179,10 +180,10 @@
 	}
 }
 
-const maxShown = 40
+const maxShownBytes = 40
 
-// show writes a value as an operator wrote it, on one line and cut where it is long.
-func show(v any) string {
+// formatValue formats a value as in the document, on one line and truncated to maxShownBytes.
+func formatValue(v any) string {
 	s := ""
 	switch v := v.(type) {
 	case nil:
@@ -196,8 +197,8 @@
 	default:
 		s = fmt.Sprint(v)
 	}
-	if len(s) > maxShown {
-		s = s[:maxShown] + "..."
+	if len(s) > maxShownBytes {
+		s = s[:maxShownBytes] + "..."
 	}
 	return s
 }
--- a/core/upstream/seats_test.go
+++ b/core/upstream/pool_test.go
@@ -15,9 +15,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// limited is a replica that closes each connection over its limit, counts a connection until it has closed it itself,
-// and winds up a cancelled request before it does.
-type limited struct {
+// limitedReplica is a fake replica that closes each connection above its limit. A connection counts until the replica
+// has closed it, which it does after it has finished a canceled request.
+type limitedReplica struct {
 	l    net.Listener
 	most int
 	cost time.Duration
@@ -29,19 +29,19 @@
 	refused int
 }
 
-func newLimited(tb testing.TB, most int, cost time.Duration, work func(id string)) *limited {
+func newLimitedReplica(tb testing.TB, most int, cost time.Duration, work func(id string)) *limitedReplica {
 	var lc net.ListenConfig
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	qt.Assert(tb, err, qt.IsNil)
-	p := &limited{l: l, most: most, cost: cost, work: work}
+	p := &limitedReplica{l: l, most: most, cost: cost, work: work}
 	tb.Cleanup(func() { l.Close() })
 	go p.accept()
 	return p
 }
 
-func (p *limited) addr() netip.AddrPort { return netip.MustParseAddrPort(p.l.Addr().String()) }
+func (p *limitedReplica) addr() netip.AddrPort { return netip.MustParseAddrPort(p.l.Addr().String()) }
 
-func (p *limited) accept() {
+func (p *limitedReplica) accept() {
 	for {
 		c, err := p.l.Accept()
 		if err != nil {
@@ -55,11 +55,11 @@
 			p.refused++
 		}
 		p.mu.Unlock()
-		go p.talk(c, over)
+		go p.serveConn(c, over)
 	}
 }
 
-func (p *limited) talk(c net.Conn, over bool) {
+func (p *limitedReplica) serveConn(c net.Conn, over bool) {
 	defer c.Close()
 	defer func() {
 		p.mu.Lock()
@@ -79,21 +79,21 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := r.Header.Get(HeaderRequest)
 		p.work(id)
-		if !done(c, id) {
+		if !replyOK(c, id) {
 			return
 		}
 	}
 }
 
-func (p *limited) counts() (peak, refused int) {
+func (p *limitedReplica) counts() (peak, refused int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peak, p.refused
 }
 
-// storm sends n writes from the given number of callers and cancels the tries that cancel picks; it returns how many
-// got through.
-func storm(ctx context.Context, c *Client, addr netip.AddrPort, callers, n int, cancelAfter func(i int) time.Duration) int {
+// sendWrites sends n writes from the given number of concurrent callers, cancels write i after cancelAfter(i) unless
+// that is negative, and returns the number of writes that succeeded.
+func sendWrites(ctx context.Context, c *Client, addr netip.AddrPort, callers, n int, cancelAfter func(i int) time.Duration) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	ok, next := 0, 0
@@ -124,14 +124,14 @@
 	return ok
 }
 
-// Hedged tries are cancelled all the time, and each cancel closes a connection. The replica still winds up the request
-// and counts the connection while the host dials the next one: over the limit, the replica closes new connections at
-// once, and the queries of other hosts on this replica fail too.
+// Hedging cancels attempts often, and each cancellation closes a connection. The replica counts the connection until it
+// has finished the request. If the host dials the next one before that, the replica is over its limit and closes new
+// connections at once, and queries of other hosts on this replica fail too.
 func TestSeatsStayUnderTheLimitThroughCancels(t *testing.T) {
 	const most = 4
-	p := newLimited(t, most, 0, func(string) { time.Sleep(2 * time.Millisecond) })
+	p := newLimitedReplica(t, most, 0, func(string) { time.Sleep(2 * time.Millisecond) })
 	c := newTestClient(t, Options{Seats: most})
-	ok := storm(t.Context(), c, p.addr(), 16, 600, func(i int) time.Duration {
+	ok := sendWrites(t.Context(), c, p.addr(), 16, 600, func(i int) time.Duration {
 		if i%2 == 0 {
 			return time.Duration(i%5) * 500 * time.Microsecond
 		}
@@ -140,13 +140,13 @@
 	peak, refused := p.counts()
 	qt.Assert(t, refused, qt.Equals, 0, qt.Commentf("peak %d of %d", peak, most))
 	qt.Assert(t, c.Stats().Peak <= most, qt.IsTrue)
-	qt.Assert(t, ok >= 300, qt.IsTrue, qt.Commentf("%d of the 300 that nobody cancelled got through", ok))
+	qt.Assert(t, ok >= 300, qt.IsTrue, qt.Commentf("%d of the 300 writes that were not canceled succeeded", ok))
 }
 
-// A replica is over its limit and closes every connection as soon as it accepts it. A host that dials again at once, in
-// a loop, takes the seats that others need and burns the replica's time.
+// A replica over its limit closes every connection as soon as it accepts it. A host that redials in a loop takes
+// connections that other hosts need and wastes CPU time of the replica.
 func TestRefusedConnectionsAreNotDialledInALoop(t *testing.T) {
-	p := newLimited(t, 0, 0, func(string) {})
+	p := newLimitedReplica(t, 0, 0, func(string) {})
 	c := newTestClient(t, Options{Seats: 4})
 	for i := range 500 {
 		res := c.Write(t.Context(), p.addr(), fmt.Sprint(i), []byte("{}"))
@@ -156,16 +156,16 @@
 	qt.Assert(t, refused <= 100, qt.IsTrue, qt.Commentf("%d connections were refused", refused))
 }
 
-// BenchmarkDialAhead plays hedging: 5 seats, 6 ms a new connection, one in ten tries cancelled. It reports the share of
-// connections taken that the request had to wait for, against a client that dials on demand.
+// BenchmarkDialAhead simulates hedging: 5 connections, 6 ms for a new connection, one in ten attempts canceled. It
+// reports the share of requests that had to dial, with and without dialing in advance.
 func BenchmarkDialAhead(b *testing.B) {
 	for _, cold := range []bool{true, false} {
 		b.Run(fmt.Sprintf("cold=%t", cold), func(b *testing.B) {
-			p := newLimited(b, 5, 6*time.Millisecond, func(string) { time.Sleep(5 * time.Millisecond) })
-			c, err := New(Options{Seats: 5, cold: cold})
+			p := newLimitedReplica(b, 5, 6*time.Millisecond, func(string) { time.Sleep(5 * time.Millisecond) })
+			c, err := New(Options{Seats: 5, dialOnDemand: cold})
 			qt.Assert(b, err, qt.IsNil)
 			defer c.Close()
-			storm(b.Context(), c, p.addr(), 4, b.N, func(i int) time.Duration {
+			sendWrites(b.Context(), c, p.addr(), 4, b.N, func(i int) time.Duration {
 				if i%10 == 0 {
 					return 3 * time.Millisecond
 				}
@@ -173,37 +173,37 @@
 			})
 			st := c.Stats()
 			_, refused := p.counts()
-			b.ReportMetric(100*float64(st.Dialled)/float64(b.N), "%dialled")
+			b.ReportMetric(100*float64(st.Dialed)/float64(b.N), "%dialled")
 			b.ReportMetric(100*float64(st.Ready)/float64(b.N), "%ready")
 			b.ReportMetric(float64(refused), "refused")
 		})
 	}
 }
 
-// A draper's servers are to be shared with another system, and the operators lower upstream.connections. The
-// document is in force at once, but a host that kept its old share until its next restart would go on taking
-// the connections of the other system for weeks. Raised again, the host must use what it is given.
+// Operators lower upstream.connections because another system shares the replicas. A host that kept its old limit until
+// its next restart would take the connections of the other system for weeks. After the limit is raised again, the host
+// must use it.
 func TestSeatsFollowTheDocument(t *testing.T) {
 	const many, few = 6, 2
-	p := newLimited(t, many, 0, func(string) {})
+	p := newLimitedReplica(t, many, 0, func(string) {})
 	c := newTestClient(t, Options{Seats: many})
 	never := func(int) time.Duration { return -1 }
-	storm(t.Context(), c, p.addr(), 16, 200, never)
-	p.settle(t, many)
+	sendWrites(t.Context(), c, p.addr(), 16, 200, never)
+	p.waitForConns(t, many)
 	for _, most := range []int{few, many, few} {
 		qt.Assert(t, c.SetSeats(most), qt.IsNil)
-		p.settle(t, most)
-		ok := storm(t.Context(), c, p.addr(), 16, 200, never)
+		p.waitForConns(t, most)
+		ok := sendWrites(t.Context(), c, p.addr(), 16, 200, never)
 		qt.Assert(t, ok, qt.Equals, 200)
-		p.settle(t, most)
+		p.waitForConns(t, most)
 		peak, refused := p.counts()
 		qt.Assert(t, peak, qt.Equals, most)
 		qt.Assert(t, refused, qt.Equals, 0)
 	}
 }
 
-// settle waits until the replica has exactly n connections and counts its peak from there.
-func (p *limited) settle(tb testing.TB, n int) {
+// waitForConns waits until the replica has exactly n connections and resets its peak to n.
+func (p *limitedReplica) waitForConns(tb testing.TB, n int) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		if p.open == n {
