--- a/gsctl/internal/customers/doc.go
+++ b/gsctl/internal/customers/doc.go
@@ -1,2 +1,2 @@
-// Package customers tells from the hosts' logs which customers were refused, and why.
+// Package customers counts the refused requests in the logs of hosts by customer and cause.
 package customers
--- a/gsctl/internal/customers/refusals.go
+++ b/gsctl/internal/customers/refusals.go
@@ -13,18 +13,18 @@
 	"guavaspring.org/gsctl/internal/loglines"
 )
 
-// msgRefused is the name of the lines that are read.
+// msgRefused is the message of the log lines that are counted.
 const msgRefused = "request_refused"
 
-// unknownKey is the cause of refusals that belong to no customer; their reason names the key's digest.
+// unknownKey is the cause of refusals that belong to no customer; their reason contains the digest of the key.
 const unknownKey = "unknown_key"
 
-// row is one customer's refusals for one cause and reason.
+// row identifies the refusals of one customer for one cause and reason.
 type row struct {
 	customer, cause, reason string
 }
 
-// span is how many refusals there were, and when.
+// span is the number of refusals with the times of the first and the last one.
 type span struct {
 	count       int
 	first, last time.Time
@@ -33,13 +33,13 @@
 // Refusals counts refused requests by customer and cause.
 type Refusals struct{ rows map[row]*span }
 
-// New returns no refusals.
+// New returns Refusals without any counts.
 func New() *Refusals { return &Refusals{rows: map[row]*span{}} }
 
-// AddFiles adds the logs at paths.
+// AddFiles counts the refusals in the logs at paths.
 func (s *Refusals) AddFiles(paths []string) error { return loglines.Files(paths, s.Add) }
 
-// Add adds one log.
+// Add counts the refusals in one log.
 func (s *Refusals) Add(name string, log io.Reader) error {
 	err := loglines.Scan(log, func(_, object []byte) { s.line(object) })
 	if err != nil {
@@ -59,7 +59,7 @@
 	if json.Unmarshal(raw, &line) != nil || line.Msg != msgRefused || line.Customer == "" && line.Cause != unknownKey {
 		return
 	}
-	// What the client was told comes first, and what decided it after that.
+	// The reason is the text sent to the client, followed by "; " and the detail behind the decision.
 	_, detail, _ := strings.Cut(line.Reason, "; ")
 	at := row{customer: cmp.Or(line.Customer, "-"), cause: line.Cause, reason: detail}
 	n := s.rows[at]
@@ -76,7 +76,7 @@
 	}
 }
 
-// Print writes the refusals, those of the customer that was refused most often first.
+// Print writes the counts as a table, starting with the customer that was refused most often.
 func (s *Refusals) Print(w io.Writer) error {
 	sums := map[string]int{}
 	rows := make([]row, 0, len(s.rows))
--- a/gsctl/internal/docfile/doc.go
+++ b/gsctl/internal/docfile/doc.go
@@ -1,2 +1,2 @@
-// Package docfile reads and writes the file in which an operator keeps a document and the version it was taken from.
+// Package docfile reads and writes files that hold a service document and the version it was taken from.
 package docfile
--- a/gsctl/internal/docfile/file.go
+++ b/gsctl/internal/docfile/file.go
@@ -12,16 +12,16 @@
 	"guavaspring.org/core/document"
 )
 
-// basePrefix starts the comment line that names the version the file was taken from.
+// basePrefix is the prefix of the comment line with the version that the file was taken from.
 const basePrefix = "# base_version: "
 
-// File is a document as an operator keeps it.
+// File is a document file edited by an operator.
 type File struct {
-	// Path is where the file lies.
+	// Path is the path of the file.
 	Path string
-	// Base is the version of the document that the operator's edit started from, zero where the file names none.
+	// Base is the version of the document that the edit is based on, zero if the file names none.
 	Base int64
-	// Document is the checked document with its defaults.
+	// Document is the validated document with defaults filled in.
 	Document document.Document
 	text     []byte
 }
@@ -56,7 +56,7 @@
 	return base, rest, nil
 }
 
-// Proposal returns the document as JSON, with only the keys that the operator wrote.
+// Proposal returns the document as JSON, without defaults for keys that the file omits.
 func (f File) Proposal() ([]byte, error) {
 	b, err := yaml.YAMLToJSON(f.text)
 	if err != nil {
@@ -65,15 +65,15 @@
 	return bytes.TrimSpace(b), nil
 }
 
-// SetBase writes the file again with base as the version that the next edit starts from.
+// SetBase rewrites the file with base as the version that the next edit is based on.
 func (f File) SetBase(base int64) error {
 	if err := os.WriteFile(f.Path, Format(base, f.text), 0o644); err != nil {
-		return fmt.Errorf("note the new version: %w", err)
+		return fmt.Errorf("write base_version: %w", err)
 	}
 	return nil
 }
 
-// Format returns text preceded by the line that names its base version.
+// Format prepends the line with the base version to text.
 func Format(base int64, text []byte) []byte {
 	return append([]byte(basePrefix+strconv.FormatInt(base, 10)+"\n"), text...)
 }
--- a/gsctl/internal/docfile/file_test.go
+++ b/gsctl/internal/docfile/file_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An operator's file comes back from an editor in any state. Whatever the first line holds, the version that an
-// edit started from is read as it was written or refused; read wrongly, the edit would undo somebody else's.
+// An editor may leave any content in the first line. The base version must be read as written or rejected: with a wrong
+// base version the edit would overwrite a concurrent one.
 func FuzzSplitBase(f *testing.F) {
 	for _, seed := range []string{"", "# base_version: 3\nservice: x\n", "# base_version: -1\n", "# base_version: 3 4\n", "service: x"} {
 		f.Add([]byte(seed))
@@ -26,6 +26,7 @@
 	})
 }
 
+// Errors of Read must name the file and the invalid value, so that the operator can correct it.
 func TestReadSaysWhatIsWrong(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"# base_version: three\nservice: donor-desk\n", `.*d.yaml: base_version: "three": not a version; want a whole number.*`},
--- a/gsctl/internal/hostcosts/doc.go
+++ b/gsctl/internal/hostcosts/doc.go
@@ -1,2 +1,2 @@
-// Package hostcosts adds up what the hosts' logs say they cost.
+// Package hostcosts sums the network traffic and platform calls reported in the logs of hosts.
 package hostcosts
--- a/gsctl/internal/hostcosts/sum.go
+++ b/gsctl/internal/hostcosts/sum.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// msgCosts and msgStarted are the names of the lines that are read.
+	// msgCosts and msgStarted are the messages of the log lines that are read.
 	msgCosts   = "host_costs"
 	msgStarted = "host_started"
-	// ownZone, otherZone and storeCalls mark the fields of a line of costs: bytes of a cause by where they went, and
-	// calls to the platform.
+	// ownZone and otherZone are the suffixes of the fields that count the bytes of a cause, sent within the zone or to
+	// another one; storeCalls is the prefix of those that count calls to the platform.
 	ownZone    = "_own_zone"
 	otherZone  = "_other_zone"
 	storeCalls = "store_"
 )
 
-// Sum adds up the last line of costs of each process: each line holds what its process has cost since it started.
+// Sum adds the last cost line of each process; the figures of a line are cumulative since the start of the process.
 type Sum struct {
-	// last is the newest line of each host's running process.
+	// last holds the newest cost line of the running process of each host.
 	last map[string]map[string]int64
-	// total holds processes that were followed by another one of their host.
+	// total holds the costs of all processes that have ended.
 	total     map[string]int64
 	processes int
 }
 
-// New returns a sum of nothing.
+// New returns an empty Sum.
 func New() *Sum { return &Sum{last: map[string]map[string]int64{}, total: map[string]int64{}} }
 
-// AddFiles adds the logs at paths.
+// AddFiles adds the costs in the logs at paths.
 func (s *Sum) AddFiles(paths []string) error { return loglines.Files(paths, s.Add) }
 
-// Add adds one log. The last word before the object of a line names its host, where collectors put the lines of several
-// hosts into one file.
+// Add adds the costs in one log. Log collectors may merge the lines of several hosts into one file; the last word before
+// the JSON object of a line then names the host.
 func (s *Sum) Add(name string, log io.Reader) error {
 	err := loglines.Scan(log, func(before, object []byte) {
 		host := name
@@ -69,7 +69,7 @@
 	}
 }
 
-// end adds the costs of a host's process that has been followed by another one.
+// end adds the last costs of a host's process to the total, as the process has ended.
 func (s *Sum) end(host string) {
 	for name, n := range s.last[host] {
 		s.total[name] += n
@@ -80,7 +80,7 @@
 	delete(s.last, host)
 }
 
-// numbers returns the fields of a line of costs.
+// numbers returns the traffic and call counts of a cost line.
 func numbers(raw []byte) map[string]int64 {
 	var fields map[string]any
 	if json.Unmarshal(raw, &fields) != nil {
@@ -96,8 +96,7 @@
 	return costs
 }
 
-// Print writes the sums: bytes by cause, inside availability zones and between them, and calls to the platform by what
-// they are for.
+// Print writes the sums: traffic by cause, within and between availability zones, and calls to the platform by purpose.
 func (s *Sum) Print(w io.Writer) error {
 	for host := range maps.Clone(s.last) {
 		s.end(host)
--- a/gsctl/internal/hostlog/doc.go
+++ b/gsctl/internal/hostlog/doc.go
@@ -1,2 +1,2 @@
-// Package hostlog reads the logs of hosts and tells from them what became of one request.
+// Package hostlog traces one request through the logs of hosts.
 package hostlog
--- a/gsctl/internal/hostlog/reader.go
+++ b/gsctl/internal/hostlog/reader.go
@@ -14,18 +14,18 @@
 	"guavaspring.org/gsctl/internal/loglines"
 )
 
-// mostBeliefs is how many lines about a host's beliefs are shown at most, the last ones.
+// mostBeliefs is the maximum number of host events printed; the latest ones are kept.
 const mostBeliefs = 20
 
 // Options configures a Reader.
 type Options struct {
-	// Out receives the account.
+	// Out receives the printed trace.
 	Out io.Writer
-	// Before is how long before a request's last line a host's changed beliefs are told.
+	// Before is how long before the last line of the request host events are printed.
 	Before time.Duration
 }
 
-// Reader tells what became of a request.
+// Reader prints the trace of a request.
 type Reader struct{ opts Options }
 
 // New returns a reader.
@@ -38,10 +38,10 @@
 	fields map[string]json.RawMessage
 }
 
-// ErrNotFound says that no line names the request.
+// ErrNotFound is returned if no log line names the request.
 var ErrNotFound = errors.New("no line names the request: it reached none of these hosts, or its host was lost while it ran")
 
-// Trace reads the log of one host and prints what it says of a request, and what the host came to believe just before.
+// Trace prints the lines of a request in the log of one host, and the host events shortly before.
 func (r *Reader) Trace(name, id string, log io.Reader) error {
 	about, beliefs, err := read(id, log)
 	if err != nil {
@@ -66,8 +66,8 @@
 	msgStopped  = "host_stopped"
 )
 
-// lost says where the host was lost under the request: it started again, and neither the request's end nor its own stop
-// came before.
+// lost prints a note if the host process died while the request ran: the host started again, with neither the end of the
+// request nor a stop of the host logged before.
 func (r *Reader) lost(about, beliefs []line) {
 	last := about[len(about)-1]
 	if last.msg != msgAdmitted {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TraceFiles reads the logs of several hosts; the error is ErrNotFound where none of them names the request.
+// TraceFiles calls Trace for the logs of several hosts. It returns ErrNotFound if none of them names the request.
 func (r *Reader) TraceFiles(id string, paths []string) error {
 	found := false
 	err := loglines.Files(paths, func(name string, log io.Reader) error {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// starts prints when each host started: a request that is in no log came while its host was away.
+// starts prints the start times of each host: a request in no log may have arrived while its host was down.
 func (r *Reader) starts(paths []string) error {
 	return loglines.Files(paths, func(name string, log io.Reader) error {
 		_, beliefs, err := read("", log)
@@ -121,7 +121,7 @@
 	})
 }
 
-// read returns the lines about the request, and those about no request at all.
+// read returns the lines of the request, and the lines that belong to no request (host events).
 func read(id string, log io.Reader) (about, beliefs []line, err error) {
 	want, _ := json.Marshal(id)
 	err = loglines.Scan(log, func(_, object []byte) {
@@ -143,7 +143,7 @@
 func parse(object []byte) (line, bool) {
 	var l line
 	if err := json.Unmarshal(object, &l.fields); err != nil {
-		// A line that is cut off can't be told from those of other programs.
+		// A truncated line can't be distinguished from the output of another program.
 		return line{}, false
 	}
 	if json.Unmarshal(l.fields["msg"], &l.msg) != nil || json.Unmarshal(l.fields["ts"], &l.at) != nil {
@@ -155,7 +155,7 @@
 	return l, true
 }
 
-// print writes a line, its decisions one below the other.
+// print writes a line, followed by its steps on one line each.
 func (r *Reader) print(l line) {
 	var steps []string
 	if json.Unmarshal(l.fields["steps"], &steps) == nil {
@@ -167,8 +167,8 @@
 	}
 }
 
-// near returns how the host's beliefs changed before the last line about the request. Of replicas only those of
-// services that the request was sent to are told.
+// near returns the host events within Options.Before of the last line of the request. Events of replicas are included
+// only for services that the request was sent to.
 func (r *Reader) near(about, beliefs []line) []line {
 	last := about[len(about)-1].at
 	var near []line
@@ -211,7 +211,7 @@
 
 func clockTime(at time.Time) string { return at.UTC().Format("15:04:05.000") }
 
-// text returns the fields in the order of their names.
+// text formats the fields as key=value pairs, sorted by key.
 func text(fields map[string]json.RawMessage) string {
 	var b strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(fields)) {
--- a/gsctl/internal/loglines/doc.go
+++ b/gsctl/internal/loglines/doc.go
@@ -1,2 +1,2 @@
-// Package loglines reads the lines of hosts' logs.
+// Package loglines extracts the JSON lines from the logs of hosts.
 package loglines
--- a/gsctl/internal/loglines/lines.go
+++ b/gsctl/internal/loglines/lines.go
@@ -9,10 +9,10 @@
 	"path/filepath"
 )
 
-// longest bounds one line; a line about a query over 100 shards has about 15 KB.
+// longest is the maximum size of a line in bytes; the line of a query over 100 shards has about 15 KB.
 const longest = 1 << 20
 
-// Files reads the logs at paths one after the other, each under the name of its file.
+// Files calls read for each log in turn, with the base name of its path.
 func Files(paths []string, read func(name string, log io.Reader) error) error {
 	for _, path := range paths {
 		f, err := os.Open(path)
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// Scan passes on each line that holds an object, from its first brace on, and what stands before that: collectors put a
-// time or a host's name there. Other programs write to the same stream, so that an object may be cut off; take must not
-// keep the slices.
+// Scan calls take for each line that contains a JSON object, split at the first brace: log collectors prepend a time or
+// the name of the host. An object may be truncated, as other programs write to the same stream. The slices are valid
+// only during the call of take.
 func Scan(log io.Reader, take func(before, object []byte)) error {
 	sc := bufio.NewScanner(log)
 	sc.Buffer(nil, longest)
--- a/gsctl/internal/operator/doc.go
+++ b/gsctl/internal/operator/doc.go
@@ -1,2 +1,2 @@
-// Package operator carries out the commands of gsctl against the platform and the hosts.
+// Package operator implements the commands of gsctl that read and write the platform and query hosts.
 package operator
--- a/gsctl/internal/operator/operator.go
+++ b/gsctl/internal/operator/operator.go
@@ -19,17 +19,17 @@
 type Options struct {
 	// Platform is the client of the platform's object API.
 	Platform *platform.Client
-	// Out receives what the commands print.
+	// Out receives the output of the commands.
 	Out io.Writer
 }
 
-// Operator carries out one command for an operator.
+// Operator runs the commands of gsctl.
 type Operator struct{ opts Options }
 
-// New returns an operator; both options must be set.
+// New returns an Operator; both options must be set.
 func New(opts Options) *Operator { return &Operator{opts: opts} }
 
-// RefusedError says that an edit was refused since the document has changed since it was taken.
+// RefusedError reports that an edit was rejected because the stored document is not at the version the edit is based on.
 type RefusedError struct {
 	Path    string
 	Service string
@@ -37,7 +37,7 @@
 	Current int64
 }
 
-// Error says which versions met and what to do next.
+// Error names both versions and the next step for the operator.
 func (e *RefusedError) Error() string {
 	if e.Base == 0 {
 		return fmt.Sprintf("%s: refused: the document of %s exists at version %d and the file names no base_version; take it with gsctl get, and edit that",
@@ -47,7 +47,7 @@
 		e.Path, e.Base, e.Service, e.Current)
 }
 
-// Check reads a document and says whether it is right.
+// Check reads and validates a document.
 func (o *Operator) Check(path string) error {
 	f, err := docfile.Read(path)
 	if err != nil {
@@ -57,11 +57,10 @@
 	return nil
 }
 
-// Apply proposes the document at path, if nobody has changed the service's document since the version it was taken
-// from.
+// Apply proposes the document at path if the stored document is still at the version that the file was taken from.
 //
-// Two teams that edit one document at the same time would otherwise undo each other's change without either of them
-// being told; the platform's conditional update lets exactly one of them through.
+// Without this condition, two teams that edit a document at the same time would silently overwrite each other's change.
+// The platform's conditional update accepts exactly one of the two edits.
 func (o *Operator) Apply(ctx context.Context, path string) error {
 	f, err := docfile.Read(path)
 	if err != nil {
@@ -91,7 +90,7 @@
 	return &RefusedError{Path: f.Path, Service: f.Document.Service, Base: f.Base, Current: now.Version}
 }
 
-// Get prints the document of a service with its version, ready to be edited and applied.
+// Get prints the document of a service with its version, ready to be edited and passed to Apply.
 func (o *Operator) Get(ctx context.Context, service string) error {
 	obj, err := o.opts.Platform.Get(ctx, platform.KindDocument, service)
 	if err != nil {
@@ -107,10 +106,10 @@
 	return nil
 }
 
-// watchWait is how long one watch of the platform may wait; it counts as one call.
+// watchWait is the maximum wait of one watch request to the platform, which counts as one call.
 const watchWait = 10 * time.Second
 
-// Explain prints why an answer came out as it did, as told by the host that gave it.
+// Explain prints the decisions that led to a response, read from the host that sent it.
 func (o *Operator) Explain(ctx context.Context, id string) error {
 	host, err := caller.ExplanationHost(id)
 	if err != nil {
--- a/gsctl/internal/operator/status.go
+++ b/gsctl/internal/operator/status.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/core/platform"
 )
 
-// Status prints what the system reports of one service, or of all where service is empty.
+// Status prints the status of one service, or of all if service is empty.
 func (o *Operator) Status(ctx context.Context, service string) error {
 	objs, _, err := o.opts.Platform.List(ctx, platform.KindStatus)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// Watch prints the status of one service, or of all, and then every change until ctx ends.
+// Watch prints the status of one service, or of all, and then every change until ctx is canceled.
 func (o *Operator) Watch(ctx context.Context, service string) error {
 	after := int64(0)
 	for {
--- a/gsctl/main.go
+++ b/gsctl/main.go
@@ -1,4 +1,5 @@
-// Command gsctl is the operator's tool: it checks and applies a service's document, and shows what the system reports.
+// Command gsctl is the operator's command-line tool: it checks and applies service documents, shows their status and
+// analyzes the logs of hosts.
 package main
 
 import (
@@ -23,27 +24,27 @@
 )
 
 func main() {
-	app := settings.New("gsctl", "Checks and applies the document of a service and shows what the system reports of it.")
+	app := settings.New("gsctl", "Checks and applies the document of a service and shows its status.")
 	plat := settings.AddrPort(app.Flag("platform", "IP:port of the platform's object API."))
-	timeout := app.Flag("timeout", "How long a command may take; watching has no limit.").Default("10s").Duration()
+	timeout := app.Flag("timeout", "Time limit of a command; status --watch has none.").Default("10s").Duration()
 	check := app.Command("check", "Check a document without applying it.")
 	checkFile := check.Arg("file", "The document.").Required().String()
-	get := app.Command("get", "Print a service's document, ready to be edited and applied.")
+	get := app.Command("get", "Print the document of a service, ready to be edited and applied.")
 	getService := get.Arg("service", "Name of the service.").Required().String()
-	apply := app.Command("apply", "Propose a document, if nobody has changed it since it was taken.")
+	apply := app.Command("apply", "Propose a document; fails if the stored version is not the one that the file was taken from.")
 	applyFile := apply.Arg("file", "The document.").Required().String()
-	status := app.Command("status", "Print what the system reports of a service, or of all.")
+	status := app.Command("status", "Print the status of one service, or of all services.")
 	statusService := status.Arg("service", "Name of the service.").String()
-	statusWatch := status.Flag("watch", "Go on printing every change until interrupted.").Bool()
-	explain := app.Command("explain", "Print why an answer came out as it did.")
-	explainID := explain.Arg("id", "The answer's explanation_id.").Required().String()
-	trace := app.Command("trace", "Print what the hosts' logs say of an opaque request, and what its host believed then.")
-	traceID := trace.Arg("id", "The request's id.").Required().String()
-	traceLogs := trace.Arg("log", "The log of one host; all of them are searched.").Required().Strings()
-	traceBefore := trace.Flag("before", "How long before the request's last line the host's changed beliefs are told.").Default("10s").Duration()
-	costs := app.Command("costs", "Add up what the hosts' logs say of their traffic between availability zones and of their calls to the platform.")
+	statusWatch := status.Flag("watch", "Print every change of the status until interrupted.").Bool()
+	explain := app.Command("explain", "Print the decisions that led to a response.")
+	explainID := explain.Arg("id", "The explanation_id of the response.").Required().String()
+	trace := app.Command("trace", "Print the log lines of an opaque request, and the changes of its host's state shortly before.")
+	traceID := trace.Arg("id", "The id of the request.").Required().String()
+	traceLogs := trace.Arg("log", "The log file of a host; may be repeated, all files are searched.").Required().Strings()
+	traceBefore := trace.Flag("before", "How long before the last line of the request changes of the host's state are printed.").Default("10s").Duration()
+	costs := app.Command("costs", "Sum the traffic between availability zones and the calls to the platform over the hosts' logs.")
 	costsLogs := costs.Arg("log", "The log of one host or of several.").Required().Strings()
-	refusals := app.Command("customers", "Print from the hosts' logs which customers were refused, how often and why; keys by their digests.")
+	refusals := app.Command("customers", "Count the refused requests in the hosts' logs by customer and cause; unknown keys are shown as digests.")
 	refusalsLogs := refusals.Arg("log", "The log of one host or of several.").Required().Strings()
 	cmd, err := app.Parse(os.Args[1:])
 	if err != nil {
@@ -93,10 +94,10 @@
 	}
 }
 
-// local are the commands that don't need the platform.
+// local lists the commands that run without the platform.
 var local = []string{"check", "explain", "trace", "costs", "customers"}
 
-// clientFor returns the platform's client, which only some commands need.
+// clientFor returns the platform client, or nil if addr is not set and the command runs without the platform.
 func clientFor(cmd string, addr netip.AddrPort) (*platform.Client, error) {
 	if addr.IsValid() {
 		return platform.New(addr)
