--- a/soak/internal/check/check.go
+++ b/soak/internal/check/check.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// calm is how long a host has to be undisturbed before time bounds hold for it.
+	// calm is how long a host has to be without faults before its time bounds are checked.
 	calm = 4 * time.Second
-	// apply is the bound of a configuration, and slack what a busy machine adds to every bound.
+	// apply is the time within which a configuration must be in force; slack is added to every bound for a busy machine.
 	apply = 3 * time.Second
 	slack = time.Second
-	// rollback is how long after an answer of a version an older one may still be seen at the same host.
+	// rollback is how long after a response of one version the same host may still send responses of an older one.
 	rollback = 250 * time.Millisecond
-	// pageRecords is how many records a page holds.
+	// pageRecords is the maximum number of records in the response to a query.
 	pageRecords = 3
 )
 
-// Check collects findings.
+// Check collects the findings, which are violations of guarantees.
 type Check struct {
 	world *world.World
 
@@ -34,7 +34,7 @@
 	findings []string
 	counts   map[string]int
 	writes   []client.Seen
-	// newest is, for each incarnation of a host, the newest version seen there and since when.
+	// newest is the newest version seen at each incarnation of a host, and the time of its first response.
 	newest map[string]mark
 }
 
@@ -43,12 +43,12 @@
 	at      time.Time
 }
 
-// New returns a check without findings.
+// New returns a Check without findings.
 func New(w *world.World) *Check {
 	return &Check{world: w, counts: map[string]int{}, newest: map[string]mark{}}
 }
 
-// Take judges one attempt.
+// Take checks one attempt.
 func (c *Check) Take(s client.Seen) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +76,7 @@
 	c.findings = append(c.findings, fmt.Sprintf("%s at %s#%d, sent %s: ", s.ID, s.Host.Name(), s.Incarnation, s.Sent.Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 }
 
-// undisturbed reports whether the host was left alone for a while before the attempt, and during it.
+// undisturbed reports whether the host had no faults for the duration before and was not restarted during the attempt.
 func (c *Check) undisturbed(s *client.Seen, before time.Duration) bool {
 	_, disturbed := s.Host.State()
 	return s.Incarnation == s.Again && s.Sent.Sub(disturbed) > before
@@ -94,8 +94,8 @@
 	}
 }
 
-// page judges the answer to a query over shards: its parts are its own, of one version, and its records the greatest of
-// them.
+// page checks the response to a query over shards: its parts must belong to the request and to one version, and its
+// records must be the greatest of these parts.
 func (c *Check) page(s *client.Seen) {
 	parts := map[string]bool{}
 	var records []string
@@ -128,8 +128,8 @@
 	c.fresh(s, oldest, newest)
 }
 
-// versions returns the oldest and the newest version whose shards the parts and the missing ones may be, zero for none.
-// They differ where the shard that tells versions apart is among the missing.
+// versions returns the oldest and the newest version whose shards match the parts and the number of missing ones, zero
+// if there is none. The two differ if the shard that is unique to a version is among the missing.
 func (c *Check) versions(parts map[string]bool, missing int) (oldest, newest int) {
 	for v, shards := range c.world.Shards() {
 		in := 0
@@ -148,7 +148,8 @@
 	return oldest, newest
 }
 
-// fresh judges by the newest version that an answer may be of, and remembers the oldest.
+// fresh checks that the version of a response is not outdated. For a response that matches several versions, it checks
+// the newest and records the oldest, so that ambiguous responses cause no false finding.
 func (c *Check) fresh(s *client.Seen, oldest, newest int) {
 	key := fmt.Sprintf("%s#%d", s.Host.Name(), s.Incarnation)
 	if m := c.newest[key]; newest < m.version && s.Sent.After(m.at.Add(rollback)) && s.Incarnation == s.Again {
@@ -162,7 +163,7 @@
 	}
 }
 
-// Drained judges a replica that announced to leave while nothing was disturbed.
+// Drained checks that a replica received no request later than bound after it announced its drain, without faults.
 func (c *Check) Drained(r *world.Replica, bound time.Duration) {
 	if _, late := r.Left(); late > bound+slack/2 {
 		c.mu.Lock()
@@ -171,7 +172,7 @@
 	}
 }
 
-// Finish judges what only the end shows, and returns all findings and how often each outcome was seen.
+// Finish checks the writes, which is possible only at the end, and returns all findings and the count of each outcome.
 func (c *Check) Finish() ([]string, map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/internal/check/check_test.go
+++ b/soak/internal/check/check_test.go
@@ -15,12 +15,13 @@
 	"guavaspring.org/soak/internal/world"
 )
 
-// page returns a true answer to a query over the shards s1 and s2.
+// page returns a correct response to a query over the shards s1 and s2.
 func page(h *hosts.Host) client.Seen {
 	return client.Seen{ID: "q1", Host: h, Sent: time.Now(), Done: time.Now(), Status: 200, Stamps: "q1.s1, q1.s2", Missed: "0", Body: greatestOf("s1", "s2")}
 }
 
-// A soak that finds nothing proves nothing unless it would have found something: one change at a time to what was seen.
+// A run without findings proves nothing if the check misses violations. Each case changes one property of a correct
+// response and names the expected finding.
 func TestEachUntruthIsFound(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -54,7 +55,7 @@
 	}
 }
 
-// An answer of an older version after one of a newer was seen at the same process.
+// A response of an older version after one of a newer version from the same process must be a finding.
 func TestVersionThatGoesBackIsFound(t *testing.T) {
 	w := world.New()
 	defer w.Close()
@@ -77,7 +78,7 @@
 	qt.Assert(t, strings.Join(findings, "\n"), qt.Contains, "version 1 after version 2")
 }
 
-// greatestOf returns the three greatest records of the parts with which services answer.
+// greatestOf returns the three greatest records of the parts that the services return.
 func greatestOf(services ...string) []byte {
 	var all []string
 	for _, s := range services {
@@ -90,8 +91,8 @@
 	return []byte(strings.Join(all[:3], ""))
 }
 
-// A page lacks the one shard that tells two versions apart, while the newer is on its way: it may be of either. Taken
-// for one of the newer, it made each later page of the older a finding (seed 102).
+// A response lacks the one shard that distinguishes two versions while the newer is being rolled out, so it may be of
+// either. Counted as one of the newer, it made each later response of the older version a false finding (seed 102).
 func TestPageThatMayBeOfTwoVersions(t *testing.T) {
 	w := world.New()
 	defer w.Close()
--- a/soak/internal/check/doc.go
+++ b/soak/internal/check/doc.go
@@ -1,2 +1,2 @@
-// Package check holds what clients and replicas saw against what is promised.
+// Package check compares the requests and responses of clients and replicas with the system's guarantees.
 package check
--- a/soak/internal/client/client.go
+++ b/soak/internal/client/client.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// keep is how long an answer of a directory is used; one client in four keeps it three times as long.
+	// keep is how long resolved addresses are used; one client in four uses them three times as long.
 	keep = 1500 * time.Millisecond
-	// Patience is how long a client waits, in the header; it listens patienceSlack longer to see whether an answer came
-	// at all.
+	// Patience is the deadline that a client sends in the header. The client waits patienceSlack longer, to distinguish a
+	// late response from none.
 	Patience      = 2 * time.Second
 	patienceSlack = 4 * time.Second
-	// writeShare is the share of requests that must not run twice.
+	// writeShare is the share of writes among the requests; a write must not run twice.
 	writeShare = 0.3
 	pause      = 20 * time.Millisecond
 )
 
-// Seen is one attempt and what the client saw of it.
+// Seen is one attempt with its result as observed by the client.
 type Seen struct {
 	ID    string
 	Write bool
-	// Host is the host that was asked, Incarnation its number when the attempt left and Again when it ended.
+	// Host is the host that the attempt was sent to. Incarnation is its incarnation when the attempt was sent, Again when
+	// it ended.
 	Host               *hosts.Host
 	Incarnation, Again int
 	Sent, Done         time.Time
-	// Err is why no whole answer came; Status and what follows are set where one did.
+	// Err is the reason for an incomplete response; Status and the fields below are set if the response is complete.
 	Err            error
 	Status         int
 	Stamps, Missed string
 	Body           []byte
 }
 
-// Client sends one attempt after the other over connections that it keeps.
+// Client sends one attempt at a time over persistent connections.
 type Client struct {
 	name  string
 	all   []*hosts.Host
@@ -49,16 +50,16 @@
 	addrs []string
 	until time.Time
 	n     int
-	// Report is told of each attempt.
+	// report is called after each attempt.
 	report func(Seen)
 }
 
-// New returns a client; report must be safe for concurrent use.
+// New returns client number n; report must be safe for concurrent use.
 func New(n int, all []*hosts.Host, report func(Seen)) *Client {
 	return &Client{name: fmt.Sprintf("c%d", n), all: all, http: &http.Client{Transport: &http.Transport{}}, slow: n%4 == 0, report: report}
 }
 
-// Run sends attempts until ctx ends.
+// Run sends attempts until ctx is done.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if time.Now().After(c.until) {
@@ -81,7 +82,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// Another host is asked next time; the old addresses stay.
+		// The old addresses stay in use; the next call picks another host.
 		return
 	}
 	defer resp.Body.Close()
@@ -133,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	// Without it the standard library may send a body again by itself.
+	// With GetBody set, the standard library may resend the body by itself.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/soak/internal/client/doc.go
+++ b/soak/internal/client/doc.go
@@ -1,2 +1,2 @@
-// Package client calls hosts as clients of the platform do, and records what came back.
+// Package client sends requests to hosts as clients of the platform do, and records the responses.
 package client
--- a/soak/internal/faults/doc.go
+++ b/soak/internal/faults/doc.go
@@ -1,2 +1,2 @@
-// Package faults draws disturbances from a seed and carries them out.
+// Package faults injects pseudo-random faults, repeatable by a seed.
 package faults
--- a/soak/internal/faults/driver.go
+++ b/soak/internal/faults/driver.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// most is the longest disturbance, and calm the time without any after a round of them.
+	// most is the base of the longest fault, which adds a tenth to it; calm is the time without faults after a round.
 	most = 3 * time.Second
 	calm = 5 * time.Second
-	// overlap is the most disturbances of one round.
+	// overlap is the maximum number of faults in one round.
 	overlap = 3
-	// drain is how long a replica that leaves may still get requests.
+	// drain is how long a draining replica may still receive requests.
 	drain = 3 * time.Second
-	// grace is the time between SIGTERM and SIGKILL.
+	// grace is the time between SIGTERM and SIGKILL, and the wait for the end of a killed process.
 	grace = 2 * time.Second
 )
 
-// Driver disturbs hosts, links, the store and replicas.
+// Driver injects faults into hosts, links, the store and replicas.
 type Driver struct {
 	Rand  *rand.Rand
 	World *world.World
 	Hosts []*hosts.Host
 	Check *check.Check
-	// Restarts lets replicas be killed that return under their id; without it a seed plays as it did before there were
-	// any.
+	// Restarts enables the fault that kills a replica, which restarts under the same id. Without it a seed produces the
+	// same sequence of faults as before this fault existed.
 	Restarts bool
-	// Say writes down what is done.
+	// Say logs each fault and change.
 	Say func(format string, args ...any)
 
 	version int
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Run plays rounds of disturbances, each followed by a calm time, until ctx ends.
+// Run injects rounds of faults until ctx is done. Each round is followed by a time without faults and a planned change.
 func (d *Driver) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		var round sync.WaitGroup
@@ -82,7 +82,7 @@
 	}
 }
 
-// draw returns one disturbance; all that is random is drawn here, so that a seed repeats it.
+// draw returns one fault. All its random values are drawn here, outside the goroutines, so that a seed repeats them.
 func (d *Driver) draw() func(ctx context.Context) {
 	h := d.Hosts[d.Rand.IntN(len(d.Hosts))]
 	list := d.World.Replicas()
@@ -179,7 +179,7 @@
 	r.Proxy.Reset()
 }
 
-// restart kills a replica, which returns under its id.
+// restart kills a replica, which starts again under the same id. Draining replicas are left alone.
 func (d *Driver) restart(r *world.Replica, t time.Duration) {
 	if left, _ := r.Left(); !left.IsZero() {
 		return
@@ -194,7 +194,7 @@
 	}
 }
 
-// planned changes the configuration, or replaces a replica, while nothing is disturbed.
+// planned changes the configuration or replaces a replica while there are no faults.
 func (d *Driver) planned(ctx context.Context) {
 	if d.Rand.IntN(2) == 0 {
 		d.configure()
@@ -217,7 +217,8 @@
 	d.World.Store.Delete("servers", r.ID)
 }
 
-// configure writes a version with one shard that no other version has, so that the parts of an answer tell its version.
+// configure writes a new version with one shard that no other version has, so that the parts of a response identify its
+// version.
 func (d *Driver) configure() {
 	d.version += 1 + d.Rand.IntN(4)
 	extra := fmt.Sprintf("x%d", d.version)
--- a/soak/internal/hosts/doc.go
+++ b/soak/internal/hosts/doc.go
@@ -1,2 +1,2 @@
-// Package hosts runs real host processes and disturbs them by signals.
+// Package hosts runs real host processes and sends them signals.
 package hosts
--- a/soak/internal/hosts/host.go
+++ b/soak/internal/hosts/host.go
@@ -15,21 +15,21 @@
 	"guavaspring.org/soak/internal/proxy"
 )
 
-// Options says how a host is run.
+// Options configures a Host.
 type Options struct {
-	// Program is the path of the program, Dir where its settings and logs go.
+	// Program is the path of the host program, Dir the directory of its settings and logs.
 	Program, Dir string
 	Name, IP     string
-	// Port is the first of its four ports; Seeds are quoted addresses of other hosts.
+	// Port is the first of the host's four ports; Seeds are the quoted addresses of other hosts.
 	Port      int
 	Seeds     string
 	StoreAddr string
 }
 
-// Host is one host process, which may be started again.
+// Host is one host, whose process may be restarted.
 type Host struct {
 	opts Options
-	// Store is the host's way to the store.
+	// Store is the proxy through which the host connects to the store.
 	Store *proxy.Proxy
 
 	mu          sync.Mutex
@@ -39,7 +39,7 @@
 	ended       chan struct{}
 }
 
-// New returns a host that isn't started yet.
+// New returns a host without a process; Start runs it.
 func New(opts Options) (*Host, error) {
 	p, err := proxy.New(opts.StoreAddr)
 	if err != nil {
@@ -51,18 +51,17 @@
 // Name returns the host's name.
 func (h *Host) Name() string { return h.opts.Name }
 
-// Front returns the address for clients, Directory that for clients that ask which hosts to use, Readiness that of the
-// platform's checks.
+// Front returns the address for client requests.
 func (h *Host) Front() string { return fmt.Sprintf("%s:%d", h.opts.IP, h.opts.Port) }
 
-// Readiness returns the address of the platform's checks.
+// Readiness returns the address for the platform's readiness checks.
 func (h *Host) Readiness() string { return fmt.Sprintf("%s:%d", h.opts.IP, h.opts.Port+1) }
 
-// Directory returns the address for clients that ask which hosts to use.
+// Directory returns the address for clients that resolve the hosts to use.
 func (h *Host) Directory() string { return fmt.Sprintf("%s:%d", h.opts.IP, h.opts.Port+2) }
 
-// Start runs the process, unless it runs already: disturbances of one host overlap, and a second process would be lost
-// sight of and outlive the soak.
+// Start runs the process unless it is running. Faults of one host overlap, and the Host would lose track of the first
+// process if it started a second one, which would then outlive the run.
 func (h *Host) Start(ctx context.Context) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +77,7 @@
 	if err != nil {
 		return fmt.Errorf("host %s: %w", h.opts.Name, err)
 	}
-	// The process has its own copy; this one is only closed.
+	// The process has its own copy of the descriptor, so an error of this Close loses no data.
 	defer func() { _ = log.Close() }()
 	cmd := exec.CommandContext(ctx, h.opts.Program)
 	cmd.Env = []string{settings.PathVariable + "=" + path}
@@ -88,7 +87,7 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		// The soak ends processes on purpose; how they end is no finding by itself.
+		// Processes are killed on purpose, so the exit status is no finding.
 		_ = cmd.Wait()
 		close(ended)
 	}()
@@ -98,7 +97,7 @@
 	return nil
 }
 
-// runs reports whether the process has been started and has not ended; h.mu is held.
+// runs reports whether the process has been started and has not exited; h.mu must be held.
 func (h *Host) runs() bool {
 	if h.ended == nil {
 		return false
@@ -111,16 +110,16 @@
 	}
 }
 
-// Signal sends a signal to the process.
+// Signal sends sig to the process, which counts as a fault.
 func (h *Host) Signal(sig syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.disturbed = time.Now()
-	// A process that has ended meanwhile takes no signal.
+	// The process may have exited already.
 	_ = h.cmd.Process.Signal(sig)
 }
 
-// Wait waits until the process has ended, or reports false after some time.
+// Wait waits at most d for the process to exit and reports whether it did.
 func (h *Host) Wait(d time.Duration) bool {
 	h.mu.Lock()
 	ended := h.ended
@@ -133,14 +132,14 @@
 	}
 }
 
-// Disturb notes that the host's links are disturbed now.
+// Disturb records the current time as that of the last fault, for faults outside the process.
 func (h *Host) Disturb() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.disturbed = time.Now()
 }
 
-// State returns the number of the running incarnation and when the host was last disturbed.
+// State returns the number of the latest incarnation and the time of the last fault.
 func (h *Host) State() (incarnation int, disturbed time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/soak/internal/hosts/host_test.go
+++ b/soak/internal/hosts/host_test.go
@@ -13,8 +13,8 @@
 	"guavaspring.org/soak/internal/hosts"
 )
 
-// Two disturbances kill the same host and both start it again. A second process would find its ports taken, be lost
-// sight of, and the first outlive the soak.
+// Two overlapping faults kill the same host and both start it again. A second process would fail on the ports in use
+// and replace the first in the Host, so that the first would outlive the run.
 func TestStartTwiceRunsOneProcess(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "program")
--- a/soak/internal/proxy/doc.go
+++ b/soak/internal/proxy/doc.go
@@ -1,2 +1,2 @@
-// Package proxy forwards loopback connections and disturbs them on command.
+// Package proxy forwards loopback connections and injects network faults into them.
 package proxy
--- a/soak/internal/proxy/proxy.go
+++ b/soak/internal/proxy/proxy.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Fault is what a proxy does to its connections.
+// Fault is the network fault that a proxy applies to its connections.
 type Fault string
 
 // The faults.
 const (
-	// None forwards all bytes at once.
+	// None forwards all bytes immediately.
 	None Fault = "none"
-	// Delay forwards them a while later.
+	// Delay forwards each block after a fixed delay.
 	Delay Fault = "delay"
-	// Silent forwards nothing in either direction and keeps connections open, new ones too.
+	// Silent forwards nothing in either direction. It keeps connections open and accepts new ones.
 	Silent Fault = "silent"
-	// OneWay forwards what the client sends and nothing that comes back.
+	// OneWay forwards bytes from the client and holds back all replies.
 	OneWay Fault = "one_way"
-	// Refuse closes each new connection at once.
+	// Refuse closes each new connection immediately.
 	Refuse Fault = "refuse"
 )
 
 const (
-	// delay is how long Delay holds bytes back.
+	// delay is how long Delay holds back each block.
 	delay = 40 * time.Millisecond
-	// step is how often a connection that forwards nothing looks whether it may again.
+	// step is the interval at which a blocked connection checks whether the fault has ended.
 	step      = 5 * time.Millisecond
 	blockSize = 16 << 10
 )
 
-// Proxy forwards connections from its own address to another one.
+// Proxy forwards connections from its own address to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -43,7 +43,7 @@
 	conns map[net.Conn]bool
 }
 
-// New returns a proxy to target that forwards until it is closed.
+// New starts a proxy to target, which forwards until Close.
 func New(target string) (*Proxy, error) {
 	var cfg net.ListenConfig
 	l, err := cfg.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -55,37 +55,37 @@
 	return p, nil
 }
 
-// Addr returns the proxy's own address.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Set changes what the proxy does from now on.
+// Set sets the fault for new and open connections.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// Fault returns what the proxy does now.
+// Fault returns the current fault.
 func (p *Proxy) Fault() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-// Reset breaks all connections with a reset.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			// Without lingering the close is a reset; a connection that has ended meanwhile needs none.
+			// With a linger of zero, Close sends a reset. An error means that the connection is closed already.
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Close()
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
@@ -131,7 +131,7 @@
 	}
 }
 
-// forward copies from one side to the other until either ends; back says that it is the direction of replies.
+// forward copies bytes until either side ends; back marks the direction of replies.
 func (p *Proxy) forward(to, from net.Conn, back bool) {
 	defer to.Close()
 	defer from.Close()
@@ -150,7 +150,7 @@
 	}
 }
 
-// hold waits as long as the fault keeps bytes of the direction back.
+// hold blocks while the fault holds back bytes in the given direction.
 func (p *Proxy) hold(back bool) {
 	for {
 		switch f := p.Fault(); {
--- a/soak/internal/subnet/doc.go
+++ b/soak/internal/subnet/doc.go
@@ -1,2 +1,2 @@
-// Package subnet gives each soak that runs on a machine loopback addresses of its own.
+// Package subnet reserves separate loopback addresses for each soak test on a machine.
 package subnet
--- a/soak/internal/subnet/subnet.go
+++ b/soak/internal/subnet/subnet.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// subnets is how many soaks can run side by side: 127.1 to 127.250.
+	// subnets is the maximum number of concurrent soak tests: 127.1 to 127.250.
 	subnets = 250
-	// lockPort is the port on which a soak holds its subnet; hosts listen on other addresses.
+	// lockPort is the port whose listener reserves the subnet; hosts listen on other addresses.
 	lockPort = 7799
-	// perNet is how many hosts have one third number of the address; firstHost keeps them off the lock's address.
+	// perNet is the number of hosts with the same third octet; firstHost keeps them off the address of the lock.
 	perNet, firstHost = 200, 20
 )
 
-// Subnet is a part of the loopback network that one soak holds.
+// Subnet is a part of the loopback network reserved by one soak test.
 type Subnet struct {
 	second uint64
 	lock   net.Listener
 }
 
-// Reserve takes the subnet that belongs to a seed, or the next one that is free.
+// Reserve reserves the subnet that belongs to a seed, or the next free one.
 //
-// Two soaks on the same addresses each send requests to the other's hosts, and both find writes that ran twice or not
-// at all. A port that is looked for before the hosts start doesn't prevent it, as both find it free.
+// Two soak tests on the same addresses send requests to each other's hosts, and both report writes that ran twice or
+// not at all. A check for free ports before the hosts start doesn't prevent this, as both find them free.
 func Reserve(ctx context.Context, seed uint64) (*Subnet, error) {
 	var cfg net.ListenConfig
 	for i := range uint64(subnets) {
@@ -47,5 +47,5 @@
 	return fmt.Sprintf("127.%d.%d.%d", s.second, 1+i/perNet, firstHost+i%perNet)
 }
 
-// Close lets others have the subnet.
+// Close releases the subnet.
 func (s *Subnet) Close() { _ = s.lock.Close() }
--- a/soak/internal/subnet/subnet_test.go
+++ b/soak/internal/subnet/subnet_test.go
@@ -8,8 +8,9 @@
 	"guavaspring.org/soak/internal/subnet"
 )
 
-// Two soaks run side by side whose seeds are 250 apart, 102 and 352. Both used the same addresses: the clients of one
-// called the hosts of the other, which found 534 writes that ran twice and 4,683 that were answered and did not run.
+// Seeds 250 apart, such as 102 and 352, map to the same subnet. Two such soak tests at the same time used the same
+// addresses: the clients of one called the hosts of the other, and the run reported 534 writes that ran twice and 4,683
+// that were acknowledged but did not run.
 func TestSoaksSideBySideShareNoAddress(t *testing.T) {
 	one, err := subnet.Reserve(t.Context(), 102)
 	qt.Assert(t, err, qt.IsNil)
--- a/soak/internal/world/doc.go
+++ b/soak/internal/world/doc.go
@@ -1,2 +1,2 @@
-// Package world plays the store and the replicas of a soak, and records what ran.
+// Package world simulates the store and the replicas of a soak test and records the requests that ran.
 package world
--- a/soak/internal/world/world.go
+++ b/soak/internal/world/world.go
@@ -22,13 +22,13 @@
 const (
 	// RecordSize is the size of one record of a part.
 	RecordSize = 16
-	// partRecords is how many records a part holds.
+	// partRecords is the number of records in a part.
 	partRecords = 8
-	// most is the longest work of a replica.
+	// most is the upper limit of a replica's random service time.
 	most = 40 * time.Millisecond
 )
 
-// World is the store, the replicas, and the record of what they did.
+// World holds the store, the replicas and the record of the requests that ran.
 type World struct {
 	Store *platformtest.Store
 	http  *httptest.Server
@@ -41,7 +41,7 @@
 	wrote    time.Time
 }
 
-// Replica is one replica behind a proxy.
+// Replica is a replica that hosts reach through a proxy.
 type Replica struct {
 	ID, Service string
 	Proxy       *proxy.Proxy
@@ -49,24 +49,24 @@
 	listener    net.Listener
 
 	mu sync.Mutex
-	// started is when the replica's process started, in milliseconds since 1970, and sequence counts its entries.
+	// started is the start time of the replica's process in Unix milliseconds; sequence counts its store entries.
 	started, sequence int64
-	// left is when the store knew that it leaves.
+	// left is the time at which the store had the drain announcement.
 	left time.Time
-	// late is the latest arrival, after left.
+	// late is the time from left to the last request.
 	late time.Duration
 }
 
-// New returns a world with an empty store.
+// New returns a World with an empty store.
 func New() *World {
 	s := platformtest.NewStore()
 	return &World{Store: s, http: httptest.NewServer(s), runs: map[string]int{}, versions: map[int][]string{}}
 }
 
-// StoreAddr returns the store's own address.
+// StoreAddr returns the address that the store listens on.
 func (w *World) StoreAddr() string { return w.http.Listener.Addr().String() }
 
-// Close ends the world.
+// Close stops the replicas and closes the client connections of the store.
 func (w *World) Close() {
 	for _, r := range w.Replicas() {
 		r.Proxy.Close()
@@ -75,7 +75,7 @@
 	w.http.CloseClientConnections()
 }
 
-// Replicas returns all replicas that were ever added.
+// Replicas returns all replicas ever added, drained ones too.
 func (w *World) Replicas() []*Replica {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +102,7 @@
 	return r, nil
 }
 
-// start registers a process of the replica that starts now.
+// start registers a new process of the replica, started now.
 func (r *Replica) start() {
 	r.mu.Lock()
 	r.started, r.sequence = time.Now().UnixMilli(), 0
@@ -110,7 +110,7 @@
 	r.tell("ready")
 }
 
-// tell writes the replica's entry.
+// tell writes the replica's entry to the store.
 func (r *Replica) tell(state string) {
 	r.mu.Lock()
 	r.sequence++
@@ -119,7 +119,7 @@
 	r.world.Store.Set("servers", r.ID, entry)
 }
 
-// Drain announces that the replica leaves.
+// Drain announces in the store that the replica is draining.
 func (r *Replica) Drain() {
 	r.tell("draining")
 	r.mu.Lock()
@@ -127,8 +127,8 @@
 	r.left = time.Now()
 }
 
-// Restart kills the replica's process, and starts it again under its id after some time; a write that the old process
-// had given up comes last.
+// Restart kills the replica's process and starts it again under the same id after down. A delayed entry of the old
+// process then reaches the store after the first entry of the new one.
 func (r *Replica) Restart(down time.Duration) {
 	r.mu.Lock()
 	late := platformtest.ReplicaStarted(r.Service, r.Proxy.Addr(), "ready", r.started, r.sequence+1)
@@ -142,14 +142,14 @@
 	r.tell("ready")
 }
 
-// Left returns when the replica announced that it leaves, and how long after it the last request came.
+// Left returns the time at which the replica announced its drain, and how long after it the last request arrived.
 func (r *Replica) Left() (time.Time, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.left, r.late
 }
 
-// SetConfig writes a version of the configuration that names shards and the service of writes.
+// SetConfig writes a version of the configuration with its shards and the service for writes.
 func (w *World) SetConfig(version int, shards []string, desk string) {
 	w.mu.Lock()
 	w.versions[version] = shards
@@ -160,14 +160,14 @@
 	w.version, w.wrote = version, time.Now()
 }
 
-// Config returns the newest version and since when it is acknowledged.
+// Config returns the latest version and the time at which the store acknowledged it.
 func (w *World) Config() (version int, since time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version, w.wrote
 }
 
-// Version returns the version that names just these shards, zero where none does; each version names a set of its own.
+// Version returns the version with exactly these shards, or zero. The set of shards is unique to each version.
 func (w *World) Version(shards map[string]bool) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -194,7 +194,7 @@
 	return all
 }
 
-// Runs returns how often the request with an id ran.
+// Runs returns how often the request with the given id ran.
 func (w *World) Runs(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -252,15 +252,15 @@
 	}
 }
 
-// Stamp proves that a part of a service answers the request with an id.
+// Stamp returns the stamp of a service's part, which ties the part to the request id.
 func Stamp(id, service string) string { return id + "." + service }
 
-// Part returns the records with which a service answers the request with an id.
+// Part returns the records of a service's reply to the request id.
 func Part(id, service string) []byte {
 	var b []byte
 	for i := range partRecords {
 		h := fnv.New128a()
-		// Writing to a hash returns no error.
+		// Write of a hash.Hash never returns an error.
 		_, _ = h.Write(binary.BigEndian.AppendUint32([]byte(id+"/"+service), uint32(i)))
 		b = h.Sum(b)
 	}
--- a/soak/main.go
+++ b/soak/main.go
@@ -1,4 +1,5 @@
-// Command soak runs real hosts as processes, disturbs them from outside, and checks what clients and replicas see.
+// Command soak runs real host processes, injects faults and checks the system's guarantees against the requests and
+// responses that clients and replicas observe.
 package main
 
 import (
@@ -24,23 +25,24 @@
 )
 
 const (
-	// ports is where the search for free ports begins; each host has four, all the same on its own loopback address.
+	// ports is where the search for free ports begins. Each host has four ports, the same numbers on its own loopback
+	// address.
 	ports, lastPort, perHost = 23000, 32000, 4
-	// settle is how long hosts have to meet before anything is disturbed.
+	// settle is the time that hosts have to discover each other before the first fault.
 	settle = 3 * time.Second
-	// end is how long hosts have to end when the soak does.
+	// end is how long to wait for the end of a host process when the run ends.
 	end = 3 * time.Second
 )
 
 func main() {
-	app := settings.New("soak", "Disturbs real host processes on loopback addresses and checks what they promise.")
+	app := settings.New("soak", "Injects faults into real host processes on loopback addresses and checks their guarantees.")
 	program := app.Flag("entry", "Path of the entry program.").Required().String()
-	seed := app.Flag("seed", "Seed of the disturbances.").Default("1").Uint64()
-	length := app.Flag("for", "How long to disturb.").Default("30s").Duration()
+	seed := app.Flag("seed", "Seed of the faults.").Default("1").Uint64()
+	length := app.Flag("for", "How long to inject faults.").Default("30s").Duration()
 	n := app.Flag("hosts", "Number of hosts.").Default("4").Int()
 	clients := app.Flag("clients", "Number of clients.").Default("12").Int()
-	restarts := app.Flag("restarts", "Kill replicas too, which return under their id.").Bool()
-	dir := app.Flag("dir", "Where settings and logs are kept; a new folder where empty.").Default("").String()
+	restarts := app.Flag("restarts", "Also kill replicas, which restart under the same id.").Bool()
+	dir := app.Flag("dir", "Directory of settings and logs; a new temporary directory if empty.").Default("").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	s := &soak{program: *program, seed: *seed, length: *length, hosts: *n, clients: *clients, restarts: *restarts, dir: *dir, began: time.Now()}
 	findings, err := s.run(context.Background())
@@ -63,19 +65,19 @@
 	mu             sync.Mutex
 }
 
-// say writes one line with the time since the start.
+// say prints one line with the time since the start in seconds.
 func (s *soak) say(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Printf("%7.3f %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// run plays one soak and returns the number of findings.
+// run executes one soak test and returns the number of findings.
 func (s *soak) run(ctx context.Context) (int, error) {
 	if s.dir == "" {
 		dir, err := os.MkdirTemp("", "soak")
 		if err != nil {
-			return 0, fmt.Errorf("folder for logs: %w", err)
+			return 0, fmt.Errorf("create directory for logs: %w", err)
 		}
 		s.dir = dir
 	}
@@ -111,7 +113,7 @@
 	return len(findings), nil
 }
 
-// disturb lets clients call while the driver disturbs.
+// disturb runs the clients and the fault driver until the configured time has passed.
 func (s *soak) disturb(ctx context.Context, d *faults.Driver, list []*hosts.Host, c *check.Check) {
 	ctx, cancel := context.WithTimeout(ctx, s.length)
 	defer cancel()
@@ -146,7 +148,7 @@
 	return list, nil
 }
 
-// stopAll ends the processes that this soak started.
+// stopAll kills the host processes of this run. SIGCONT comes first, as a process may be paused.
 func stopAll(list []*hosts.Host) {
 	for _, h := range list {
 		h.Signal(syscall.SIGCONT)
@@ -157,7 +159,7 @@
 	}
 }
 
-// freePorts returns the first of perHost ports that are free on every address.
+// freePorts returns the first of perHost consecutive ports that are free on every address.
 func freePorts(ips []string) (int, error) {
 	for first := ports; first < lastPort; first += perHost {
 		if free(ips, first) {
--- a/soak/main_test.go
+++ b/soak/main_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Four real hosts serve twelve clients while processes are killed, stopped and paused and links fall silent. Seeds that
-// ever found something stay here.
+// Four real hosts serve twelve clients while processes are killed, stopped and paused and links drop traffic. Seeds
+// that have ever produced findings stay in the table.
 func TestSeeds(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "entry")
 	out, err := exec.CommandContext(t.Context(), "go", "build", "-o", program, "../entry").CombinedOutput()
