--- a/standin/internal/fault/doc.go
+++ b/standin/internal/fault/doc.go
@@ -1,2 +1,2 @@
-// Package fault describes what a replica stand-in does wrong on command.
+// Package fault defines the faults that can be injected into a simulated replica.
 package fault
--- a/standin/internal/fault/faults.go
+++ b/standin/internal/fault/faults.go
@@ -8,43 +8,44 @@
 	"guavaspring.org/core/document"
 )
 
-// Faults is what one replica does wrong; the zero value of a field means that it does not.
+// Faults holds the faults of one replica; the zero value of a field disables its fault.
 type Faults struct {
 	// Slow multiplies the service time of every request.
 	Slow float64 `json:"slow"`
-	// StragglerShare of the requests, drawn at random, take StragglerFactor times longer.
+	// StragglerShare is the share of requests, chosen at random, whose service time is multiplied by StragglerFactor.
 	StragglerShare  float64 `json:"straggler_share"`
 	StragglerFactor float64 `json:"straggler_factor"`
-	// ColdFactor multiplies the service time right after a start; it decays to one over ColdFor.
+	// ColdFactor multiplies the service time after a start; it decreases linearly to one over ColdFor.
 	ColdFactor float64           `json:"cold_factor"`
 	ColdFor    document.Duration `json:"cold_for"`
-	// ShedShare of the requests, drawn at random, are shed.
+	// ShedShare is the share of requests, chosen at random, that are shed.
 	ShedShare float64 `json:"shed_share"`
-	// Draining marks every reply; after RefuseAfter new requests are refused as draining.
+	// Draining marks every reply as draining; after RefuseAfter, new requests are refused as draining.
 	Draining    bool              `json:"draining"`
 	RefuseAfter document.Duration `json:"refuse_after"`
-	// ClaimLoad is what the load header and the health say instead of the truth, as "running/slots".
+	// ClaimLoad replaces the actual load in the load header and the health reply, as "running/slots".
 	ClaimLoad string `json:"claim_load"`
-	// ClaimLag is how old the claimed load may be.
+	// ClaimLag is the maximum age of the reported load.
 	ClaimLag document.Duration `json:"claim_lag"`
-	// CrashMarker in a body crashes the replica: every connection breaks and the port is closed for CrashDown.
+	// CrashMarker is a text whose occurrence in a body crashes the replica: all connections are reset and the port is
+	// closed for CrashDown.
 	CrashMarker string            `json:"crash_marker"`
 	CrashDown   document.Duration `json:"crash_down"`
-	// LoseReplies is how many of the next writes take effect and have their connection closed without a reply.
+	// LoseReplies is the number of next writes that take effect but whose connection is closed without a reply.
 	LoseReplies int `json:"lose_replies"`
-	// ResetBefore is how many of the next requests have their connection reset before any effect.
+	// ResetBefore is the number of next requests whose connection is closed before they have any effect.
 	ResetBefore int `json:"reset_before"`
-	// Foreign is how many of the next queries are answered with the reply of an earlier request.
+	// Foreign is the number of next queries that get the reply of an earlier request.
 	Foreign int `json:"foreign"`
 
-	// Crash, Silence and Cold act once, when they are received: crash now, let no open connection answer any more,
-	// start cold.
+	// Crash, Silence and Cold act once, on receipt: Crash crashes the replica, Silence drops all further replies on the
+	// connections that are open, Cold restarts the time of ColdFor.
 	Crash   bool `json:"crash,omitempty"`
 	Silence bool `json:"silence,omitempty"`
 	Cold    bool `json:"cold,omitempty"`
 }
 
-// Patch reads a JSON object from r and returns f with the fields named in it replaced; unknown fields are errors.
+// Patch decodes a JSON object from r and returns f with the fields in it replaced; unknown fields are errors.
 func (f Faults) Patch(r io.Reader) (Faults, error) {
 	f.Crash, f.Silence, f.Cold = false, false, false
 	dec := json.NewDecoder(r)
@@ -55,7 +56,7 @@
 	return f, nil
 }
 
-// SlowBy returns the factor of the service time that Slow stands for, one where it is not set.
+// SlowBy returns the factor of the service time: Slow, or one if it is not set.
 func (f Faults) SlowBy() float64 {
 	if f.Slow <= 0 {
 		return 1
--- a/standin/internal/fleet/doc.go
+++ b/standin/internal/fleet/doc.go
@@ -1,2 +1,2 @@
-// Package fleet runs the replicas of one service in one process and lists them on the platform stand-in.
+// Package fleet runs the replicas of one service in one process and registers them with the platform stand-in.
 package fleet
--- a/standin/internal/fleet/fleet.go
+++ b/standin/internal/fleet/fleet.go
@@ -23,24 +23,24 @@
 	Service  string
 	Shards   int
 	Replicas int
-	// Only is the ID of the one replica to run, empty for all.
+	// Only is the ID of the only replica to run, empty for all.
 	Only string
 	// Except is the ID of a replica that another process runs, empty for none.
 	Except string
-	// Base is the address of the first replica; the others count up.
+	// Base is the address of the first replica; the ports of the others count up.
 	Base  netip.AddrPort
 	Zones []string
-	// Version is the index version that every replica holds at first.
+	// Version is the index version that every replica holds at the start.
 	Version int64
 	// Replica is the template of each replica; ID, Holdings and State are filled in.
 	Replica  replica.Options
 	Platform netip.AddrPort
 }
 
-// Fleet is the replicas of one service.
+// Fleet runs the replicas of one service.
 type Fleet struct{ opts Options }
 
-// New returns a fleet that listens once Servers is called.
+// New returns a Fleet; Servers opens its ports.
 func New(opts Options) *Fleet { return &Fleet{opts: opts} }
 
 // Servers opens a port for each replica, counting up from Base, and returns their servers.
@@ -53,7 +53,7 @@
 		opts.State = func(id string, state platform.ReplicaState, gone bool) {
 			ctx, cancel := context.WithTimeout(context.Background(), registerTimeout)
 			defer cancel()
-			// The list is only a hint and may miss a change, so a failure here is part of the play.
+			// Hosts treat the list as a hint that may miss a change, so a failed update is a case they have to handle.
 			_ = f.tell(ctx, i, id, state, gone)
 		}
 		rep, err := replica.New(f.addr(i), opts)
@@ -68,13 +68,14 @@
 	return list, nil
 }
 
-// How long and how often a replica is listed again while the platform does not answer.
+// Total time and interval of the attempts to register a replica while the platform does not respond.
 const (
 	registerFor   = 10 * time.Second
 	registerEvery = 50 * time.Millisecond
 )
 
-// Register lists every replica on the platform stand-in, and waits for a platform that starts at the same time.
+// Register registers every replica with the platform stand-in. It retries, as the platform may be starting at the same
+// time.
 func (f *Fleet) Register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerFor)
 	defer cancel()
@@ -125,7 +126,7 @@
 	return resp.Body.Close()
 }
 
-// mine returns the numbers of the replicas that this process runs.
+// mine returns the indexes of the replicas that this process runs.
 func (f *Fleet) mine() []int {
 	var list []int
 	for i := range f.opts.Shards * f.opts.Replicas {
--- a/standin/internal/objects/doc.go
+++ b/standin/internal/objects/doc.go
@@ -1,2 +1,2 @@
-// Package objects stands in for the platform: versioned objects, conditional updates, watches and a host list.
+// Package objects simulates the platform: versioned objects, conditional updates, watches and a host list.
 package objects
--- a/standin/internal/objects/hosts.go
+++ b/standin/internal/objects/hosts.go
@@ -12,14 +12,14 @@
 	"guavaspring.org/core/platform"
 )
 
-// hostRow is one change of the host list, hidden until shown.
+// hostRow is a change of the host list, which becomes visible at shown.
 type hostRow struct {
 	row   platform.Replica
 	gone  bool
 	shown time.Time
 }
 
-// hostList answers with the newest change of each row that is no longer hidden.
+// hostList writes the newest visible change of each row.
 func (s *Server) hostList(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	reply := struct {
--- a/standin/internal/objects/limits.go
+++ b/standin/internal/objects/limits.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// window is the time over which calls are counted against a limit.
+// window is the length of the fixed window of a rate limit.
 const window = time.Second
 
-// meter counts calls in the current window; it must be used with the server's mutex held.
+// meter counts calls and applies a rate limit; the mutex of the server must be held.
 type meter struct {
-	// Limit is the most calls in one window, zero for none.
+	// Limit is the maximum number of calls in one window, zero for none.
 	Limit int `json:"limit"`
-	// Total, Peak and Limited count all calls, the most in one window, and those turned away.
+	// Total is the number of all calls, Peak the most calls in one window, Limited the number of rejected calls.
 	Total   int `json:"total"`
 	Peak    int `json:"peak"`
 	Limited int `json:"limited"`
@@ -21,7 +21,7 @@
 	n     int
 }
 
-// take counts one call and reports whether it is within the limit.
+// take counts a call and reports whether it is within the limit.
 func (m *meter) take(now time.Time) bool {
 	if now.Sub(m.start) >= window {
 		m.start, m.n = now, 0
@@ -36,7 +36,7 @@
 	return true
 }
 
-// admit counts a call, lets the faults act on it, and reports whether it is to be served; refusals are already written.
+// admit counts a call, applies the faults and reports whether to serve it. If not, it has written the error response.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, name string) bool {
 	s.mu.Lock()
 	now := time.Now()
--- a/standin/internal/objects/server.go
+++ b/standin/internal/objects/server.go
@@ -19,19 +19,19 @@
 	"guavaspring.org/core/platform"
 )
 
-// maxValue is the largest value the platform holds, in bytes.
+// maxValue is the maximum size of a value in bytes.
 const maxValue = 1 << 20
 
 // Options configures a Server.
 type Options struct {
-	// HostLag is how long changes of the host list stay hidden.
+	// HostLag is the delay before a change of the host list becomes visible.
 	HostLag time.Duration
-	// WritesPerSecond and ReadsPerSecond limit the calls, a watch counting as one read; zero means no limit.
+	// WritesPerSecond and ReadsPerSecond limit the rate of calls, zero for no limit; a watch counts as one read.
 	WritesPerSecond int
 	ReadsPerSecond  int
 }
 
-// Server is the platform stand-in.
+// Server simulates the platform.
 type Server struct {
 	mu       sync.Mutex
 	objects  map[string]platform.Object
@@ -39,10 +39,10 @@
 	changed  chan struct{}
 	hosts    map[string][]hostRow
 	hostLag  time.Duration
-	// era counts how often the platform came back from kept, which is a copy made on command.
+	// era counts how often the platform was restored from kept, a backup made on command.
 	era  int64
 	kept objectCopy
-	// downUntil, slowBy and old are faults set on command; old is the copy that reads are served from until oldUntil.
+	// downUntil, slowBy and old are faults set on command; until oldUntil, reads are served from the snapshot old.
 	downUntil   time.Time
 	slowBy      time.Duration
 	old         objectCopy
@@ -54,13 +54,13 @@
 	watchingMax int
 }
 
-// objectCopy is what the platform held at one revision.
+// objectCopy is a snapshot of all objects at one revision.
 type objectCopy struct {
 	objects  map[string]platform.Object
 	revision int64
 }
 
-// New returns a platform without objects.
+// New returns a Server without objects.
 func New(opts Options) *Server {
 	return &Server{
 		objects: map[string]platform.Object{}, changed: make(chan struct{}), hosts: map[string][]hostRow{}, hostLag: opts.HostLag,
@@ -82,7 +82,7 @@
 	return srv
 }
 
-// api counts a call and lets the faults act on it before it is served.
+// api wraps f: it sets the era header, counts the call and applies the faults.
 func (s *Server) api(name string, f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// readable returns what reads see now: the truth, or an old copy. It must be called with s.mu held.
+// readable returns the objects that reads are served from: the current ones or an old snapshot. s.mu must be held.
 func (s *Server) readable() objectCopy {
 	if time.Now().Before(s.oldUntil) {
 		return s.old
@@ -149,7 +149,7 @@
 	Objects  []platform.Object `json:"objects"`
 }
 
-// since must be called with s.mu held.
+// since returns the readable objects of a kind with a revision greater than after; s.mu must be held.
 func (s *Server) since(kind string, after int64) objectList {
 	from := s.readable()
 	list := objectList{Revision: from.revision, Objects: []platform.Object{}}
@@ -189,7 +189,7 @@
 		now := strconv.FormatInt(s.era, 10)
 		restored := era != "" && era != now
 		if restored {
-			// The revision of the watch stands for something else by now.
+			// Revisions of another era are not comparable, so the watch gets all objects.
 			after = 0
 		}
 		list, changed := s.since(mux.Vars(r)["kind"], after), s.changed
@@ -210,7 +210,7 @@
 	}
 }
 
-// watchers counts the watches that wait now.
+// watchers adds n to the number of waiting watches.
 func (s *Server) watchers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,9 +222,9 @@
 	var f struct {
 		DownMS int64 `json:"down_ms"`
 		SlowMS int64 `json:"slow_ms"`
-		// OldMS is for how long reads are served from a copy of now.
+		// OldMS is how long reads are served from a snapshot taken on receipt.
 		OldMS int64 `json:"old_ms"`
-		// Keep makes a copy, and Restore brings the platform back from the last one: what was written since is gone.
+		// Keep makes a backup. Restore restores the last backup, which discards all later writes.
 		Keep    bool `json:"keep"`
 		Restore bool `json:"restore"`
 	}
@@ -262,7 +262,7 @@
 	}{s.calls, s.reads, s.writes, s.watching, s.watchingMax})
 }
 
-// wake lets every waiting watch look again; it must be called with s.mu held.
+// wake wakes all waiting watches; s.mu must be held.
 func (s *Server) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/standin/internal/objects/server_test.go
+++ b/standin/internal/objects/server_test.go
@@ -34,8 +34,8 @@
 }
 
 func TestCallsOverTheLimitAreTurnedAway(t *testing.T) {
-	// A burst of writes meets the limit of two a second; a second later writes work again, and reads were never
-	// touched.
+	// A burst of writes exceeds the limit of two a second. Writes succeed again a second later, and the limit of writes
+	// does not apply to reads.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		plat := newCaller(objects.Options{WritesPerSecond: 2, ReadsPerSecond: 100})
@@ -54,7 +54,8 @@
 }
 
 func TestReadsLagOnCommandAndConditionalUpdatesDoNot(t *testing.T) {
-	// A reader sees the copy of the time of the command for a second; an update still meets the newest version.
+	// For a second, reads return the snapshot taken on the command; a conditional update still compares with the newest
+	// version.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		plat := newCaller(objects.Options{})
@@ -80,8 +81,7 @@
 }
 
 func TestOutageEndsWaitingWatches(t *testing.T) {
-	// A watch waits while the platform goes down: it is answered with the outage at once, and so are new calls until
-	// the end.
+	// A watch waits when an outage begins: it fails immediately, as do new calls until the outage ends.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		plat := newCaller(objects.Options{})
@@ -102,7 +102,7 @@
 }
 
 func TestHostListShowsTheOldRowUntilTheChangeIsNoLongerHidden(t *testing.T) {
-	// A replica that begins to leave stays live in the list for the lag, and is at no time absent from it.
+	// A replica that begins to drain stays live in the list for the lag, and is never missing from the list.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		plat := newCaller(objects.Options{HostLag: time.Second})
@@ -134,8 +134,8 @@
 }
 
 func TestPlatformComesBackFromACopy(t *testing.T) {
-	// What was written after the copy is gone, its version is given out again, and neither a watch nor an update takes
-	// the one for the other.
+	// A restore discards the writes after the backup, and the next write reuses their version number. Neither a watch
+	// nor a conditional update may confuse the two versions.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		plat := newCaller(objects.Options{})
@@ -147,14 +147,14 @@
 		c.Assert(body, qt.JSONEquals, map[string]any{"kind": "document", "name": "s", "version": 1, "revision": 1, "body": 1})
 		code, _ := plat.call(http.MethodPut, "/v1/objects/document/s", "1", `3`)
 		c.Assert(code, qt.Equals, 200)
-		// The watcher had seen revision 2 of the era before.
+		// The watch continues from revision 2 of the previous era.
 		_, body = plat.call(http.MethodGet, "/v1/watch/document?after=2&era=0&wait_ms=1000", "", "")
 		c.Assert(body, qt.JSONEquals, map[string]any{"revision": 2, "objects": []any{map[string]any{"kind": "document", "name": "s", "version": 2, "revision": 2, "era": 1, "body": 3}}})
 		began := time.Now()
 		_, body = plat.call(http.MethodGet, "/v1/watch/document?after=2&era=1&wait_ms=1000", "", "")
 		c.Assert(body, qt.JSONEquals, map[string]any{"revision": 2, "objects": []any{}})
 		c.Assert(time.Since(began), qt.Equals, time.Second)
-		// This one had read version 2 of the era before.
+		// With era 0, version 2 is the one that the restore discarded.
 		for _, read := range []struct {
 			era  string
 			want int
--- a/standin/internal/replica/control.go
+++ b/standin/internal/replica/control.go
@@ -11,26 +11,26 @@
 	"guavaspring.org/core/upstream"
 )
 
-// truth is what really happened at the replica, which no client can know.
+// truth counts the actual events at the replica, which clients can't observe.
 type truth struct {
-	// Requests counts every query and write that was read, whatever became of it.
+	// Requests counts every query and write that was read, whatever its outcome.
 	Requests int `json:"requests"`
 	Queries  int `json:"queries"`
 	Canceled int `json:"canceled"`
 	Shed     int `json:"shed"`
 	Foreign  int `json:"foreign"`
 	Lost     int `json:"lost"`
-	// Ran counts the effects of each write by its op_id.
+	// Ran counts the executions of each write by its op_id.
 	Ran map[string]int `json:"ran"`
-	// Crashes names the request behind each crash.
+	// Crashes holds the id of the request that caused each crash, "command" for an injected one.
 	Crashes []string `json:"crashes"`
-	// AfterDrainMS is how long after the drain began the last request arrived that was run.
+	// AfterDrainMS is the time from the start of the drain to the arrival of the last request that ran.
 	AfterDrainMS int64 `json:"after_drain_ms"`
-	// AfterDrain counts the requests that arrived after the drain began and were run.
+	// AfterDrain counts the requests that arrived after the start of the drain and ran.
 	AfterDrain int `json:"after_drain"`
 }
 
-// afterDrain must be called with rep.mu held.
+// afterDrain counts a request that ran if it arrived during the drain; rep.mu must be held.
 func (rep *Replica) afterDrain(arrived time.Time) {
 	if !rep.faults.Draining || arrived.Before(rep.drained) {
 		return
@@ -79,7 +79,7 @@
 	}
 	encode(w, f)
 	if f.Silence {
-		// The reply to this command still has to get out on a connection that is about to fall silent.
+		// The delay lets the reply to this command leave before its connection is silenced.
 		time.AfterFunc(flushTime, rep.gate.silence)
 	}
 	if f.Crash {
@@ -87,6 +87,7 @@
 	}
 }
 
+// flushTime is the delay of a crash or silence command, within which its own reply is sent.
 const flushTime = 20 * time.Millisecond
 
 func (rep *Replica) controlHoldings(w http.ResponseWriter, r *http.Request) {
--- a/standin/internal/replica/doc.go
+++ b/standin/internal/replica/doc.go
@@ -1,2 +1,2 @@
-// Package replica stands in for one upstream replica, with its limits and its faults.
+// Package replica simulates an upstream replica with limits and injected faults.
 package replica
--- a/standin/internal/replica/listener.go
+++ b/standin/internal/replica/listener.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// gate is the port of a replica: it limits connections, makes a new one cost time, and can crash or fall silent.
+// gate is the listener of a replica. It limits the number of connections, delays new ones by cost, and can simulate a
+// crash or silent connections.
 type gate struct {
 	addr netip.AddrPort
 	cost time.Duration
@@ -44,7 +45,7 @@
 	return l, nil
 }
 
-// Accept returns the next connection within the limit; it outlives the crash of the port.
+// Accept returns the next connection within the limit. During a crash it waits for the port to open again.
 func (g *gate) Accept() (net.Conn, error) {
 	for {
 		g.mu.Lock()
@@ -80,7 +81,7 @@
 	time.Sleep(time.Until(at))
 	l, err := listen(g.addr)
 	if err != nil {
-		// The port may still be held for a moment by connections that are being torn down.
+		// Connections in the course of closing may still hold the port for a moment.
 		time.Sleep(10 * time.Millisecond)
 		return
 	}
@@ -108,7 +109,7 @@
 	return c
 }
 
-// Close closes the port for good.
+// Close closes the port permanently.
 func (g *gate) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +123,7 @@
 // Addr returns the address of the port.
 func (g *gate) Addr() net.Addr { return net.TCPAddrFromAddrPort(g.addr) }
 
-// crash breaks every connection and refuses new ones until at.
+// crash resets every connection and closes the port until at.
 func (g *gate) crash(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,7 +138,7 @@
 	clear(g.conns)
 }
 
-// silence lets no connection that is open now answer any more; new ones work.
+// silence drops all further replies on the open connections; new connections work.
 func (g *gate) silence() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -172,7 +173,8 @@
 	silent atomic.Bool
 }
 
-// Read holds the first bytes back until the connection has been open for its cost; a silent one reads and forgets.
+// Read delays the first bytes until the connection has been open for the gate's cost. On a silent connection it
+// discards all bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	if d := time.Until(c.ready); d > 0 {
 		time.Sleep(d)
@@ -185,7 +187,7 @@
 	}
 }
 
-// Write pretends to succeed on a silent connection, as a middlebox that lost track of it would have it.
+// Write discards the bytes on a silent connection and reports success, as if a middlebox dropped the packets.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.silent.Load() {
 		return len(b), nil
@@ -193,13 +195,13 @@
 	return c.Conn.Write(b)
 }
 
-// Close frees the connection's place under the limit.
+// Close closes the connection, which no longer counts against the limit.
 func (c *conn) Close() error {
 	c.gate.remove(c)
 	return c.Conn.Close()
 }
 
-// reset closes the connection so that the other end sees it broken rather than ended.
+// reset closes the connection with a TCP reset, so that the peer sees an error instead of a regular end.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/standin/internal/replica/replica.go
+++ b/standin/internal/replica/replica.go
@@ -22,19 +22,19 @@
 	Slots       int
 	Connections int
 	ConnectCost time.Duration
-	// ServiceTime is the mean time of a request; Jitter is the relative spread around it.
+	// ServiceTime is the mean service time of a request, Jitter its relative standard deviation.
 	ServiceTime time.Duration
 	Jitter      float64
-	// Queue is how many requests wait for a slot, at most for QueueWait each, before more are shed.
+	// Queue is the maximum number of requests that wait for a slot, each for at most QueueWait; more are shed.
 	Queue     int
 	QueueWait time.Duration
 	Holdings  []upstream.Holding
 	Faults    fault.Faults
-	// State is told when the replica leaves, ends or starts under a new ID; it may be nil.
+	// State is called when the replica begins or ends a drain, crashes, or starts under a new ID; it may be nil.
 	State func(id string, state platform.ReplicaState, gone bool)
 }
 
-// Replica is one upstream replica.
+// Replica simulates one upstream replica.
 type Replica struct {
 	opts    Options
 	slots   chan struct{}
@@ -53,7 +53,7 @@
 	truth    truth
 }
 
-// New returns a replica that listens at addr once HTTP's server runs, with its connection limit already in force.
+// New opens the port at addr with the connection limit in force; requests are served once the server of HTTP runs.
 func New(addr netip.AddrPort, opts Options) (*Replica, error) {
 	g, err := openGate(addr, opts.ConnectCost, opts.Connections)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return rep, nil
 }
 
-// Addr returns the address that the replica listens at.
+// Addr returns the address that the replica listens on.
 func (rep *Replica) Addr() netip.AddrPort { return rep.gate.addr }
 
 // ID returns the replica's ID, which changes with each crash.
@@ -98,7 +98,7 @@
 	return rep.holdings[i], true
 }
 
-// duration draws how long a request takes now.
+// duration returns a random service time with the current faults applied.
 func (rep *Replica) duration() time.Duration {
 	rep.mu.Lock()
 	f, age := rep.faults, time.Since(rep.started)
@@ -114,7 +114,7 @@
 	return time.Duration(d)
 }
 
-// crash breaks every connection and comes back later, cold and under a new ID.
+// crash resets every connection; after CrashDown the replica starts again, cold and under a new ID.
 func (rep *Replica) crash(by string) {
 	rep.mu.Lock()
 	down := rep.faults.CrashDown.Std()
@@ -132,7 +132,7 @@
 	}
 }
 
-// claim returns what the replica says of its load, which lags or misleads on command.
+// claim returns the reported load, which a fault can delay or replace.
 func (rep *Replica) claim() string {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
--- a/standin/internal/replica/replica_test.go
+++ b/standin/internal/replica/replica_test.go
@@ -77,6 +77,7 @@
 	return t
 }
 
+// A client must see each fault as the kind of failure that it simulates, and only on the requests it applies to.
 func TestFaultsShowAsTheirKind(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -105,7 +106,8 @@
 }
 
 func TestWriteTakesEffectThoughItsReplyIsLost(t *testing.T) {
-	// The sender sees a broken connection and can't tell whether the write ran: it did, and the truth says so.
+	// The client sees a broken connection and can't determine whether the write ran. It did, and the counters of the
+	// replica must show it.
 	c := qt.New(t)
 	addr, client := start(c, replica.Options{})
 	command(c, addr, `{"lose_replies":1}`)
@@ -116,7 +118,7 @@
 }
 
 func TestCrashBreaksOthersAndComesBackUnderANewID(t *testing.T) {
-	// A marked request crashes the replica; the port opens again at once and the replica has another ID.
+	// A request with the marker crashes the replica. The port opens again immediately and the replica has a new ID.
 	c := qt.New(t)
 	addr, client := start(c, replica.Options{Faults: fault.Faults{CrashMarker: "poison"}})
 	c.Assert(query(client, addr, "q1", "poison").Kind, qt.Equals, upstream.KindBroken)
@@ -128,16 +130,16 @@
 }
 
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
-	// One connection is held; the second is closed as soon as it is accepted, and is counted.
+	// With one connection open, the second is closed as soon as it is accepted, and is counted as refused.
 	c := qt.New(t)
 	addr, _ := start(c, replica.Options{Slots: 1, Connections: 1})
-	// One seat: a client with more may open a second connection of its own, and then lose its request to the limit.
+	// With more than one seat, a client may open a second connection and lose its request to the limit.
 	client, err := upstream.New(upstream.Options{Seats: 1})
 	c.Assert(err, qt.IsNil)
 	c.Assert(query(client, addr, "q1", "wool").Kind, qt.Equals, upstream.KindOK)
 	other, err := upstream.New(upstream.Options{Seats: 1})
 	c.Assert(err, qt.IsNil)
-	// The close may be seen before or after the request goes out; either way nothing of it may run.
+	// The client may notice the close before or after it sends the request; in both cases the request must not run.
 	kind := query(other, addr, "q2", "wool").Kind
 	c.Assert(kind == upstream.KindBroken || kind == upstream.KindNotSent, qt.IsTrue, qt.Commentf("%s", kind))
 	client.Close()
@@ -170,7 +172,7 @@
 }
 
 func TestSilentConnectionsNeverAnswerAndNewOnesDo(t *testing.T) {
-	// The connection in use goes silent: its request runs into the deadline while a fresh connection is answered.
+	// A request on the silenced connection reaches its deadline, while a request on a new connection gets a reply.
 	c := qt.New(t)
 	addr, client := start(c, replica.Options{})
 	c.Assert(query(client, addr, "q1", "wool").Kind, qt.Equals, upstream.KindOK)
@@ -182,7 +184,7 @@
 	c.Assert(query(fresh, addr, "q3", "wool").Kind, qt.Equals, upstream.KindOK)
 }
 
-// untilCanceled sends until a try gets no answer, since silence begins a moment after its command is answered.
+// untilCanceled sends requests until one gets no reply, as the silence begins shortly after the reply to its command.
 func untilCanceled(client *upstream.Client, addr netip.AddrPort) upstream.Kind {
 	body, _ := json.Marshal(upstream.Query{Query: "wool", Limit: 1})
 	for {
@@ -196,7 +198,7 @@
 }
 
 func TestRequestsOverSlotsAndQueueAreShed(t *testing.T) {
-	// One slot, no queue: of two requests at once one runs, and the other is refused and truly did not run.
+	// With one slot and no queue, one of two concurrent requests runs. The other is shed and must not run.
 	c := qt.New(t)
 	addr, client := start(c, replica.Options{Slots: 1, Connections: 8, ServiceTime: 600 * time.Millisecond})
 	kinds := make(chan upstream.Kind, 2)
--- a/standin/internal/replica/work.go
+++ b/standin/internal/replica/work.go
@@ -23,8 +23,8 @@
 
 var errShed = errors.New("every slot is taken")
 
-// hits returns the hits that every holder of the shard gives for the query; whoever knows version, shard map and query
-// can check them.
+// hits returns the hits for a query. They depend only on the version, the shards and the query, so that a client can
+// verify them.
 func hits(h upstream.Holding, q upstream.Query) []upstream.Hit {
 	list := make([]upstream.Hit, 0, hitsPerShard)
 	data, _ := json.Marshal(struct {
@@ -70,7 +70,7 @@
 	rep.ok(w, rep.finishQuery(reply, arrived))
 }
 
-// finishQuery counts the query and returns its reply, or on command the reply of an earlier one.
+// finishQuery counts the query and returns its reply, or with the fault Foreign the reply of an earlier query.
 func (rep *Replica) finishQuery(reply upstream.QueryReply, arrived time.Time) upstream.QueryReply {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
@@ -97,7 +97,7 @@
 		return
 	}
 	defer func() { <-rep.slots }()
-	// A write that has begun takes effect even if its sender has gone: cancellation can't take it back.
+	// A write that has started takes effect even if the client disconnects: cancellation can't undo it.
 	time.Sleep(rep.duration())
 	if rep.record(body.OpID, arrived) {
 		panic(http.ErrAbortHandler)
@@ -105,7 +105,7 @@
 	rep.ok(w, upstream.WriteReply{RequestID: r.Header.Get(upstream.HeaderRequest), Result: json.RawMessage(`{"op_id":` + strconv.Quote(body.OpID) + `}`)})
 }
 
-// record notes the effect of a write and reports whether its reply is to be lost.
+// record counts the execution of a write and reports whether its reply has to be dropped.
 func (rep *Replica) record(op string, arrived time.Time) (lose bool) {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
@@ -119,7 +119,7 @@
 	return false
 }
 
-// open reads the body into v, lets the faults act that come before any effect, and reports whether to go on.
+// open decodes the body into v, applies the faults that precede any effect, and reports whether to continue.
 func (rep *Replica) open(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
@@ -154,7 +154,8 @@
 	return true
 }
 
-// slot takes a slot, after a short wait where all are taken, or refuses.
+// slot acquires a slot and reports whether it did. If all are in use it waits in the queue; if that fails, it has sent
+// an error reply.
 func (rep *Replica) slot(ctx context.Context, w http.ResponseWriter, r *http.Request) bool {
 	select {
 	case rep.slots <- struct{}{}:
@@ -193,7 +194,7 @@
 	rep.fail(w, r, http.StatusGatewayTimeout, upstream.CodeDeadline, "the deadline passed or the sender has gone", false)
 }
 
-// deadline returns the request's context under the deadline in its header.
+// deadline returns the context of the request with the deadline of its header.
 func deadline(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(upstream.HeaderDeadline), 10, 64)
 	if err != nil {
--- a/standin/internal/rollout/rollout.go
+++ b/standin/internal/rollout/rollout.go
@@ -12,24 +12,25 @@
 	"guavaspring.org/core/upstream"
 )
 
-// Options describes a change from one version to the next.
+// Options configures a rollout from one index version to another.
 type Options struct {
-	// Base is the address of the first replica; the others count up.
+	// Base is the address of the first replica; the ports of the others count up.
 	Base     netip.AddrPort
 	Replicas int
-	// OldVersion and OldShards describe what the replicas hold, each shard on neighbouring replicas.
+	// OldVersion and OldShards describe the version that the replicas hold; consecutive replicas hold the same shard.
 	OldVersion int64
 	OldShards  int
-	// Version and Shards describe what they are to hold; another number of shards is a repartition.
+	// Version and Shards describe the new version; a different number of shards is a repartition.
 	Version int64
 	Shards  int
-	// Step is the time between two replicas.
+	// Step is the pause between two replicas.
 	Step time.Duration
-	// Overlap is how long the old version stays after the last replica has the new one.
+	// Overlap is how long replicas keep the old version after the last one has received the new one.
 	Overlap time.Duration
 }
 
-// Run gives the new version to every replica in turn and then takes the old one away in turn.
+// Run adds the new version to one replica after another, waits for Overlap, and then removes the old version in the
+// same order.
 func Run(ctx context.Context, opts Options) error {
 	for i := range opts.Replicas {
 		if err := hold(ctx, opts, i, opts.older(i), opts.newer(i)); err != nil {
@@ -84,6 +85,6 @@
 	case <-time.After(d):
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("rollout stopped half way: %w", ctx.Err())
+		return fmt.Errorf("rollout interrupted: %w", ctx.Err())
 	}
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin plays the systems around guavaspring in tests and demonstrations: the platform and the upstreams.
+// Command standin simulates the systems around guavaspring in tests and demonstrations: the platform and the upstreams.
 package main
 
 import (
@@ -11,14 +11,14 @@
 	"guavaspring.org/core/settings"
 )
 
-// command is one subcommand; run returns once it has ended.
+// command is a subcommand; run returns when it has finished.
 type command struct {
 	name string
 	run  func() error
 }
 
 func main() {
-	app := settings.New("standin", "Plays the platform and the upstreams around guavaspring.")
+	app := settings.New("standin", "Simulates the platform and the upstreams of guavaspring.")
 	commands := []command{platformCommand(app), upstreamCommand(app), indexCommand(app)}
 	chosen, err := app.Parse(os.Args[1:])
 	if err != nil {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -18,12 +18,12 @@
 	cmd := app.Command("upstream", "Serve the replicas of one service.")
 	opts := fleet.Options{}
 	cmd.Flag("service", "Name of the service.").Required().StringVar(&opts.Service)
-	base := settings.AddrPort(cmd.Flag("base", "IP:port of the first replica; the others count up.").Required())
-	cmd.Flag("only", "ID of the one replica to run, such as remnant-finder-3-1, at the port it would have among all.").StringVar(&opts.Only)
-	cmd.Flag("except", "ID of a replica to leave out, since another process runs it.").StringVar(&opts.Except)
+	base := settings.AddrPort(cmd.Flag("base", "IP:port of the first replica; the ports of the others count up.").Required())
+	cmd.Flag("only", "ID of the only replica to run, such as remnant-finder-3-1; it keeps its port.").StringVar(&opts.Only)
+	cmd.Flag("except", "ID of a replica to skip, because another process runs it.").StringVar(&opts.Except)
 	cmd.Flag("shards", "Number of shards.").Default("10").IntVar(&opts.Shards)
 	cmd.Flag("replicas", "Replicas of each shard.").Default("3").IntVar(&opts.Replicas)
-	cmd.Flag("index-version", "Index version held at first.").Default("1").Int64Var(&opts.Version)
+	cmd.Flag("index-version", "Index version held at the start.").Default("1").Int64Var(&opts.Version)
 	zones := cmd.Flag("zones", "Availability zones, separated by commas.").Default("zone-a,zone-b,zone-c").String()
 	platform := settings.AddrPort(cmd.Flag("platform", "IP:port of the platform stand-in.").Required())
 	replicaFlags(cmd, &opts.Replica)
@@ -33,7 +33,7 @@
 	}}
 }
 
-// serve opens the ports first, since one that is taken is a wrong setting.
+// serve opens the ports before it starts the servers: a port in use is reported as an invalid setting.
 func serve(f *fleet.Fleet) error {
 	servers, err := f.Servers()
 	if err != nil {
@@ -43,17 +43,17 @@
 }
 
 func replicaFlags(up *kingpin.CmdClause, opts *replica.Options) {
-	up.Flag("slots", "Requests a replica runs at once.").Default("5").IntVar(&opts.Slots)
-	up.Flag("queue", "Requests that wait for a slot of a replica; more are shed.").Default("5").IntVar(&opts.Queue)
-	up.Flag("queue-wait", "How long a request waits for a slot before it is shed.").Default("20ms").DurationVar(&opts.QueueWait)
-	up.Flag("connections", "Connections a replica accepts.").Default("40").IntVar(&opts.Connections)
-	up.Flag("connect-cost", "Time a new connection costs.").Default("6ms").DurationVar(&opts.ConnectCost)
+	up.Flag("slots", "Maximum number of requests that a replica runs concurrently.").Default("5").IntVar(&opts.Slots)
+	up.Flag("queue", "Maximum number of requests that wait for a slot of a replica; more are shed.").Default("5").IntVar(&opts.Queue)
+	up.Flag("queue-wait", "Maximum wait for a slot before a request is shed.").Default("20ms").DurationVar(&opts.QueueWait)
+	up.Flag("connections", "Maximum number of open connections of a replica.").Default("40").IntVar(&opts.Connections)
+	up.Flag("connect-cost", "Delay before a new connection is read.").Default("6ms").DurationVar(&opts.ConnectCost)
 	up.Flag("service-time", "Mean time of a request.").Default("5ms").DurationVar(&opts.ServiceTime)
 	up.Flag("jitter", "Relative spread of the service time.").Default("0.2").Float64Var(&opts.Jitter)
-	up.Flag("faults", "What goes wrong from the start, as the JSON object that /control/faults takes.").SetValue(&faultsFlag{&opts.Faults})
+	up.Flag("faults", "Faults from the start, as the JSON object that /control/faults accepts.").SetValue(&faultsFlag{&opts.Faults})
 }
 
-// faultsFlag reads faults from a flag.
+// faultsFlag parses the value of the flag --faults.
 type faultsFlag struct{ faults *fault.Faults }
 
 func (v *faultsFlag) String() string { return "" }
