--- a/gsctl/internal/hostcosts/sum.go
+++ b/gsctl/internal/hostcosts/sum.go
@@ -38,15 +38,15 @@
 // AddFiles adds the costs in the logs at paths.
 func (s *Sum) AddFiles(paths []string) error { return loglines.Files(paths, s.Add) }
 
-// Add adds the costs in one log. Log collectors may merge the lines of several hosts into one file; the last word before
-// the JSON object of a line then names the host.
+// Add adds the costs in one log. Log collectors may merge the lines of several hosts into one file; the last word
+// before the JSON object of a line then names the host.
 func (s *Sum) Add(name string, log io.Reader) error {
 	err := loglines.Scan(log, func(before, object []byte) {
 		host := name
 		if words := strings.Fields(string(before)); len(words) > 0 {
 			host += " " + words[len(words)-1]
 		}
-		s.line(host, object)
+		s.addLine(host, object)
 	})
 	if err != nil {
 		return fmt.Errorf("read log %s: %w", name, err)
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (s *Sum) line(host string, raw []byte) {
+func (s *Sum) addLine(host string, raw []byte) {
 	var head struct {
 		Msg string `json:"msg"`
 	}
@@ -63,14 +63,14 @@
 	}
 	switch head.Msg {
 	case msgStarted:
-		s.end(host)
+		s.endProcess(host)
 	case msgCosts:
-		s.last[host] = numbers(raw)
+		s.last[host] = costFields(raw)
 	}
 }
 
-// end adds the last costs of a host's process to the total, as the process has ended.
-func (s *Sum) end(host string) {
+// endProcess adds the last costs of a host's process to the total, as the process has ended.
+func (s *Sum) endProcess(host string) {
 	for name, n := range s.last[host] {
 		s.total[name] += n
 	}
@@ -80,8 +80,8 @@
 	delete(s.last, host)
 }
 
-// numbers returns the traffic and call counts of a cost line.
-func numbers(raw []byte) map[string]int64 {
+// costFields returns the traffic and call counts of a cost line.
+func costFields(raw []byte) map[string]int64 {
 	var fields map[string]any
 	if json.Unmarshal(raw, &fields) != nil {
 		return nil
@@ -99,7 +99,7 @@
 // Print writes the sums: traffic by cause, within and between availability zones, and calls to the platform by purpose.
 func (s *Sum) Print(w io.Writer) error {
 	for host := range maps.Clone(s.last) {
-		s.end(host)
+		s.endProcess(host)
 	}
 	fmt.Fprintf(w, "%d processes\n", s.processes)
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/gsctl/internal/hostlog/reader.go
+++ b/gsctl/internal/hostlog/reader.go
@@ -14,8 +14,8 @@
 	"guavaspring.org/gsctl/internal/loglines"
 )
 
-// mostBeliefs is the maximum number of host events printed; the latest ones are kept.
-const mostBeliefs = 20
+// maxHostEvents is the maximum number of host events printed; the latest ones are kept.
+const maxHostEvents = 20
 
 // Options configures a Reader.
 type Options struct {
@@ -43,20 +43,20 @@
 
 // Trace prints the lines of a request in the log of one host, and the host events shortly before.
 func (r *Reader) Trace(name, id string, log io.Reader) error {
-	about, beliefs, err := read(id, log)
+	requestLines, hostEvents, err := read(id, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	if len(about) == 0 {
+	if len(requestLines) == 0 {
 		return ErrNotFound
 	}
 	fmt.Fprintf(r.opts.Out, "%s\n", name)
-	near := r.near(about, beliefs)
-	for _, l := range about {
-		r.print(l)
+	recent := r.recentEvents(requestLines, hostEvents)
+	for _, l := range requestLines {
+		r.printLine(l)
 	}
-	r.believed(near)
-	r.lost(about, beliefs)
+	r.printHostEvents(recent)
+	r.printHostLoss(requestLines, hostEvents)
 	return nil
 }
 
@@ -66,14 +66,14 @@
 	msgStopped  = "host_stopped"
 )
 
-// lost prints a note if the host process died while the request ran: the host started again, with neither the end of the
-// request nor a stop of the host logged before.
-func (r *Reader) lost(about, beliefs []line) {
-	last := about[len(about)-1]
+// printHostLoss prints a note if the host process died while the request ran: the host started again, with
+// neither the end of the request nor a stop of the host logged before.
+func (r *Reader) printHostLoss(requestLines, hostEvents []line) {
+	last := requestLines[len(requestLines)-1]
 	if last.msg != msgAdmitted {
 		return
 	}
-	for _, l := range beliefs {
+	for _, l := range hostEvents {
 		switch {
 		case l.at.Before(last.at):
 		case l.msg == msgStopped:
@@ -100,19 +100,19 @@
 		return err
 	}
 	if !found {
-		return errors.Join(fmt.Errorf("%s: %w", id, ErrNotFound), r.starts(paths))
+		return errors.Join(fmt.Errorf("%s: %w", id, ErrNotFound), r.printHostStarts(paths))
 	}
 	return nil
 }
 
-// starts prints the start times of each host: a request in no log may have arrived while its host was down.
-func (r *Reader) starts(paths []string) error {
+// printHostStarts prints the start times of each host: a request in no log may have arrived while its host was down.
+func (r *Reader) printHostStarts(paths []string) error {
 	return loglines.Files(paths, func(name string, log io.Reader) error {
-		_, beliefs, err := read("", log)
+		_, hostEvents, err := read("", log)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		for _, l := range beliefs {
+		for _, l := range hostEvents {
 			if l.msg == msgStarted {
 				fmt.Fprintf(r.opts.Out, "%s started at %s\n", name, clockTime(l.at))
 			}
@@ -122,7 +122,7 @@
 }
 
 // read returns the lines of the request, and the lines that belong to no request (host events).
-func read(id string, log io.Reader) (about, beliefs []line, err error) {
+func read(id string, log io.Reader) (requestLines, hostEvents []line, err error) {
 	want, _ := json.Marshal(id)
 	err = loglines.Scan(log, func(_, object []byte) {
 		l, ok := parse(object)
@@ -132,12 +132,12 @@
 		request, has := l.fields["request"]
 		switch {
 		case has && bytes.Equal(request, want):
-			about = append(about, l)
+			requestLines = append(requestLines, l)
 		case !has:
-			beliefs = append(beliefs, l)
+			hostEvents = append(hostEvents, l)
 		}
 	})
-	return about, beliefs, err
+	return requestLines, hostEvents, err
 }
 
 func parse(object []byte) (line, bool) {
@@ -155,47 +155,49 @@
 	return l, true
 }
 
-// print writes a line, followed by its steps on one line each.
-func (r *Reader) print(l line) {
+// printLine writes a line, followed by its steps on one line each.
+func (r *Reader) printLine(l line) {
 	var steps []string
 	if json.Unmarshal(l.fields["steps"], &steps) == nil {
 		delete(l.fields, "steps")
 	}
-	fmt.Fprintf(r.opts.Out, "  %s %s%s\n", clockTime(l.at), l.msg, text(l.fields))
+	fmt.Fprintf(r.opts.Out, "  %s %s%s\n", clockTime(l.at), l.msg, formatFields(l.fields))
 	for _, s := range steps {
 		fmt.Fprintf(r.opts.Out, "      %s\n", s)
 	}
 }
 
-// near returns the host events within Options.Before of the last line of the request. Events of replicas are included
-// only for services that the request was sent to.
-func (r *Reader) near(about, beliefs []line) []line {
-	last := about[len(about)-1].at
-	var near []line
-	for _, l := range beliefs {
-		if !l.at.After(last) && last.Sub(l.at) <= r.opts.Before && concerns(l, about) {
-			near = append(near, l)
+// recentEvents returns the host events within Options.Before of the last line of the request. Events of replicas are
+// included only for services that the request was sent to.
+func (r *Reader) recentEvents(requestLines, hostEvents []line) []line {
+	last := requestLines[len(requestLines)-1].at
+	var recent []line
+	for _, l := range hostEvents {
+		if !l.at.After(last) && last.Sub(l.at) <= r.opts.Before && isRelevant(l, requestLines) {
+			recent = append(recent, l)
 		}
 	}
-	return near
+	return recent
 }
 
-func (r *Reader) believed(near []line) {
-	if len(near) == 0 {
+// printHostEvents prints the last maxHostEvents of the host events before the end of the request.
+func (r *Reader) printHostEvents(recent []line) {
+	if len(recent) == 0 {
 		fmt.Fprintf(r.opts.Out, "  nothing that the host believed changed in the %s before\n", r.opts.Before)
 		return
 	}
 	fmt.Fprintf(r.opts.Out, "  what the host came to believe in the %s before\n", r.opts.Before)
-	if skipped := len(near) - mostBeliefs; skipped > 0 {
+	if skipped := len(recent) - maxHostEvents; skipped > 0 {
 		fmt.Fprintf(r.opts.Out, "      %d earlier lines are left out\n", skipped)
-		near = near[skipped:]
+		recent = recent[skipped:]
 	}
-	for _, l := range near {
-		fmt.Fprintf(r.opts.Out, "      %s %s%s\n", clockTime(l.at), l.msg, text(l.fields))
+	for _, l := range recent {
+		fmt.Fprintf(r.opts.Out, "      %s %s%s\n", clockTime(l.at), l.msg, formatFields(l.fields))
 	}
 }
 
-func concerns(l line, about []line) bool {
+// isRelevant reports whether a host event may concern the request.
+func isRelevant(l line, requestLines []line) bool {
 	if !strings.HasPrefix(l.msg, "replica_") {
 		return true
 	}
@@ -203,7 +205,7 @@
 	if json.Unmarshal(l.fields["service"], &service) != nil {
 		return true
 	}
-	return slices.ContainsFunc(about, func(a line) bool {
+	return slices.ContainsFunc(requestLines, func(a line) bool {
 		steps := a.fields["steps"]
 		return bytes.Contains(steps, []byte(" "+service+" ")) || bytes.Contains(steps, []byte(" "+service+":")) || bytes.Contains(a.fields["service"], []byte(service))
 	})
@@ -211,8 +213,8 @@
 
 func clockTime(at time.Time) string { return at.UTC().Format("15:04:05.000") }
 
-// text formats the fields as key=value pairs, sorted by key.
-func text(fields map[string]json.RawMessage) string {
+// formatFields formats the fields as key=value pairs, sorted by key.
+func formatFields(fields map[string]json.RawMessage) string {
 	var b strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(fields)) {
 		fmt.Fprintf(&b, " %s=%s", key, fields[key])
--- a/gsctl/internal/loglines/lines.go
+++ b/gsctl/internal/loglines/lines.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 )
 
-// longest is the maximum size of a line in bytes; the line of a query over 100 shards has about 15 KB.
-const longest = 1 << 20
+// maxLineBytes is the maximum size of a line in bytes; the line of a query over 100 shards has about 15 KB.
+const maxLineBytes = 1 << 20
 
 // Files calls read for each log in turn, with the base name of its path.
 func Files(paths []string, read func(name string, log io.Reader) error) error {
@@ -31,12 +31,12 @@
 // Scan calls take for each line that contains a JSON object, split at the first brace: log collectors prepend a time or
 // the name of the host. An object may be truncated, as other programs write to the same stream. The slices are valid
 // only during the call of take.
-func Scan(log io.Reader, take func(before, object []byte)) error {
+func Scan(log io.Reader, visit func(before, object []byte)) error {
 	sc := bufio.NewScanner(log)
-	sc.Buffer(nil, longest)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
 		if brace := bytes.IndexByte(sc.Bytes(), '{'); brace >= 0 {
-			take(sc.Bytes()[:brace], sc.Bytes()[brace:])
+			visit(sc.Bytes()[:brace], sc.Bytes()[brace:])
 		}
 	}
 	return sc.Err()
--- a/gsctl/internal/operator/operator.go
+++ b/gsctl/internal/operator/operator.go
@@ -29,8 +29,8 @@
 // New returns an Operator; both options must be set.
 func New(opts Options) *Operator { return &Operator{opts: opts} }
 
-// RefusedError reports that an edit was rejected because the stored document is not at the version the edit is based on.
-type RefusedError struct {
+// ConflictError reports that an edit was rejected because the stored document is not at the edit's base version.
+type ConflictError struct {
 	Path    string
 	Service string
 	Base    int64
@@ -38,7 +38,7 @@
 }
 
 // Error names both versions and the next step for the operator.
-func (e *RefusedError) Error() string {
+func (e *ConflictError) Error() string {
 	if e.Base == 0 {
 		return fmt.Sprintf("%s: refused: the document of %s exists at version %d and the file names no base_version; take it with gsctl get, and edit that",
 			e.Path, e.Service, e.Current)
@@ -73,7 +73,7 @@
 	name := f.Document.Service
 	obj, err := o.opts.Platform.Put(ctx, platform.KindDocument, name, f.Base, body)
 	if errors.Is(err, platform.ErrConflict) {
-		return o.refused(ctx, f)
+		return o.conflictError(ctx, f)
 	}
 	if err != nil {
 		return fmt.Errorf("propose the document of %s: %w", name, err)
@@ -82,12 +82,12 @@
 	return f.SetBase(obj.Version)
 }
 
-func (o *Operator) refused(ctx context.Context, f docfile.File) error {
+func (o *Operator) conflictError(ctx context.Context, f docfile.File) error {
 	now, err := o.opts.Platform.Get(ctx, platform.KindDocument, f.Document.Service)
 	if err != nil {
 		return fmt.Errorf("refused, and the current version can't be read: %w", err)
 	}
-	return &RefusedError{Path: f.Path, Service: f.Document.Service, Base: f.Base, Current: now.Version}
+	return &ConflictError{Path: f.Path, Service: f.Document.Service, Base: f.Base, Current: now.Version}
 }
 
 // Get prints the document of a service with its version, ready to be edited and passed to Apply.
--- a/gsctl/main.go
+++ b/gsctl/main.go
@@ -94,15 +94,15 @@
 	}
 }
 
-// local lists the commands that run without the platform.
-var local = []string{"check", "explain", "trace", "costs", "customers"}
+// offlineCommands lists the commands that run without the platform.
+var offlineCommands = []string{"check", "explain", "trace", "costs", "customers"}
 
 // clientFor returns the platform client, or nil if addr is not set and the command runs without the platform.
 func clientFor(cmd string, addr netip.AddrPort) (*platform.Client, error) {
 	if addr.IsValid() {
 		return platform.New(addr)
 	}
-	if slices.Contains(local, strings.Fields(cmd)[0]) {
+	if slices.Contains(offlineCommands, strings.Fields(cmd)[0]) {
 		return nil, nil
 	}
 	return nil, errors.New("--platform is needed for this command; it can be set by GSCTL_PLATFORM")
