--- a/soak/internal/client/client.go
+++ b/soak/internal/client/client.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// keep is how long resolved addresses are used; one client in four uses them three times as long.
-	keep = 1500 * time.Millisecond
+	// addrLifetime is how long resolved addresses are used; one client in four uses them three times as long.
+	addrLifetime = 1500 * time.Millisecond
 	// Patience is the deadline that a client sends in the header. The client waits patienceSlack longer, to distinguish a
 	// late response from none.
 	Patience      = 2 * time.Second
@@ -25,44 +25,44 @@
 	pause      = 20 * time.Millisecond
 )
 
-// Seen is one attempt with its result as observed by the client.
-type Seen struct {
+// Attempt is one request to one host, with its result as observed by the client.
+type Attempt struct {
 	ID    string
 	Write bool
-	// Host is the host that the attempt was sent to. Incarnation is its incarnation when the attempt was sent, Again when
-	// it ended.
-	Host               *hosts.Host
-	Incarnation, Again int
-	Sent, Done         time.Time
+	// Host is the host that the attempt was sent to. Incarnation is the host's incarnation when the attempt was
+	// sent, EndIncarnation when it ended.
+	Host                        *hosts.Host
+	Incarnation, EndIncarnation int
+	Sent, Done                  time.Time
 	// Err is the reason for an incomplete response; Status and the fields below are set if the response is complete.
-	Err            error
-	Status         int
-	Stamps, Missed string
-	Body           []byte
+	Err                  error
+	Status               int
+	Stamps, MissingParts string
+	Body                 []byte
 }
 
 // Client sends one attempt at a time over persistent connections.
 type Client struct {
-	name  string
-	all   []*hosts.Host
-	http  *http.Client
-	slow  bool
-	addrs []string
-	until time.Time
-	n     int
+	name        string
+	all         []*hosts.Host
+	http        *http.Client
+	slow        bool
+	addrs       []string
+	addrsExpire time.Time
+	n           int
 	// report is called after each attempt.
-	report func(Seen)
+	report func(Attempt)
 }
 
 // New returns client number n; report must be safe for concurrent use.
-func New(n int, all []*hosts.Host, report func(Seen)) *Client {
+func New(n int, all []*hosts.Host, report func(Attempt)) *Client {
 	return &Client{name: fmt.Sprintf("c%d", n), all: all, http: &http.Client{Transport: &http.Transport{}}, slow: n%4 == 0, report: report}
 }
 
 // Run sends attempts until ctx is done.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if time.Now().After(c.until) {
+		if time.Now().After(c.addrsExpire) {
 			c.resolve(ctx)
 		}
 		if len(c.addrs) > 0 {
@@ -90,9 +90,9 @@
 	if err := json.NewDecoder(resp.Body).Decode(&ans); err != nil || len(ans.Addrs) == 0 {
 		return
 	}
-	c.addrs, c.until = ans.Addrs, time.Now().Add(keep)
+	c.addrs, c.addrsExpire = ans.Addrs, time.Now().Add(addrLifetime)
 	if c.slow {
-		c.until = c.until.Add(2 * keep)
+		c.addrsExpire = c.addrsExpire.Add(2 * addrLifetime)
 	}
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	c.n++
-	s := Seen{Host: h, Write: rand.Float64() < writeShare, Sent: time.Now()}
+	s := Attempt{Host: h, Write: rand.Float64() < writeShare, Sent: time.Now()}
 	method, path, kind := http.MethodGet, "/bundles/x", "q"
 	var body []byte
 	if s.Write {
@@ -121,15 +121,15 @@
 	s.Incarnation, _ = h.State()
 	ctx, cancel := context.WithTimeout(ctx, Patience+patienceSlack)
 	defer cancel()
-	s.Err = c.exchange(ctx, &s, method, path, body)
+	s.Err = c.send(ctx, &s, method, path, body)
 	s.Done = time.Now()
-	s.Again, _ = h.State()
+	s.EndIncarnation, _ = h.State()
 	if ctx.Err() == nil || s.Err == nil || time.Since(s.Sent) > Patience {
 		c.report(s)
 	}
 }
 
-func (c *Client) exchange(ctx context.Context, s *Seen, method, path string, body []byte) error {
+func (c *Client) send(ctx context.Context, s *Attempt, method, path string, body []byte) error {
 	req, err := platformtest.Request(ctx, method, s.Host.Front(), path, s.ID, int(Patience.Milliseconds()), body)
 	if err != nil {
 		return err
@@ -143,6 +143,6 @@
 	defer resp.Body.Close()
 	s.Body, err = io.ReadAll(resp.Body)
 	s.Status = resp.StatusCode
-	s.Stamps, s.Missed = platformtest.Parts(resp.Header)
+	s.Stamps, s.MissingParts = platformtest.Parts(resp.Header)
 	return err
 }
--- a/soak/internal/faults/driver.go
+++ b/soak/internal/faults/driver.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// most is the base of the longest fault, which adds a tenth to it; calm is the time without faults after a round.
-	most = 3 * time.Second
-	calm = 5 * time.Second
-	// overlap is the maximum number of faults in one round.
-	overlap = 3
-	// drain is how long a draining replica may still receive requests.
-	drain = 3 * time.Second
-	// grace is the time between SIGTERM and SIGKILL, and the wait for the end of a killed process.
+	// maxFaultTime bounds the random part of the duration of a fault; every fault lasts a tenth of it longer.
+	maxFaultTime = 3 * time.Second
+	// quietPeriod is the time without faults after each round.
+	quietPeriod = 5 * time.Second
+	// maxFaultsPerRound is the maximum number of faults in one round.
+	maxFaultsPerRound = 3
+	// drainTime is how long a draining replica may still receive requests.
+	drainTime = 3 * time.Second
+	// grace is the time between SIGTERM and SIGKILL, and the maximum wait for a killed process to exit.
 	grace = 2 * time.Second
 )
 
@@ -32,12 +33,12 @@
 	Rand  *rand.Rand
 	World *world.World
 	Hosts []*hosts.Host
-	Check *check.Check
+	Check *check.Checker
 	// Restarts enables the fault that kills a replica, which restarts under the same id. Without it a seed produces the
 	// same sequence of faults as before this fault existed.
 	Restarts bool
-	// Say logs each fault and change.
-	Say func(format string, args ...any)
+	// Logf logs each fault and change.
+	Logf func(format string, args ...any)
 
 	version int
 	shards  []string
@@ -62,15 +63,15 @@
 func (d *Driver) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		var round sync.WaitGroup
-		for range 1 + d.Rand.IntN(overlap) {
-			act := d.draw()
+		for range 1 + d.Rand.IntN(maxFaultsPerRound) {
+			act := d.randomFault()
 			round.Go(func() { act(ctx) })
 			sleep(ctx, time.Duration(d.Rand.Int64N(int64(time.Second))))
 		}
 		round.Wait()
-		sleep(ctx, calm)
+		sleep(ctx, quietPeriod)
 		if ctx.Err() == nil {
-			d.planned(ctx)
+			d.plannedChange(ctx)
 		}
 	}
 }
@@ -82,12 +83,13 @@
 	}
 }
 
-// draw returns one fault. All its random values are drawn here, outside the goroutines, so that a seed repeats them.
-func (d *Driver) draw() func(ctx context.Context) {
+// randomFault returns a fault. All its random values are drawn here, outside the goroutines, so that a seed repeats
+// them.
+func (d *Driver) randomFault() func(ctx context.Context) {
 	h := d.Hosts[d.Rand.IntN(len(d.Hosts))]
 	list := d.World.Replicas()
 	r := list[d.Rand.IntN(len(list))]
-	t := time.Duration(d.Rand.Int64N(int64(most))) + most/10
+	t := time.Duration(d.Rand.Int64N(int64(maxFaultTime))) + maxFaultTime/10
 	fault := []proxy.Fault{proxy.Delay, proxy.Silent, proxy.OneWay, proxy.Refuse}[d.Rand.IntN(4)]
 	switch d.Rand.IntN(9) {
 	case 0:
@@ -97,23 +99,23 @@
 	case 2:
 		return func(ctx context.Context) { d.pause(ctx, h, t) }
 	case 3, 4:
-		return func(ctx context.Context) { d.link(ctx, h, fault, t) }
+		return func(ctx context.Context) { d.storeLinkFault(ctx, h, fault, t) }
 	case 5:
-		return func(ctx context.Context) { d.away(ctx, t) }
+		return func(ctx context.Context) { d.storeOutage(ctx, t) }
 	case 6:
-		return func(context.Context) { d.forget() }
+		return func(context.Context) { d.loseStoreHistory() }
 	case 7:
 		if d.Restarts {
 			return func(context.Context) { d.restart(r, t) }
 		}
 		fallthrough
 	default:
-		return func(ctx context.Context) { d.replica(ctx, r, fault, t) }
+		return func(ctx context.Context) { d.replicaLinkFault(ctx, r, fault, t) }
 	}
 }
 
 func (d *Driver) kill(ctx context.Context, h *hosts.Host, t time.Duration) {
-	d.Say("kill %s, back after %v", h.Name(), t)
+	d.Logf("kill %s, back after %v", h.Name(), t)
 	h.Signal(syscall.SIGKILL)
 	h.Wait(grace)
 	sleep(ctx, t)
@@ -121,7 +123,7 @@
 }
 
 func (d *Driver) stop(ctx context.Context, h *hosts.Host) {
-	d.Say("stop %s", h.Name())
+	d.Logf("stop %s", h.Name())
 	h.Signal(syscall.SIGTERM)
 	if !h.Wait(grace) {
 		h.Signal(syscall.SIGKILL)
@@ -135,19 +137,19 @@
 		return
 	}
 	if err := h.Start(context.WithoutCancel(ctx)); err != nil {
-		d.Say("start %s: %v", h.Name(), err)
+		d.Logf("start %s: %v", h.Name(), err)
 	}
 }
 
 func (d *Driver) pause(ctx context.Context, h *hosts.Host, t time.Duration) {
-	d.Say("pause %s for %v", h.Name(), t)
+	d.Logf("pause %s for %v", h.Name(), t)
 	h.Signal(syscall.SIGSTOP)
 	sleep(ctx, t)
 	h.Signal(syscall.SIGCONT)
 }
 
-func (d *Driver) link(ctx context.Context, h *hosts.Host, f proxy.Fault, t time.Duration) {
-	d.Say("link of %s to the store: %s for %v", h.Name(), f, t)
+func (d *Driver) storeLinkFault(ctx context.Context, h *hosts.Host, f proxy.Fault, t time.Duration) {
+	d.Logf("link of %s to the store: %s for %v", h.Name(), f, t)
 	h.Disturb()
 	h.Store.Set(f)
 	sleep(ctx, t)
@@ -156,8 +158,8 @@
 	h.Disturb()
 }
 
-func (d *Driver) away(ctx context.Context, t time.Duration) {
-	d.Say("store away for %v", t)
+func (d *Driver) storeOutage(ctx context.Context, t time.Duration) {
+	d.Logf("store away for %v", t)
 	d.disturbAll()
 	d.World.Store.Fail(http.StatusServiceUnavailable)
 	sleep(ctx, t)
@@ -165,14 +167,14 @@
 	d.disturbAll()
 }
 
-func (d *Driver) forget() {
-	d.Say("store forgets its history")
+func (d *Driver) loseStoreHistory() {
+	d.Logf("store forgets its history")
 	d.disturbAll()
 	d.World.Store.Forget()
 }
 
-func (d *Driver) replica(ctx context.Context, r *world.Replica, f proxy.Fault, t time.Duration) {
-	d.Say("link to %s: %s for %v", r.ID, f, t)
+func (d *Driver) replicaLinkFault(ctx context.Context, r *world.Replica, f proxy.Fault, t time.Duration) {
+	d.Logf("link to %s: %s for %v", r.ID, f, t)
 	r.Proxy.Set(f)
 	sleep(ctx, t)
 	r.Proxy.Set(proxy.None)
@@ -181,10 +183,10 @@
 
 // restart kills a replica, which starts again under the same id. Draining replicas are left alone.
 func (d *Driver) restart(r *world.Replica, t time.Duration) {
-	if left, _ := r.Left(); !left.IsZero() {
+	if left, _ := r.Drained(); !left.IsZero() {
 		return
 	}
-	d.Say("kill %s, back under its id after %v", r.ID, t)
+	d.Logf("kill %s, back under its id after %v", r.ID, t)
 	r.Restart(t)
 }
 
@@ -194,26 +196,26 @@
 	}
 }
 
-// planned changes the configuration or replaces a replica while there are no faults.
-func (d *Driver) planned(ctx context.Context) {
+// plannedChange changes the configuration or replaces a replica while there are no faults.
+func (d *Driver) plannedChange(ctx context.Context) {
 	if d.Rand.IntN(2) == 0 {
 		d.configure()
 		return
 	}
 	list := d.World.Replicas()
 	r := list[d.Rand.IntN(len(list))]
-	if left, _ := r.Left(); !left.IsZero() {
+	if left, _ := r.Drained(); !left.IsZero() {
 		d.configure()
 		return
 	}
-	d.Say("replace %s", r.ID)
+	d.Logf("replace %s", r.ID)
 	if _, err := d.World.Add(r.Service); err != nil {
-		d.Say("replace %s: %v", r.ID, err)
+		d.Logf("replace %s: %v", r.ID, err)
 		return
 	}
 	r.Drain()
-	sleep(ctx, drain+time.Second)
-	d.Check.Drained(r, drain)
+	sleep(ctx, drainTime+time.Second)
+	d.Check.CheckDrained(r, drainTime)
 	d.World.Store.Delete("servers", r.ID)
 }
 
@@ -223,9 +225,9 @@
 	d.version += 1 + d.Rand.IntN(4)
 	extra := fmt.Sprintf("x%d", d.version)
 	if _, err := d.World.Add(extra); err != nil {
-		d.Say("configure: %v", err)
+		d.Logf("configure: %v", err)
 		return
 	}
-	d.Say("version %d", d.version)
+	d.Logf("version %d", d.version)
 	d.World.SetConfig(d.version, append([]string{extra}, d.shards...), "desk")
 }
--- a/soak/internal/hosts/host.go
+++ b/soak/internal/hosts/host.go
@@ -65,7 +65,7 @@
 func (h *Host) Start(ctx context.Context) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.runs() {
+	if h.running() {
 		return nil
 	}
 	path := filepath.Join(h.opts.Dir, h.opts.Name+".toml")
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// runs reports whether the process has been started and has not exited; h.mu must be held.
-func (h *Host) runs() bool {
+// running reports whether the process has been started and has not exited; h.mu must be held.
+func (h *Host) running() bool {
 	if h.ended == nil {
 		return false
 	}
--- a/soak/internal/proxy/proxy.go
+++ b/soak/internal/proxy/proxy.go
@@ -28,9 +28,9 @@
 const (
 	// delay is how long Delay holds back each block.
 	delay = 40 * time.Millisecond
-	// step is the interval at which a blocked connection checks whether the fault has ended.
-	step      = 5 * time.Millisecond
-	blockSize = 16 << 10
+	// pollInterval is the interval at which a blocked connection checks whether the fault has ended.
+	pollInterval = 5 * time.Millisecond
+	blockSize    = 16 << 10
 )
 
 // Proxy forwards connections from its own address to a target.
@@ -105,25 +105,25 @@
 	}
 }
 
-func (p *Proxy) serve(here net.Conn) {
+func (p *Proxy) serve(client net.Conn) {
 	var d net.Dialer
-	there, err := d.DialContext(context.Background(), "tcp", p.target)
+	target, err := d.DialContext(context.Background(), "tcp", p.target)
 	if err != nil {
-		_ = here.Close()
+		_ = client.Close()
 		return
 	}
-	p.keep(here, there)
+	p.track(client, target)
 	var both sync.WaitGroup
-	both.Go(func() { p.forward(there, here, false) })
-	both.Go(func() { p.forward(here, there, true) })
+	both.Go(func() { p.forward(target, client, false) })
+	both.Go(func() { p.forward(client, target, true) })
 	both.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.conns, here)
-	delete(p.conns, there)
+	delete(p.conns, client)
+	delete(p.conns, target)
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -138,7 +138,7 @@
 	buf := make([]byte, blockSize)
 	for {
 		n, err := from.Read(buf)
-		p.hold(back)
+		p.waitWhileBlocked(back)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
@@ -150,15 +150,15 @@
 	}
 }
 
-// hold blocks while the fault holds back bytes in the given direction.
-func (p *Proxy) hold(back bool) {
+// waitWhileBlocked blocks while the fault holds back bytes in the given direction.
+func (p *Proxy) waitWhileBlocked(back bool) {
 	for {
 		switch f := p.Fault(); {
 		case f == Delay:
 			time.Sleep(delay)
 			return
 		case f == Silent, f == OneWay && back:
-			time.Sleep(step)
+			time.Sleep(pollInterval)
 		default:
 			return
 		}
--- a/soak/internal/subnet/subnet.go
+++ b/soak/internal/subnet/subnet.go
@@ -13,14 +13,14 @@
 	subnets = 250
 	// lockPort is the port whose listener reserves the subnet; hosts listen on other addresses.
 	lockPort = 7799
-	// perNet is the number of hosts with the same third octet; firstHost keeps them off the address of the lock.
-	perNet, firstHost = 200, 20
+	// hostsPerNet is the number of hosts with the same third octet; firstHost keeps them off the address of the lock.
+	hostsPerNet, firstHost = 200, 20
 )
 
 // Subnet is a part of the loopback network reserved by one soak test.
 type Subnet struct {
-	second uint64
-	lock   net.Listener
+	octet uint64
+	lock  net.Listener
 }
 
 // Reserve reserves the subnet that belongs to a seed, or the next free one.
@@ -34,7 +34,7 @@
 		l, err := cfg.Listen(ctx, "tcp", fmt.Sprintf("127.%d.0.1:%d", second, lockPort))
 		switch {
 		case err == nil:
-			return &Subnet{second: second, lock: l}, nil
+			return &Subnet{octet: second, lock: l}, nil
 		case !errors.Is(err, syscall.EADDRINUSE):
 			return nil, fmt.Errorf("reserve loopback addresses: %w", err)
 		}
@@ -44,7 +44,7 @@
 
 // IP returns the address of host i.
 func (s *Subnet) IP(i int) string {
-	return fmt.Sprintf("127.%d.%d.%d", s.second, 1+i/perNet, firstHost+i%perNet)
+	return fmt.Sprintf("127.%d.%d.%d", s.octet, 1+i/hostsPerNet, firstHost+i%hostsPerNet)
 }
 
 // Close releases the subnet.
--- a/soak/internal/subnet/subnet_test.go
+++ b/soak/internal/subnet/subnet_test.go
@@ -11,7 +11,7 @@
 // Seeds 250 apart, such as 102 and 352, map to the same subnet. Two such soak tests at the same time used the same
 // addresses: the clients of one called the hosts of the other, and the run reported 534 writes that ran twice and 4,683
 // that were acknowledged but did not run.
-func TestSoaksSideBySideShareNoAddress(t *testing.T) {
+func TestConcurrentSoaksShareNoAddress(t *testing.T) {
 	one, err := subnet.Reserve(t.Context(), 102)
 	qt.Assert(t, err, qt.IsNil)
 	two, err := subnet.Reserve(t.Context(), 352)
--- a/soak/internal/world/world.go
+++ b/soak/internal/world/world.go
@@ -24,8 +24,8 @@
 	RecordSize = 16
 	// partRecords is the number of records in a part.
 	partRecords = 8
-	// most is the upper limit of a replica's random service time.
-	most = 40 * time.Millisecond
+	// maxServiceTime is the upper limit of a replica's random service time.
+	maxServiceTime = 40 * time.Millisecond
 )
 
 // World holds the store, the replicas and the record of the requests that ran.
@@ -33,12 +33,12 @@
 	Store *platformtest.Store
 	http  *httptest.Server
 
-	mu       sync.Mutex
-	replicas []*Replica
-	runs     map[string]int
-	versions map[int][]string
-	version  int
-	wrote    time.Time
+	mu             sync.Mutex
+	replicas       []*Replica
+	runs           map[string]int
+	versions       map[int][]string
+	version        int
+	acknowledgedAt time.Time
 }
 
 // Replica is a replica that hosts reach through a proxy.
@@ -51,10 +51,10 @@
 	mu sync.Mutex
 	// started is the start time of the replica's process in Unix milliseconds; sequence counts its store entries.
 	started, sequence int64
-	// left is the time at which the store had the drain announcement.
-	left time.Time
-	// late is the time from left to the last request.
-	late time.Duration
+	// drainedAt is the time at which the store had the drain announcement.
+	drainedAt time.Time
+	// lastAfterDrain is the time from drainedAt to the last request.
+	lastAfterDrain time.Duration
 }
 
 // New returns a World with an empty store.
@@ -107,11 +107,11 @@
 	r.mu.Lock()
 	r.started, r.sequence = time.Now().UnixMilli(), 0
 	r.mu.Unlock()
-	r.tell("ready")
+	r.register("ready")
 }
 
-// tell writes the replica's entry to the store.
-func (r *Replica) tell(state string) {
+// register writes the replica's entry to the store.
+func (r *Replica) register(state string) {
 	r.mu.Lock()
 	r.sequence++
 	entry := platformtest.ReplicaStarted(r.Service, r.Proxy.Addr(), state, r.started, r.sequence)
@@ -121,10 +121,10 @@
 
 // Drain announces in the store that the replica is draining.
 func (r *Replica) Drain() {
-	r.tell("draining")
+	r.register("draining")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left = time.Now()
+	r.drainedAt = time.Now()
 }
 
 // Restart kills the replica's process and starts it again under the same id after down. A delayed entry of the old
@@ -139,14 +139,15 @@
 	r.Proxy.Set(proxy.None)
 	r.start()
 	r.world.Store.Set("servers", r.ID, late)
-	r.tell("ready")
+	r.register("ready")
 }
 
-// Left returns the time at which the replica announced its drain, and how long after it the last request arrived.
-func (r *Replica) Left() (time.Time, time.Duration) {
+// Drained returns the time at which the replica announced its drain, zero if it has not, and how long after it the last
+// request arrived.
+func (r *Replica) Drained() (time.Time, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.left, r.late
+	return r.drainedAt, r.lastAfterDrain
 }
 
 // SetConfig writes a version of the configuration with its shards and the service for writes.
@@ -157,14 +158,14 @@
 	w.Store.Set("config", "main", platformtest.Config(version, `"`+strings.Join(shards, `","`)+`"`, desk))
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.version, w.wrote = version, time.Now()
+	w.version, w.acknowledgedAt = version, time.Now()
 }
 
 // Config returns the latest version and the time at which the store acknowledged it.
 func (w *World) Config() (version int, since time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.version, w.wrote
+	return w.version, w.acknowledgedAt
 }
 
 // Version returns the version with exactly these shards, or zero. The set of shards is unique to each version.
@@ -240,15 +241,15 @@
 	r.world.mu.Lock()
 	r.world.runs[seen.ID]++
 	r.world.mu.Unlock()
-	time.Sleep(time.Duration(rand.Int64N(int64(most))))
+	time.Sleep(time.Duration(rand.Int64N(int64(maxServiceTime))))
 	return platformtest.Reply(http.StatusOK, seen.ID, Stamp(seen.ID, r.Service), Part(seen.ID, r.Service))
 }
 
 func (r *Replica) arrived() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.left.IsZero() {
-		r.late = max(r.late, time.Since(r.left))
+	if !r.drainedAt.IsZero() {
+		r.lastAfterDrain = max(r.lastAfterDrain, time.Since(r.drainedAt))
 	}
 }
 
--- a/soak/main.go
+++ b/soak/main.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	// ports is where the search for free ports begins. Each host has four ports, the same numbers on its own loopback
+	// firstPort is where the search for free ports begins. Each host has four ports, the same numbers on its own loopback
 	// address.
-	ports, lastPort, perHost = 23000, 32000, 4
-	// settle is the time that hosts have to discover each other before the first fault.
-	settle = 3 * time.Second
-	// end is how long to wait for the end of a host process when the run ends.
-	end = 3 * time.Second
+	firstPort, lastPort, portsPerHost = 23000, 32000, 4
+	// settleTime is the time that hosts have to discover each other before the first fault.
+	settleTime = 3 * time.Second
+	// stopTimeout is the maximum wait for a killed host process to exit when the run ends.
+	stopTimeout = 3 * time.Second
 )
 
 func main() {
@@ -65,8 +65,8 @@
 	mu             sync.Mutex
 }
 
-// say prints one line with the time since the start in seconds.
-func (s *soak) say(format string, args ...any) {
+// logf prints one line with the time since the start in seconds.
+func (s *soak) logf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Printf("%7.3f %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
@@ -93,7 +93,7 @@
 		return 0, err
 	}
 	c := check.New(w)
-	d := &faults.Driver{Rand: rand.New(rand.NewPCG(s.seed, s.seed)), World: w, Hosts: list, Check: c, Restarts: s.restarts, Say: s.say}
+	d := &faults.Driver{Rand: rand.New(rand.NewPCG(s.seed, s.seed)), World: w, Hosts: list, Check: c, Restarts: s.restarts, Logf: s.logf}
 	if err := d.Setup(); err != nil {
 		return 0, err
 	}
@@ -103,23 +103,23 @@
 		}
 	}
 	defer stopAll(list)
-	time.Sleep(settle)
-	s.disturb(ctx, d, list, c)
+	time.Sleep(settleTime)
+	s.injectFaults(ctx, d, list, c)
 	findings, counts := c.Finish()
 	for _, f := range findings {
-		s.say("FINDING %s", f)
+		s.logf("FINDING %s", f)
 	}
-	s.say("seed %d: %d findings; outcomes %v; logs in %s", s.seed, len(findings), counts, filepath.Clean(s.dir))
+	s.logf("seed %d: %d findings; outcomes %v; logs in %s", s.seed, len(findings), counts, filepath.Clean(s.dir))
 	return len(findings), nil
 }
 
-// disturb runs the clients and the fault driver until the configured time has passed.
-func (s *soak) disturb(ctx context.Context, d *faults.Driver, list []*hosts.Host, c *check.Check) {
+// injectFaults runs the clients and the fault driver until the configured time has passed.
+func (s *soak) injectFaults(ctx context.Context, d *faults.Driver, list []*hosts.Host, c *check.Checker) {
 	ctx, cancel := context.WithTimeout(ctx, s.length)
 	defer cancel()
 	var all sync.WaitGroup
 	for i := range s.clients {
-		all.Go(func() { client.New(i, list, c.Take).Run(ctx) })
+		all.Go(func() { client.New(i, list, c.Record).Run(ctx) })
 	}
 	all.Go(func() { d.Run(ctx) })
 	all.Wait()
@@ -138,7 +138,7 @@
 	for i, ip := range ips {
 		h, err := hosts.New(hosts.Options{
 			Program: s.program, Dir: s.dir, Name: fmt.Sprintf("h%d", i), IP: ip, Port: first,
-			Seeds: fmt.Sprintf("%q", fmt.Sprintf("%s:%d", ips[0], first+perHost-1)), StoreAddr: w.StoreAddr(),
+			Seeds: fmt.Sprintf("%q", fmt.Sprintf("%s:%d", ips[0], first+portsPerHost-1)), StoreAddr: w.StoreAddr(),
 		})
 		if err != nil {
 			return nil, err
@@ -155,24 +155,24 @@
 		h.Signal(syscall.SIGKILL)
 	}
 	for _, h := range list {
-		h.Wait(end)
+		h.Wait(stopTimeout)
 	}
 }
 
 // freePorts returns the first of perHost consecutive ports that are free on every address.
 func freePorts(ips []string) (int, error) {
-	for first := ports; first < lastPort; first += perHost {
-		if free(ips, first) {
+	for first := firstPort; first < lastPort; first += portsPerHost {
+		if portsFree(ips, first) {
 			return first, nil
 		}
 	}
-	return 0, fmt.Errorf("no %d free ports", perHost)
+	return 0, fmt.Errorf("no %d free ports", portsPerHost)
 }
 
-func free(ips []string, first int) bool {
+func portsFree(ips []string, first int) bool {
 	var cfg net.ListenConfig
 	for _, ip := range ips {
-		for i := range perHost {
+		for i := range portsPerHost {
 			l, err := cfg.Listen(context.Background(), "tcp", fmt.Sprintf("%s:%d", ip, first+i))
 			if err != nil {
 				return false
