--- a/standin/internal/fleet/fleet.go
+++ b/standin/internal/fleet/fleet.go
@@ -46,7 +46,7 @@
 // Servers opens a port for each replica, counting up from Base, and returns their servers.
 func (f *Fleet) Servers() ([]transport.Server, error) {
 	var list []transport.Server
-	for _, i := range f.mine() {
+	for _, i := range f.localReplicas() {
 		opts := f.opts.Replica
 		opts.ID = f.id(i)
 		opts.Holdings = []upstream.Holding{{Version: f.opts.Version, Shard: i / f.opts.Replicas, Shards: f.opts.Shards}}
@@ -54,7 +54,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), registerTimeout)
 			defer cancel()
 			// Hosts treat the list as a hint that may miss a change, so a failed update is a case they have to handle.
-			_ = f.tell(ctx, i, id, state, gone)
+			_ = f.updateRow(ctx, i, id, state, gone)
 		}
 		rep, err := replica.New(f.addr(i), opts)
 		if err != nil {
@@ -79,7 +79,7 @@
 func (f *Fleet) Register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerFor)
 	defer cancel()
-	for _, i := range f.mine() {
+	for _, i := range f.localReplicas() {
 		if err := f.register(ctx, i); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 
 func (f *Fleet) register(ctx context.Context, i int) error {
 	for {
-		err := f.tell(ctx, i, f.id(i), platform.StateLive, false)
+		err := f.updateRow(ctx, i, f.id(i), platform.StateLive, false)
 		if err == nil {
 			return nil
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (f *Fleet) tell(ctx context.Context, i int, id string, state platform.ReplicaState, gone bool) error {
+func (f *Fleet) updateRow(ctx context.Context, i int, id string, state platform.ReplicaState, gone bool) error {
 	row := platform.Replica{
 		Service: f.opts.Service, Addr: f.addr(i), State: state,
 		Zone: f.opts.Zones[i%f.opts.Replicas%len(f.opts.Zones)],
@@ -126,8 +126,8 @@
 	return resp.Body.Close()
 }
 
-// mine returns the indexes of the replicas that this process runs.
-func (f *Fleet) mine() []int {
+// localReplicas returns the indexes of the replicas that this process runs.
+func (f *Fleet) localReplicas() []int {
 	var list []int
 	for i := range f.opts.Shards * f.opts.Replicas {
 		if f.id(i) != f.opts.Except && (f.opts.Only == "" || f.opts.Only == f.id(i)) {
--- a/standin/internal/objects/hosts.go
+++ b/standin/internal/objects/hosts.go
@@ -12,8 +12,8 @@
 	"guavaspring.org/core/platform"
 )
 
-// hostRow is a change of the host list, which becomes visible at shown.
-type hostRow struct {
+// hostChange is a change of the host list, which becomes visible at shown.
+type hostChange struct {
 	row   platform.Replica
 	gone  bool
 	shown time.Time
@@ -37,15 +37,15 @@
 	}
 	s.mu.Unlock()
 	slices.SortFunc(reply.Hosts, func(a, b platform.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	write(w, reply)
+	writeJSON(w, reply)
 }
 
 func (s *Server) controlHost(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)["id"]
-	change := hostRow{gone: r.Method == http.MethodDelete}
+	change := hostChange{gone: r.Method == http.MethodDelete}
 	if !change.gone {
 		if err := json.NewDecoder(r.Body).Decode(&change.row); err != nil {
-			fail(w, http.StatusBadRequest, err.Error())
+			writeError(w, http.StatusBadRequest, err.Error())
 			return
 		}
 	}
@@ -54,5 +54,5 @@
 	defer s.mu.Unlock()
 	change.shown = time.Now().Add(s.hostLag)
 	s.hosts[id] = append(s.hosts[id], change)
-	write(w, change.row)
+	writeJSON(w, change.row)
 }
--- a/standin/internal/objects/limits.go
+++ b/standin/internal/objects/limits.go
@@ -21,8 +21,8 @@
 	n     int
 }
 
-// take counts a call and reports whether it is within the limit.
-func (m *meter) take(now time.Time) bool {
+// allow counts a call and reports whether it is within the limit.
+func (m *meter) allow(now time.Time) bool {
 	if now.Sub(m.start) >= window {
 		m.start, m.n = now, 0
 	}
@@ -45,17 +45,17 @@
 	if r.Method == http.MethodPut {
 		m = &s.writes
 	}
-	within, slow := m.take(now), s.slowBy
+	within, slow := m.allow(now), s.slowBy
 	s.mu.Unlock()
 	if slow > 0 {
 		time.Sleep(slow)
 	}
 	switch {
 	case s.down():
-		fail(w, http.StatusServiceUnavailable, "outage")
+		writeError(w, http.StatusServiceUnavailable, "outage")
 		return false
 	case !within:
-		fail(w, http.StatusTooManyRequests, "rate limit")
+		writeError(w, http.StatusTooManyRequests, "rate limit")
 		return false
 	}
 	return true
--- a/standin/internal/objects/server.go
+++ b/standin/internal/objects/server.go
@@ -37,15 +37,15 @@
 	objects  map[string]platform.Object
 	revision int64
 	changed  chan struct{}
-	hosts    map[string][]hostRow
+	hosts    map[string][]hostChange
 	hostLag  time.Duration
-	// era counts how often the platform was restored from kept, a backup made on command.
-	era  int64
-	kept objectCopy
+	// era counts how often the platform was restored from backup, which is made on command.
+	era    int64
+	backup snapshot
 	// downUntil, slowBy and old are faults set on command; until oldUntil, reads are served from the snapshot old.
 	downUntil   time.Time
 	slowBy      time.Duration
-	old         objectCopy
+	old         snapshot
 	oldUntil    time.Time
 	calls       map[string]int
 	reads       meter
@@ -54,8 +54,8 @@
 	watchingMax int
 }
 
-// objectCopy is a snapshot of all objects at one revision.
-type objectCopy struct {
+// snapshot holds all objects at one revision.
+type snapshot struct {
 	objects  map[string]platform.Object
 	revision int64
 }
@@ -63,27 +63,27 @@
 // New returns a Server without objects.
 func New(opts Options) *Server {
 	return &Server{
-		objects: map[string]platform.Object{}, changed: make(chan struct{}), hosts: map[string][]hostRow{}, hostLag: opts.HostLag,
-		kept:  objectCopy{objects: map[string]platform.Object{}},
-		calls: map[string]int{}, reads: meter{Limit: opts.ReadsPerSecond}, writes: meter{Limit: opts.WritesPerSecond},
+		objects: map[string]platform.Object{}, changed: make(chan struct{}), hosts: map[string][]hostChange{}, hostLag: opts.HostLag,
+		backup: snapshot{objects: map[string]platform.Object{}},
+		calls:  map[string]int{}, reads: meter{Limit: opts.ReadsPerSecond}, writes: meter{Limit: opts.WritesPerSecond},
 	}
 }
 
 // HTTP returns the kratos server that serves the platform at listen.
 func (s *Server) HTTP(listen netip.AddrPort) *khttp.Server {
 	srv := khttp.NewServer(khttp.Address(listen.String()), khttp.Timeout(0))
-	srv.HandleFunc("/v1/objects/{kind}/{name}", s.api("object", s.object))
-	srv.HandleFunc("/v1/objects/{kind}", s.api("list", s.list))
-	srv.HandleFunc("/v1/watch/{kind}", s.api("watch", s.watch))
-	srv.HandleFunc("/v1/hosts", s.api("hosts", s.hostList))
+	srv.HandleFunc("/v1/objects/{kind}/{name}", s.withFaults("object", s.object))
+	srv.HandleFunc("/v1/objects/{kind}", s.withFaults("list", s.list))
+	srv.HandleFunc("/v1/watch/{kind}", s.withFaults("watch", s.watch))
+	srv.HandleFunc("/v1/hosts", s.withFaults("hosts", s.hostList))
 	srv.HandleFunc("/control/hosts/{id}", s.controlHost)
 	srv.HandleFunc("/control/faults", s.controlFaults)
 	srv.HandleFunc("/control/calls", s.controlCalls)
 	return srv
 }
 
-// api wraps f: it sets the era header, counts the call and applies the faults.
-func (s *Server) api(name string, f http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps f: it sets the era header, counts the call and applies the faults.
+func (s *Server) withFaults(name string, f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		w.Header().Set(platform.HeaderEra, strconv.FormatInt(s.era, 10))
@@ -95,11 +95,11 @@
 }
 
 // readable returns the objects that reads are served from: the current ones or an old snapshot. s.mu must be held.
-func (s *Server) readable() objectCopy {
+func (s *Server) readable() snapshot {
 	if time.Now().Before(s.oldUntil) {
 		return s.old
 	}
-	return objectCopy{objects: s.objects, revision: s.revision}
+	return snapshot{objects: s.objects, revision: s.revision}
 }
 
 func (s *Server) object(w http.ResponseWriter, r *http.Request) {
@@ -112,36 +112,36 @@
 	obj, ok := s.readable().objects[key]
 	s.mu.Unlock()
 	if !ok {
-		fail(w, http.StatusNotFound, "not_found")
+		writeError(w, http.StatusNotFound, "not_found")
 		return
 	}
-	write(w, obj)
+	writeJSON(w, obj)
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request, key string) {
 	want, err := strconv.ParseInt(r.Header.Get("If-Match"), 10, 64)
 	if err != nil {
-		fail(w, http.StatusBadRequest, "If-Match must be the version last read")
+		writeError(w, http.StatusBadRequest, "If-Match must be the version last read")
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValue))
 	if err != nil || !json.Valid(body) {
-		fail(w, http.StatusBadRequest, "the body must be JSON of at most a megabyte")
+		writeError(w, http.StatusBadRequest, "the body must be JSON of at most a megabyte")
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.objects[key]
 	if written := r.Header.Get(platform.HeaderEra); old.Version != want || written != "" && written != strconv.FormatInt(old.Era, 10) {
-		fail(w, http.StatusConflict, fmt.Sprintf("version is %d", old.Version))
+		writeError(w, http.StatusConflict, fmt.Sprintf("version is %d", old.Version))
 		return
 	}
 	s.revision++
 	kind, name, _ := strings.Cut(key, "/")
 	obj := platform.Object{Kind: platform.Kind(kind), Name: name, Version: want + 1, Revision: s.revision, Era: s.era, Body: body}
 	s.objects[key] = obj
-	s.wake()
-	write(w, obj)
+	s.notifyWatches()
+	writeJSON(w, obj)
 }
 
 type objectList struct {
@@ -149,8 +149,8 @@
 	Objects  []platform.Object `json:"objects"`
 }
 
-// since returns the readable objects of a kind with a revision greater than after; s.mu must be held.
-func (s *Server) since(kind string, after int64) objectList {
+// changedSince returns the readable objects of a kind with a revision greater than after; s.mu must be held.
+func (s *Server) changedSince(kind string, after int64) objectList {
 	from := s.readable()
 	list := objectList{Revision: from.revision, Objects: []platform.Object{}}
 	for _, obj := range from.objects {
@@ -164,25 +164,25 @@
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	list := s.since(mux.Vars(r)["kind"], 0)
+	list := s.changedSince(mux.Vars(r)["kind"], 0)
 	s.mu.Unlock()
-	write(w, list)
+	writeJSON(w, list)
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after, err1 := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	wait, err2 := strconv.ParseInt(r.URL.Query().Get("wait_ms"), 10, 64)
 	if err1 != nil || err2 != nil {
-		fail(w, http.StatusBadRequest, "after and wait_ms must be numbers")
+		writeError(w, http.StatusBadRequest, "after and wait_ms must be numbers")
 		return
 	}
-	s.watchers(1)
-	defer s.watchers(-1)
+	s.addWatchers(1)
+	defer s.addWatchers(-1)
 	era := r.URL.Query().Get("era")
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		if s.down() {
-			fail(w, http.StatusServiceUnavailable, "outage")
+			writeError(w, http.StatusServiceUnavailable, "outage")
 			return
 		}
 		s.mu.Lock()
@@ -192,17 +192,17 @@
 			// Revisions of another era are not comparable, so the watch gets all objects.
 			after = 0
 		}
-		list, changed := s.since(mux.Vars(r)["kind"], after), s.changed
+		list, changed := s.changedSince(mux.Vars(r)["kind"], after), s.changed
 		s.mu.Unlock()
 		w.Header().Set(platform.HeaderEra, now)
 		if restored || len(list.Objects) > 0 {
-			write(w, list)
+			writeJSON(w, list)
 			return
 		}
 		select {
 		case <-changed:
 		case <-end:
-			write(w, list)
+			writeJSON(w, list)
 			return
 		case <-r.Context().Done():
 			return
@@ -210,8 +210,8 @@
 	}
 }
 
-// watchers adds n to the number of waiting watches.
-func (s *Server) watchers(n int) {
+// addWatchers adds n to the number of waiting watches.
+func (s *Server) addWatchers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watching += n
@@ -229,7 +229,7 @@
 		Restore bool `json:"restore"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	now := time.Now()
@@ -237,23 +237,23 @@
 	s.downUntil = now.Add(time.Duration(f.DownMS) * time.Millisecond)
 	s.slowBy = time.Duration(f.SlowMS) * time.Millisecond
 	s.oldUntil = now.Add(time.Duration(f.OldMS) * time.Millisecond)
-	s.old = objectCopy{objects: maps.Clone(s.objects), revision: s.revision}
+	s.old = snapshot{objects: maps.Clone(s.objects), revision: s.revision}
 	if f.Keep {
-		s.kept = s.old
+		s.backup = s.old
 	}
 	if f.Restore {
 		s.era++
-		s.objects, s.revision = maps.Clone(s.kept.objects), s.kept.revision
+		s.objects, s.revision = maps.Clone(s.backup.objects), s.backup.revision
 	}
-	s.wake()
+	s.notifyWatches()
 	s.mu.Unlock()
-	write(w, f)
+	writeJSON(w, f)
 }
 
 func (s *Server) controlCalls(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	write(w, struct {
+	writeJSON(w, struct {
 		Calls       map[string]int `json:"calls"`
 		Reads       meter          `json:"reads"`
 		Writes      meter          `json:"writes"`
@@ -262,18 +262,18 @@
 	}{s.calls, s.reads, s.writes, s.watching, s.watchingMax})
 }
 
-// wake wakes all waiting watches; s.mu must be held.
-func (s *Server) wake() {
+// notifyWatches wakes all waiting watches; s.mu must be held.
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func fail(w http.ResponseWriter, status int, reason string) {
+func writeError(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(struct {
--- a/standin/internal/objects/server_test.go
+++ b/standin/internal/objects/server_test.go
@@ -33,7 +33,7 @@
 	return w.Code, w.Body.String()
 }
 
-func TestCallsOverTheLimitAreTurnedAway(t *testing.T) {
+func TestCallsOverTheLimitAreRejected(t *testing.T) {
 	// A burst of writes exceeds the limit of two a second. Writes succeed again a second later, and the limit of writes
 	// does not apply to reads.
 	synctest.Test(t, func(t *testing.T) {
--- a/standin/internal/replica/control.go
+++ b/standin/internal/replica/control.go
@@ -30,8 +30,8 @@
 	AfterDrain int `json:"after_drain"`
 }
 
-// afterDrain counts a request that ran if it arrived during the drain; rep.mu must be held.
-func (rep *Replica) afterDrain(arrived time.Time) {
+// countAfterDrain counts a request that ran if it arrived during the drain; rep.mu must be held.
+func (rep *Replica) countAfterDrain(arrived time.Time) {
 	if !rep.faults.Draining || arrived.Before(rep.drained) {
 		return
 	}
@@ -48,7 +48,7 @@
 	encode(w, struct {
 		ID string `json:"id"`
 		truth
-		Connections gateCounts `json:"connections"`
+		Connections connCounts `json:"connections"`
 	}{id, t, rep.gate.counts()})
 }
 
--- a/standin/internal/replica/listener.go
+++ b/standin/internal/replica/listener.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// gate is the listener of a replica. It limits the number of connections, delays new ones by cost, and can simulate a
-// crash or silent connections.
-type gate struct {
+// replicaListener is the listener of a replica. It limits the number of connections, delays new ones by cost, and can
+// simulate a crash or silent connections.
+type replicaListener struct {
 	addr netip.AddrPort
 	cost time.Duration
 	max  int
@@ -27,13 +27,13 @@
 	opened  int
 }
 
-func openGate(addr netip.AddrPort, cost time.Duration, most int) (*gate, error) {
+func newReplicaListener(addr netip.AddrPort, cost time.Duration, most int) (*replicaListener, error) {
 	l, err := listen(addr)
 	if err != nil {
 		return nil, err
 	}
 	bound := l.Addr().(*net.TCPAddr).AddrPort()
-	return &gate{addr: bound, cost: cost, max: most, inner: l, conns: map[*conn]struct{}{}}, nil
+	return &replicaListener{addr: bound, cost: cost, max: most, inner: l, conns: map[*conn]struct{}{}}, nil
 }
 
 func listen(addr netip.AddrPort) (net.Listener, error) {
@@ -46,7 +46,7 @@
 }
 
 // Accept returns the next connection within the limit. During a crash it waits for the port to open again.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *replicaListener) Accept() (net.Conn, error) {
 	for {
 		g.mu.Lock()
 		inner, reopen, closed := g.inner, g.reopen, g.closed
@@ -55,7 +55,7 @@
 			return nil, net.ErrClosed
 		}
 		if inner == nil {
-			g.comeBack(reopen)
+			g.reopenPort(reopen)
 			continue
 		}
 		raw, err := inner.Accept()
@@ -71,13 +71,13 @@
 	}
 }
 
-func (g *gate) crashed() bool {
+func (g *replicaListener) crashed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inner == nil && !g.closed
 }
 
-func (g *gate) comeBack(at time.Time) {
+func (g *replicaListener) reopenPort(at time.Time) {
 	time.Sleep(time.Until(at))
 	l, err := listen(g.addr)
 	if err != nil {
@@ -94,7 +94,7 @@
 	g.inner = l
 }
 
-func (g *gate) admit(raw net.Conn) net.Conn {
+func (g *replicaListener) admit(raw net.Conn) net.Conn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.conns) >= g.max || g.inner == nil {
@@ -110,7 +110,7 @@
 }
 
 // Close closes the port permanently.
-func (g *gate) Close() error {
+func (g *replicaListener) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
@@ -121,10 +121,10 @@
 }
 
 // Addr returns the address of the port.
-func (g *gate) Addr() net.Addr { return net.TCPAddrFromAddrPort(g.addr) }
+func (g *replicaListener) Addr() net.Addr { return net.TCPAddrFromAddrPort(g.addr) }
 
 // crash resets every connection and closes the port until at.
-func (g *gate) crash(at time.Time) {
+func (g *replicaListener) crash(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inner == nil {
@@ -139,7 +139,7 @@
 }
 
 // silence drops all further replies on the open connections; new connections work.
-func (g *gate) silence() {
+func (g *replicaListener) silence() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
@@ -147,33 +147,33 @@
 	}
 }
 
-func (g *gate) remove(c *conn) {
+func (g *replicaListener) remove(c *conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.conns, c)
 }
 
-type gateCounts struct {
+type connCounts struct {
 	Open    int `json:"open"`
 	Peak    int `json:"peak"`
 	Refused int `json:"refused"`
 	Opened  int `json:"opened"`
 }
 
-func (g *gate) counts() gateCounts {
+func (g *replicaListener) counts() connCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return gateCounts{Open: len(g.conns), Peak: g.peak, Refused: g.refused, Opened: g.opened}
+	return connCounts{Open: len(g.conns), Peak: g.peak, Refused: g.refused, Opened: g.opened}
 }
 
 type conn struct {
 	net.Conn
-	gate   *gate
+	gate   *replicaListener
 	ready  time.Time
 	silent atomic.Bool
 }
 
-// Read delays the first bytes until the connection has been open for the gate's cost. On a silent connection it
+// Read delays the first bytes until the connection has been open for the listener's cost. On a silent connection it
 // discards all bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	if d := time.Until(c.ready); d > 0 {
--- a/standin/internal/replica/replica.go
+++ b/standin/internal/replica/replica.go
@@ -39,23 +39,23 @@
 	opts    Options
 	slots   chan struct{}
 	waiting atomic.Int64
-	gate    *gate
+	gate    *replicaListener
 
-	mu       sync.Mutex
-	id       string
-	holdings []upstream.Holding
-	faults   fault.Faults
-	started  time.Time
-	drained  time.Time
-	claimed  string
-	claimAt  time.Time
-	last     upstream.QueryReply
-	truth    truth
+	mu        sync.Mutex
+	id        string
+	holdings  []upstream.Holding
+	faults    fault.Faults
+	started   time.Time
+	drained   time.Time
+	claimed   string
+	claimAt   time.Time
+	lastReply upstream.QueryReply
+	truth     truth
 }
 
 // New opens the port at addr with the connection limit in force; requests are served once the server of HTTP runs.
 func New(addr netip.AddrPort, opts Options) (*Replica, error) {
-	g, err := openGate(addr, opts.ConnectCost, opts.Connections)
+	g, err := newReplicaListener(addr, opts.ConnectCost, opts.Connections)
 	if err != nil {
 		return nil, fmt.Errorf("replica %s: %w", opts.ID, err)
 	}
@@ -98,8 +98,8 @@
 	return rep.holdings[i], true
 }
 
-// duration returns a random service time with the current faults applied.
-func (rep *Replica) duration() time.Duration {
+// serviceTime returns a random service time with the current faults applied.
+func (rep *Replica) serviceTime() time.Duration {
 	rep.mu.Lock()
 	f, age := rep.faults, time.Since(rep.started)
 	rep.mu.Unlock()
@@ -115,12 +115,12 @@
 }
 
 // crash resets every connection; after CrashDown the replica starts again, cold and under a new ID.
-func (rep *Replica) crash(by string) {
+func (rep *Replica) crash(cause string) {
 	rep.mu.Lock()
 	down := rep.faults.CrashDown.Std()
 	back := time.Now().Add(down)
 	old := rep.id
-	rep.truth.Crashes = append(rep.truth.Crashes, by)
+	rep.truth.Crashes = append(rep.truth.Crashes, cause)
 	rep.id = fmt.Sprintf("%s.%d", rep.opts.ID, len(rep.truth.Crashes))
 	rep.started = back
 	id := rep.id
@@ -132,8 +132,8 @@
 	}
 }
 
-// claim returns the reported load, which a fault can delay or replace.
-func (rep *Replica) claim() string {
+// reportedLoad returns the reported load, which a fault can delay or replace.
+func (rep *Replica) reportedLoad() string {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	if rep.faults.ClaimLoad != "" {
--- a/standin/internal/replica/replica_test.go
+++ b/standin/internal/replica/replica_test.go
@@ -117,7 +117,7 @@
 	c.Assert(truthOf(c, addr).Ran, qt.DeepEquals, map[string]int{"op-1": 1})
 }
 
-func TestCrashBreaksOthersAndComesBackUnderANewID(t *testing.T) {
+func TestCrashedReplicaRestartsWithNewID(t *testing.T) {
 	// A request with the marker crashes the replica. The port opens again immediately and the replica has a new ID.
 	c := qt.New(t)
 	addr, client := start(c, replica.Options{Faults: fault.Faults{CrashMarker: "poison"}})
--- a/standin/internal/replica/work.go
+++ b/standin/internal/replica/work.go
@@ -44,7 +44,7 @@
 func (rep *Replica) query(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	var q upstream.Query
-	if !rep.open(w, r, &q) {
+	if !rep.readRequest(w, r, &q) {
 		return
 	}
 	version, _ := strconv.ParseInt(r.Header.Get(upstream.HeaderVersion), 10, 64)
@@ -54,14 +54,14 @@
 		rep.fail(w, r, http.StatusConflict, upstream.CodeVersionGone, fmt.Sprintf("version %d shard %d is not held", version, shard), true)
 		return
 	}
-	ctx, cancel := deadline(r)
+	ctx, cancel := withDeadline(r)
 	defer cancel()
-	if !rep.slot(ctx, w, r) {
+	if !rep.acquireSlot(ctx, w, r) {
 		return
 	}
 	defer func() { <-rep.slots }()
 	select {
-	case <-time.After(rep.duration()):
+	case <-time.After(rep.serviceTime()):
 	case <-ctx.Done():
 		rep.canceled(w, r)
 		return
@@ -75,42 +75,42 @@
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	rep.truth.Queries++
-	rep.afterDrain(arrived)
-	if rep.faults.Foreign > 0 && rep.last.RequestID != "" {
+	rep.countAfterDrain(arrived)
+	if rep.faults.Foreign > 0 && rep.lastReply.RequestID != "" {
 		rep.faults.Foreign--
 		rep.truth.Foreign++
-		return rep.last
+		return rep.lastReply
 	}
-	rep.last = reply
+	rep.lastReply = reply
 	return reply
 }
 
 func (rep *Replica) write(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	var body upstream.Write
-	if !rep.open(w, r, &body) {
+	if !rep.readRequest(w, r, &body) {
 		return
 	}
-	ctx, cancel := deadline(r)
+	ctx, cancel := withDeadline(r)
 	defer cancel()
-	if !rep.slot(ctx, w, r) {
+	if !rep.acquireSlot(ctx, w, r) {
 		return
 	}
 	defer func() { <-rep.slots }()
 	// A write that has started takes effect even if the client disconnects: cancellation can't undo it.
-	time.Sleep(rep.duration())
-	if rep.record(body.OpID, arrived) {
+	time.Sleep(rep.serviceTime())
+	if rep.recordWrite(body.OpID, arrived) {
 		panic(http.ErrAbortHandler)
 	}
 	rep.ok(w, upstream.WriteReply{RequestID: r.Header.Get(upstream.HeaderRequest), Result: json.RawMessage(`{"op_id":` + strconv.Quote(body.OpID) + `}`)})
 }
 
-// record counts the execution of a write and reports whether its reply has to be dropped.
-func (rep *Replica) record(op string, arrived time.Time) (lose bool) {
+// recordWrite counts the execution of a write and reports whether its reply has to be dropped.
+func (rep *Replica) recordWrite(op string, arrived time.Time) (lose bool) {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	rep.truth.Ran[op]++
-	rep.afterDrain(arrived)
+	rep.countAfterDrain(arrived)
 	if rep.faults.LoseReplies > 0 {
 		rep.faults.LoseReplies--
 		rep.truth.Lost++
@@ -119,8 +119,8 @@
 	return false
 }
 
-// open decodes the body into v, applies the faults that precede any effect, and reports whether to continue.
-func (rep *Replica) open(w http.ResponseWriter, r *http.Request, v any) bool {
+// readRequest decodes the body into v, applies the faults that precede any effect, and reports whether to continue.
+func (rep *Replica) readRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
 		err = json.Unmarshal(b, v)
@@ -154,9 +154,9 @@
 	return true
 }
 
-// slot acquires a slot and reports whether it did. If all are in use it waits in the queue; if that fails, it has sent
-// an error reply.
-func (rep *Replica) slot(ctx context.Context, w http.ResponseWriter, r *http.Request) bool {
+// acquireSlot acquires a slot and reports whether it did. If all are in use it waits in the queue; if that fails, it
+// has sent an error reply.
+func (rep *Replica) acquireSlot(ctx context.Context, w http.ResponseWriter, r *http.Request) bool {
 	select {
 	case rep.slots <- struct{}{}:
 		return true
@@ -194,8 +194,8 @@
 	rep.fail(w, r, http.StatusGatewayTimeout, upstream.CodeDeadline, "the deadline passed or the sender has gone", false)
 }
 
-// deadline returns the context of the request with the deadline of its header.
-func deadline(r *http.Request) (context.Context, context.CancelFunc) {
+// withDeadline returns the context of the request with the deadline of its header.
+func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(upstream.HeaderDeadline), 10, 64)
 	if err != nil {
 		return context.WithCancel(r.Context())
@@ -205,7 +205,7 @@
 
 func (rep *Replica) health(w http.ResponseWriter, _ *http.Request) {
 	var h upstream.Health
-	_, _ = fmt.Sscanf(rep.claim(), "%d/%d", &h.Running, &h.Slots)
+	_, _ = fmt.Sscanf(rep.reportedLoad(), "%d/%d", &h.Running, &h.Slots)
 	rep.mu.Lock()
 	h.Draining, h.Holdings = rep.faults.Draining, rep.holdings
 	rep.mu.Unlock()
@@ -227,7 +227,7 @@
 }
 
 func (rep *Replica) headers(w http.ResponseWriter) {
-	claim := rep.claim()
+	claim := rep.reportedLoad()
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	h := w.Header()
--- a/standin/internal/rollout/rollout.go
+++ b/standin/internal/rollout/rollout.go
@@ -33,7 +33,7 @@
 // same order.
 func Run(ctx context.Context, opts Options) error {
 	for i := range opts.Replicas {
-		if err := hold(ctx, opts, i, opts.older(i), opts.newer(i)); err != nil {
+		if err := setHoldings(ctx, opts, i, opts.oldHolding(i), opts.newHolding(i)); err != nil {
 			return err
 		}
 		if err := sleep(ctx, opts.Step); err != nil {
@@ -44,7 +44,7 @@
 		return err
 	}
 	for i := range opts.Replicas {
-		if err := hold(ctx, opts, i, opts.newer(i)); err != nil {
+		if err := setHoldings(ctx, opts, i, opts.newHolding(i)); err != nil {
 			return err
 		}
 		if err := sleep(ctx, opts.Step); err != nil {
@@ -54,15 +54,15 @@
 	return nil
 }
 
-func (opts Options) older(i int) upstream.Holding {
+func (opts Options) oldHolding(i int) upstream.Holding {
 	return upstream.Holding{Version: opts.OldVersion, Shard: i * opts.OldShards / opts.Replicas, Shards: opts.OldShards}
 }
 
-func (opts Options) newer(i int) upstream.Holding {
+func (opts Options) newHolding(i int) upstream.Holding {
 	return upstream.Holding{Version: opts.Version, Shard: i * opts.Shards / opts.Replicas, Shards: opts.Shards}
 }
 
-func hold(ctx context.Context, opts Options, i int, list ...upstream.Holding) error {
+func setHoldings(ctx context.Context, opts Options, i int, list ...upstream.Holding) error {
 	addr := netip.AddrPortFrom(opts.Base.Addr(), opts.Base.Port()+uint16(i))
 	b, err := json.Marshal(list)
 	if err != nil {
