--- a/load/internal/arrivals/arrivals.go
+++ b/load/internal/arrivals/arrivals.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Poisson draws arrival times that do not depend on how fast earlier requests are answered.
+// Poisson generates the arrival times of an open-loop load, independent of the latency of earlier requests.
 //
-// Callers come when they like. A tool that sends the next request once the last one is answered slows
-// down together with what it measures, and a stall of a second counts as one slow request instead of
-// the hundreds that would have met it.
+// A closed loop, which sends the next request after the previous answer, slows down together with the system under
+// test (coordinated omission): it counts a stall of one second as one slow request instead of the hundreds that would
+// have arrived meanwhile.
 type Poisson struct {
 	rnd  *rand.Rand
 	mean float64
 	at   time.Duration
 }
 
-// New returns arrivals at rate a second, the same ones for the same seed; it panics unless rate is positive.
+// New returns arrivals at rate per second, identical for equal seeds; it panics unless rate is positive.
 func New(rate float64, seed uint64) *Poisson {
 	if rate <= 0 {
-		panic("arrivals: the rate must be positive")
+		panic("arrivals: rate must be positive")
 	}
 	return &Poisson{rnd: rand.New(rand.NewPCG(seed, 1)), mean: float64(time.Second) / rate}
 }
--- a/load/internal/arrivals/arrivals_test.go
+++ b/load/internal/arrivals/arrivals_test.go
@@ -10,6 +10,7 @@
 )
 
 func TestArrivalsKeepTheirRateAndTheirSeed(t *testing.T) {
+	// Guards against arrivals at another rate than asked for and against runs that a seed does not reproduce.
 	c := qt.New(t)
 	one, two := arrivals.New(1000, 7), arrivals.New(1000, 7)
 	var last time.Duration
@@ -19,6 +20,6 @@
 		c.Assert(two.Next(), qt.Equals, at)
 		last = at
 	}
-	// A hundred thousand at a thousand a second take a hundred seconds, within a few standard deviations of 0.3 s.
+	// 100,000 arrivals at 1,000 per second take 100 s, with a standard deviation of 0.3 s.
 	c.Assert(last > 98*time.Second && last < 102*time.Second, qt.IsTrue, qt.Commentf("%s", last))
 }
--- a/load/internal/arrivals/doc.go
+++ b/load/internal/arrivals/doc.go
@@ -1,2 +1,2 @@
-// Package arrivals draws the times of open-loop arrivals.
+// Package arrivals generates the arrival times of an open-loop load.
 package arrivals
--- a/load/internal/baseline/doc.go
+++ b/load/internal/baseline/doc.go
@@ -1,3 +1,3 @@
-// Package baseline is the plain policy that guavaspring is compared with: a random replica, no hedge, no retry, no
-// admission.
+// Package baseline implements the policy that guavaspring is compared with: a random replica for each shard, without
+// hedges, retries or admission control.
 package baseline
--- a/load/internal/baseline/server.go
+++ b/load/internal/baseline/server.go
@@ -35,14 +35,14 @@
 	Listen   netip.AddrPort
 	Zone     string
 	Platform netip.AddrPort
-	// Seats is the most connections to each replica.
+	// Seats is the maximum number of connections to each replica.
 	Seats int
-	// Deadline is that of a request that names none.
+	// Deadline applies to requests without a deadline of their own.
 	Deadline time.Duration
 }
 
-// Server answers queries as plainly as can be, through the same HTTP server and client as an entry host: one random
-// holder for each shard, and what has not come by the deadline is missing.
+// Server sends each query to one random holder of each shard; shards without a reply by the deadline are missing. It
+// uses the same HTTP server and client as an entry host, so that only the policy differs.
 type Server struct {
 	opts     Options
 	platform *platform.Client
@@ -50,13 +50,13 @@
 	services atomic.Pointer[map[string]shardMap]
 }
 
-// shardMap is the newest index version whose every shard has a holder.
+// shardMap holds an index version and the replicas that hold each of its shards.
 type shardMap struct {
 	version int64
 	holders [][]netip.AddrPort
 }
 
-// New returns a server that knows no replica until Follow runs.
+// New returns a server without replicas; Follow fills the list.
 func New(opts Options) (*Server, error) {
 	plat, err := platform.New(opts.Platform)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// HTTP returns the kratos server of the callers' API.
+// HTTP returns the kratos server that serves the API for callers.
 func (s *Server) HTTP() *khttp.Server {
 	srv := khttp.NewServer(khttp.Address(s.opts.Listen.String()), khttp.Timeout(0))
 	srv.HandleFunc("/v1/addresses", s.addresses)
@@ -80,7 +80,7 @@
 	return srv
 }
 
-// Follow reads the replica list and the replicas' holdings until ctx ends.
+// Follow polls the replica list and the holdings of each replica until ctx ends.
 func (s *Server) Follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -135,7 +135,7 @@
 	}
 }
 
-// newest returns the newest version that is whole, or the newest of all where none is.
+// newest returns the newest version with a holder for every shard, or the newest of all where there is none.
 func newest(versions map[int64][][]netip.AddrPort) shardMap {
 	var best shardMap
 	bestWhole := false
@@ -191,7 +191,7 @@
 	reply(w, status, ans)
 }
 
-// fanout sends one try for each shard and takes what has come back by the deadline.
+// fanout sends one attempt for each shard and merges the replies that arrive by the deadline.
 func (s *Server) fanout(ctx context.Context, id string, m shardMap, q caller.Query) caller.Answer {
 	body := upstream.Query{Query: q.Query, Limit: q.Limit}.Encode()
 	ans := caller.Answer{RequestID: id, Snapshot: caller.Snapshot{Version: m.version, Shards: len(m.holders)}, Hits: []caller.Hit{}}
--- a/load/internal/check/check.go
+++ b/load/internal/check/check.go
@@ -8,35 +8,35 @@
 	"guavaspring.org/core/caller"
 )
 
-// hitsPerShard is how many hits the stand-in gives for each shard when the limit allows it.
+// hitsPerShard is the number of hits that a stand-in returns for each shard if the limit permits.
 const hitsPerShard = 3
 
-// Kind names a way in which an answer is untrue.
+// Kind is a kind of false claim.
 type Kind string
 
-// The ways in which an answer or a write can be untrue.
+// The kinds of false claims in answers and write outcomes.
 const (
-	// MixedSnapshots means that hits come from another version or shard map than the answer names.
+	// MixedSnapshots means that a hit has another version or number of shards than the answer's snapshot.
 	MixedSnapshots Kind = "mixed_snapshots"
-	// FalseCoverage means that what the answer says it covers is not what its hits show.
+	// FalseCoverage means that the coverage of the answer is inconsistent or does not match its hits.
 	FalseCoverage Kind = "false_coverage"
-	// ForeignAnswer means that the answer, or part of it, belongs to another request.
+	// ForeignAnswer means that the answer or one of its hits belongs to another request.
 	ForeignAnswer Kind = "foreign_answer"
-	// RanTwice means that a write took effect more than once.
+	// RanTwice means that a write was executed more than once.
 	RanTwice Kind = "ran_twice"
-	// FalseNotRun means that a write was said not to have run, and ran.
+	// FalseNotRun means that a write was reported as not run but was executed.
 	FalseNotRun Kind = "false_not_run"
-	// FalseDone means that a write was said to be done, and did not run.
+	// FalseDone means that a write was reported as done but was not executed.
 	FalseDone Kind = "false_done"
 )
 
-// Lie is one untruth found.
+// Lie is one false claim.
 type Lie struct {
 	Kind   Kind   `json:"kind"`
 	Detail string `json:"detail"`
 }
 
-// Asked is what the answer has to fit.
+// Asked holds the fields of a request that its answer must match.
 type Asked struct {
 	RequestID string
 	Service   string
@@ -44,7 +44,7 @@
 	Limit     int
 }
 
-// Answer returns every untruth in ans, none where nothing was sent upstream.
+// Answer returns the false claims in ans. Of a refusal, which has no hits, only the request id and service are checked.
 func Answer(asked Asked, ans caller.Answer) []Lie {
 	c := &checker{asked: asked, ans: ans}
 	if ans.RequestID != asked.RequestID || ans.Service != asked.Service {
@@ -101,7 +101,7 @@
 	for _, h := range c.ans.Hits {
 		c.hit(h)
 		if seen[h.ID] {
-			c.lie(FalseCoverage, "hit %s stands twice", h.ID)
+			c.lie(FalseCoverage, "hit %s appears twice", h.ID)
 		}
 		seen[h.ID] = true
 		perShard[h.Shard]++
@@ -112,7 +112,7 @@
 	for s := range c.ans.Coverage.Shards {
 		missing := slices.Contains(c.ans.Coverage.Missing, s)
 		if !missing && perShard[s] != hitsPerShard {
-			c.lie(FalseCoverage, "shard %d is said to have answered and has %d hits, want %d", s, perShard[s], hitsPerShard)
+			c.lie(FalseCoverage, "shard %d is reported as answered and has %d hits, want %d", s, perShard[s], hitsPerShard)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	var version int64
 	var shard, n int
 	if _, err := fmt.Sscanf(h.ID, "v%d-s%d-%d", &version, &shard, &n); err != nil {
-		c.lie(ForeignAnswer, "hit %q is not one of the stand-in's", h.ID)
+		c.lie(ForeignAnswer, "hit %q does not have the form vVERSION-sSHARD-NUMBER", h.ID)
 		return
 	}
 	var data struct {
@@ -130,7 +130,7 @@
 		Shards  int    `json:"shards"`
 	}
 	if err := json.Unmarshal(h.Data, &data); err != nil {
-		c.lie(ForeignAnswer, "hit %q has no data of the stand-in", h.ID)
+		c.lie(ForeignAnswer, "hit %q has invalid data", h.ID)
 		return
 	}
 	if version != c.ans.Snapshot.Version || data.Version != version || data.Shards != c.ans.Snapshot.Shards {
--- a/load/internal/check/check_test.go
+++ b/load/internal/check/check_test.go
@@ -37,6 +37,7 @@
 }
 
 func TestEveryUntruthIsFound(t *testing.T) {
+	// Guards against false claims that go undetected, and against findings in correct answers.
 	for _, test := range []struct {
 		name   string
 		change func(ans *caller.Answer)
@@ -77,6 +78,8 @@
 }
 
 func TestWritesAreComparedWithTheTruth(t *testing.T) {
+	// Guards against write outcomes that contradict the number of executions, also on a retry. An unknown outcome
+	// contradicts nothing.
 	done, notRun, unknown := caller.WriteDone, caller.WriteNotRun, caller.WriteUnknown
 	for _, test := range []struct {
 		name string
--- a/load/internal/check/doc.go
+++ b/load/internal/check/doc.go
@@ -1,2 +1,3 @@
-// Package check tells whether an answer is true to its request and its snapshot.
+// Package check verifies answers against their requests and snapshots, and write outcomes against the records of the
+// replicas.
 package check
--- a/load/internal/check/writes.go
+++ b/load/internal/check/writes.go
@@ -6,14 +6,14 @@
 	"guavaspring.org/core/caller"
 )
 
-// Write is what a caller was told of one write, over all the times it was sent under its one ticket.
+// Write holds the outcomes that a caller received for one write, over all attempts with its ticket.
 type Write struct {
 	OpID string
-	// Told lists the outcomes in order; a lost connection counts as unknown.
+	// Told lists the outcomes of the attempts in order; a lost connection counts as unknown.
 	Told []caller.WriteOutcome
 }
 
-// Writes compares what callers were told with how often each write ran.
+// Writes checks the outcomes that callers received against the number of executions of each write.
 func Writes(told []Write, ran map[string]int) []Lie {
 	var lies []Lie
 	for op, n := range ran {
@@ -25,9 +25,9 @@
 		for _, outcome := range w.Told {
 			switch {
 			case outcome == caller.WriteNotRun && ran[w.OpID] > 0:
-				lies = append(lies, Lie{FalseNotRun, fmt.Sprintf("write %s was said not to have run and ran %d times; told %v", w.OpID, ran[w.OpID], w.Told)})
+				lies = append(lies, Lie{FalseNotRun, fmt.Sprintf("write %s was reported as not run but was executed %d times; outcomes %v", w.OpID, ran[w.OpID], w.Told)})
 			case outcome == caller.WriteDone && ran[w.OpID] == 0:
-				lies = append(lies, Lie{FalseDone, fmt.Sprintf("write %s was said to be done and did not run; told %v", w.OpID, w.Told)})
+				lies = append(lies, Lie{FalseDone, fmt.Sprintf("write %s was reported as done but was not executed; outcomes %v", w.OpID, w.Told)})
 			}
 		}
 	}
--- a/load/internal/compare/compare.go
+++ b/load/internal/compare/compare.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// leastRuns is how many earlier runs it takes to know how much runs of one version differ.
+// leastRuns is the minimum number of earlier runs, needed to estimate how much runs of one version differ.
 const leastRuns = 3
 
-// margin is how far over the earlier runs' own spread a ratio has to lie; the spread of few runs understates the true
-// one.
+// margin is the factor by which a ratio must exceed the spread of the earlier runs; a few runs understate the true
+// spread.
 const margin = 1.01
 
-// Quantiles are those that Judge compares: the median shows a change of every request, the 99th percentile one of the
-// tail. docs/design/compare.md has the trial.
+// Quantiles are the compared quantiles: the median shows a change of all requests, the 99th percentile a change of the
+// tail. docs/design/compare.md describes the measurements behind this choice.
 var Quantiles = []float64{0.5, 0.99}
 
-// ErrTooFew means that there are not enough earlier runs to compare with.
+// ErrTooFew means that there are too few earlier runs, or runs without samples.
 var ErrTooFew = errors.New("want at least 3 earlier runs with samples")
 
 // Run holds the latencies of one run.
 type Run []time.Duration
 
-// Finding is what one quantile says of a run.
+// Finding is the result of the comparison at one quantile.
 type Finding struct {
 	Quantile float64
-	// Ratio is the newer run's latency over the median earlier run's; Bound is the highest that is still normal.
+	// Ratio is the latency of the newer run divided by that of the median earlier run; Bound is its highest normal value.
 	Ratio, Bound float64
 }
 
-// Slower reports whether the newer run is slower than earlier ones differ among themselves.
+// Slower reports whether Ratio exceeds the normal variation between the earlier runs.
 func (f Finding) Slower() bool { return f.Ratio > f.Bound }
 
-// Judge compares a run with the earlier ones, quantile by quantile; ErrTooFew where there are fewer than three of
-// these.
+// Judge compares a run with earlier ones at each quantile. It returns ErrTooFew for fewer than three earlier runs or a
+// run without samples.
 func Judge(newer Run, earlier []Run) ([]Finding, error) {
 	if len(earlier) < leastRuns || len(newer) == 0 || slices.ContainsFunc(earlier, func(r Run) bool { return len(r) == 0 }) {
 		return nil, ErrTooFew
@@ -52,8 +52,8 @@
 	return findings, nil
 }
 
-// RatioToMedianRun returns the latency of the run at a quantile over that of the median one among the others, so that
-// one disturbed run among them does not count.
+// RatioToMedianRun returns the latency of the run at a quantile divided by that of the median run among the others. The
+// median makes it robust to one disturbed run.
 func RatioToMedianRun(quantile float64, run Run, others []Run) float64 {
 	each := make([]float64, len(others))
 	for i, other := range others {
@@ -63,7 +63,7 @@
 	return each[(len(each)-1)/2]
 }
 
-// at returns the latency at a quantile by the nearest rank.
+// at returns the latency at a quantile by the nearest-rank method.
 func at(quantile float64, run Run) float64 {
 	sorted := slices.Sorted(slices.Values(run))
 	i := int(math.Ceil(quantile*float64(len(sorted)))) - 1
--- a/load/internal/compare/compare_test.go
+++ b/load/internal/compare/compare_test.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/load/internal/compare"
 )
 
-// run draws a thousand latencies around mean milliseconds, of which a share is factor times longer.
+// run generates 1,000 latencies around mean milliseconds; a share of them is factor times longer.
 func run(seed uint64, mean, share, factor float64) compare.Run {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	list := make(compare.Run, 1000)
@@ -25,6 +25,7 @@
 }
 
 func TestRegressionsAreToldFromNoise(t *testing.T) {
+	// Guards against missed regressions of all requests or of the tail, and against one disturbed earlier run.
 	same := func(seed uint64) compare.Run { return run(seed, 50, 0, 1) }
 	quiet := []compare.Run{same(1), same(2), same(3), same(4), same(5)}
 	for _, test := range []struct {
@@ -53,6 +54,7 @@
 }
 
 func TestTwoEarlierRunsAreTooFew(t *testing.T) {
+	// Guards against a verdict from too few runs to estimate their variation.
 	c := qt.New(t)
 	_, err := compare.Judge(run(1, 50, 0, 1), []compare.Run{run(2, 50, 0, 1), run(3, 50, 0, 1)})
 	c.Assert(err, qt.Equals, compare.ErrTooFew)
--- a/load/internal/compare/doc.go
+++ b/load/internal/compare/doc.go
@@ -1,2 +1,2 @@
-// Package compare tells whether one run is slower than others of an earlier version.
+// Package compare detects latency regressions of one run against several runs of an earlier version.
 package compare
--- a/load/internal/cpu/doc.go
+++ b/load/internal/cpu/doc.go
@@ -1,2 +1,2 @@
-// Package cpu reads the processor time of other processes.
+// Package cpu reads the CPU time of other processes.
 package cpu
--- a/load/internal/drive/counts.go
+++ b/load/internal/drive/counts.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// counts is what the replicas have counted since they started.
+// counts holds the counters of the replicas since their start.
 type counts struct{ requests, crashes, refused int }
 
 func (d *Driver) counts() counts {
@@ -39,7 +39,7 @@
 func (d *Driver) cpuTime() time.Duration {
 	var sum time.Duration
 	for _, pid := range d.opts.PIDs {
-		// A host that was killed meanwhile is left out.
+		// A host that was killed during the run is left out.
 		used, err := cpu.Of(pid)
 		if err == nil {
 			sum += used
--- a/load/internal/drive/drive.go
+++ b/load/internal/drive/drive.go
@@ -19,25 +19,25 @@
 const (
 	writeDeadline = 2 * time.Second
 	truthEvery    = time.Second
-	// settle lets requests that were given up on reach the truth before it is read for the last time.
+	// settle is the wait before the last read of the replicas' records, in which they still record canceled requests.
 	settle = 500 * time.Millisecond
-	// maxLies bounds how many untruths are kept in words; all are counted.
+	// maxLies is the number of false claims that a summary lists; the rest is given as a count.
 	maxLies = 20
-	// keptWorst is how many answers are kept to be explained.
+	// keptWorst is the number of answers kept as candidates for an explanation.
 	keptWorst = 10
 )
 
-// Options says what to run and where.
+// Options configures a Driver.
 type Options struct {
 	Scene scene.Scene
-	// Seed fixes the arrivals and who sends each request.
+	// Seed determines the arrival times and the caller of each request.
 	Seed uint64
-	// Run names this run within the requests' ids, so that two runs on the same upstreams can be told apart.
+	// Run is the prefix of the request ids, which distinguishes runs against the same upstreams.
 	Run      string
 	Hosts    []netip.AddrPort
 	Fleets   []*truth.Fleet
 	Platform netip.AddrPort
-	// PIDs are the hosts' processes, whose processor time is measured.
+	// PIDs are the process ids of the hosts whose CPU time is measured.
 	PIDs []int
 }
 
@@ -53,20 +53,20 @@
 	told    map[string]int
 	lies    []check.Lie
 	needed  int
-	// worst holds the answers that cover least or took longest, the worst first.
+	// worst holds the answers with the lowest coverage or the highest latency, the worst first.
 	worst   []scored
 	reasons map[string]int
-	// queryReasons counts why queries were refused or not answered.
+	// queryReasons counts refused and unanswered queries by reason.
 	queryReasons map[string]int
 }
 
-// scored is an answer and how much it calls for an explanation.
+// scored is an answer and its rank among the candidates for an explanation; the highest score comes first.
 type scored struct {
 	answer caller.Answer
 	score  float64
 }
 
-// New returns a driver with its callers, the first of which is the one that sends the most.
+// New returns a driver with its callers; the first one is the hot caller, which sends the share HotShare of the queries.
 func New(opts Options) (*Driver, error) {
 	d := &Driver{opts: opts, told: map[string]int{}, reasons: map[string]int{}, queryReasons: map[string]int{}}
 	for i := range opts.Scene.Callers {
@@ -79,7 +79,7 @@
 	return d, nil
 }
 
-// Run sends the scene's requests, waits for all of them, and compares them with the truth.
+// Run sends the scene's requests, waits for all of them, and checks the answers against the records of the replicas.
 func (d *Driver) Run(ctx context.Context) measure.Summary {
 	d.readTruths(ctx)
 	before, cpuBefore := d.counts(), d.cpuTime()
@@ -107,8 +107,8 @@
 // Samples returns every query of the run.
 func (d *Driver) Samples() []measure.Sample { return d.samples }
 
-// Explain reads the explanation of the answer that covered least, or took longest, into reply and returns that answer;
-// the next worst stands in for one whose host is gone.
+// Explain reads the explanation of the answer with the lowest coverage or the highest latency into reply and returns
+// that answer. It falls back to the next worst answer where the host of the worst one is gone.
 func (d *Driver) Explain(ctx context.Context, reply any) (caller.Answer, error) {
 	err := errors.New("no answer to explain")
 	for _, w := range d.worst {
@@ -146,7 +146,7 @@
 	return sum
 }
 
-// ran returns how often each write took effect at all replicas together.
+// ran returns the number of executions of each write, summed over the replicas.
 func (d *Driver) ran() map[string]int {
 	all := map[string]int{}
 	for _, f := range d.opts.Fleets {
--- a/load/internal/drive/drive_test.go
+++ b/load/internal/drive/drive_test.go
@@ -20,7 +20,7 @@
 	"guavaspring.org/load/internal/truth"
 )
 
-// fakeHost answers as a host would, and lets a test spoil its answers.
+// fakeHost answers as a host does, after spoil has modified the answer.
 type fakeHost struct {
 	addr  netip.AddrPort
 	spoil func(ans *caller.Answer)
@@ -61,8 +61,8 @@
 }
 
 func TestRunTellsAHostThatLies(t *testing.T) {
-	// A host spoils its answers in one way each time, or denies a write that the upstream's record shows to have run.
-	// The run must name the untruth, and must find none where the host is true.
+	// Guards against a false claim that goes undetected: each host corrupts its answers in one way, or reports a write
+	// as not run that the upstream's record contains. A correct host must yield no findings.
 	for _, test := range []struct {
 		name  string
 		spoil func(ans *caller.Answer)
@@ -97,7 +97,7 @@
 	Lies    []string
 }
 
-// runAgainst runs a short scene against the host, with a record of upstreams that ran the first write that often.
+// runAgainst runs a short scene against the host; the upstream's record contains each write the given number of times.
 func runAgainst(c *qt.C, h *fakeHost, ran int) summary {
 	srv := httptest.NewUnstartedServer(h)
 	h.addr = netip.MustParseAddrPort(srv.Listener.Addr().String())
--- a/load/internal/drive/faults.go
+++ b/load/internal/drive/faults.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// mended ends every fault that lasts, so that the next run starts from healthy upstreams.
+// mended clears every lasting fault of a replica, so that the next run starts with healthy upstreams.
 const mended = `{"slow":1,"straggler_share":0,"shed_share":0,"draining":false,"claim_load":"","claim_lag":"0s","crash_marker":"","lose_replies":0,"reset_before":0,"foreign":0}`
 
-// mend ends the faults of the run; a replica that is down can't be told, and comes back without them by itself.
+// mend clears the faults of the run. A replica that is down can't be reached; it restarts without faults.
 func (d *Driver) mend() {
 	ctx, cancel := context.WithTimeout(context.Background(), writeDeadline)
 	defer cancel()
@@ -55,8 +55,8 @@
 	}
 }
 
-// fail notes a fault that could not be set as an untruth of the run itself, so that the run does not count as one with
-// the fault.
+// fail records a fault that could not be set among the false claims of the run, so that the run does not count as one
+// with the fault.
 func (d *Driver) fail(err error) {
 	if err == nil {
 		return
--- a/load/internal/drive/queries.go
+++ b/load/internal/drive/queries.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// sender draws which caller sends the next query.
+// sender picks the caller of the next query at random; hot is set for the caller with the hot share.
 func (d *Driver) sender(rnd *rand.Rand) (c *hosts.Caller, hot bool) {
 	if len(d.callers) == 1 {
 		return d.callers[0], true
@@ -67,11 +67,11 @@
 }
 
 const (
-	// grace is how much longer than the deadline a caller waits for the answer that was cut off at the deadline to
-	// arrive.
+	// grace is the time after the deadline within which a caller still accepts an answer that the host cut off at the
+	// deadline.
 	grace = 300 * time.Millisecond
-	// lateness is how far over its deadline an answer may arrive and still count as in time: the way back and the
-	// machine's scheduling.
+	// lateness is the tolerance after the deadline for an answer to count as in time. It covers the network and
+	// scheduling delay of the response.
 	lateness = 15 * time.Millisecond
 )
 
@@ -98,8 +98,8 @@
 	d.worst = d.worst[:min(len(d.worst), keptWorst)]
 }
 
-// sendPoison plays a caller that sends a query again and again, each time as a new request, though it crashes what runs
-// it. Its text differs from run to run: a quarantine outlasts a run, and the next one would measure no crash at all.
+// sendPoison sends a query that crashes its replicas repeatedly, each time as a new request. The text contains the name
+// of the run because a quarantine outlasts a run: the next run with the same text would see no crash.
 func (d *Driver) sendPoison(ctx context.Context) {
 	p := d.opts.Scene.Poison
 	for n := range p.Times {
@@ -109,7 +109,7 @@
 		}
 		deadline := time.Now().Add(d.opts.Scene.Deadline.Std())
 		askCtx, cancel := context.WithDeadline(ctx, deadline.Add(grace))
-		// What it gets does not matter; what it does to the others does.
+		// The result is ignored: only the effect on other queries is measured.
 		_ = d.callers[n%len(d.callers)].Query(askCtx, hosts.QueryRequest{
 			Service: d.opts.Scene.Service, ID: fmt.Sprintf("%s-poison%d", d.opts.Run, n), Deadline: deadline,
 			Query: caller.Query{Query: p.Text + " of " + d.opts.Run, Limit: d.opts.Scene.Limit},
@@ -118,7 +118,7 @@
 	}
 }
 
-// withoutIDs makes errors of different requests count as the same.
+// withoutIDs replaces the request id, so that equal errors of different requests are counted together.
 func withoutIDs(text string, asked check.Asked) string {
 	return strings.ReplaceAll(text, asked.RequestID, "ID")
 }
--- a/load/internal/drive/writes.go
+++ b/load/internal/drive/writes.go
@@ -49,5 +49,5 @@
 	}
 }
 
-// final is what the caller knows in the end: an unknown outcome is settled by a later certain one.
+// final returns the last outcome: a known outcome of a later attempt replaces an unknown one.
 func final(told []caller.WriteOutcome) caller.WriteOutcome { return told[len(told)-1] }
--- a/load/internal/hosts/caller.go
+++ b/load/internal/hosts/caller.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// connections is the most idle connections that a caller keeps to one host.
+	// connections is the maximum number of idle connections that a caller keeps to one host.
 	connections = 8
-	// maxSends bounds how many hosts a caller tries for one request.
+	// maxSends is the maximum number of addresses that a caller contacts for one request.
 	maxSends = 3
-	// resends is how often a caller sends a write again whose outcome it does not know.
+	// resends is the maximum number of retries of a write with unknown outcome.
 	resends = 2
-	// ticketsWanted is how many write tickets a caller asks for at once, for each address.
+	// ticketsWanted is the number of write tickets that a caller requests for each address.
 	ticketsWanted = 4
 	addressWait   = 2 * time.Second
 )
 
-// ErrNoTicket means that no host handed out a write ticket.
-var ErrNoTicket = errors.New("no write ticket is to be had")
+// ErrNoTicket means that no host issued a write ticket and none can take the write without one.
+var ErrNoTicket = errors.New("no write ticket available")
 
-// Caller is one caller: it asks any host for addresses, keeps the answer as long as it may, and connects there itself.
+// Caller requests addresses from any host, caches them for the time that the host permits, and sends its requests
+// directly to them.
 type Caller struct {
 	client *caller.Client
 	seeds  []netip.AddrPort
@@ -43,7 +44,7 @@
 	until time.Time
 }
 
-// New returns a caller with a name of its own that first turns to the seeds.
+// New returns a caller with the given name that requests addresses from the seeds.
 func New(name string, seeds []netip.AddrPort) (*Caller, error) {
 	client, err := caller.New(name, connections)
 	if err != nil {
@@ -52,30 +53,30 @@
 	return &Caller{client: client, seeds: seeds, kept: map[string]*addresses{}}, nil
 }
 
-// QueryResult is the end of one query as its caller saw it.
+// QueryResult is the outcome of one query at its caller.
 type QueryResult struct {
 	Answer caller.Answer
-	// Err is set where no host answered.
+	// Err is set if no host answered.
 	Err error
-	// Sends counts the hosts that the query was sent to.
+	// Sends is the number of attempts.
 	Sends int
-	// Refusal is how long the first refusal took to arrive, zero where there was none.
+	// Refusal is the time until the first refusal, zero if there was none.
 	Refusal time.Duration
 }
 
-// QueryRequest is one query; Deadline is when its answer is wanted, and the context may wait a little longer for one
-// that was cut off then.
+// QueryRequest is one query. Deadline is sent to the host; the context may end a little later, to receive an answer
+// that the host cut off at the deadline.
 type QueryRequest struct {
 	Service  string
 	ID       string
 	Deadline time.Time
 	Query    caller.Query
-	// Retry asks to send a refused query once more, after the time that the refusal names, where the deadline leaves
-	// it.
+	// Retry permits one retry of a refused query after the delay given in the refusal, if that ends before the
+	// deadline.
 	Retry bool
 }
 
-// Query runs a query; one that is refused is sent again at the time that the refusal names, and never earlier.
+// Query runs a query. If req.Retry is set, it retries a refused query once, no earlier than the refusal permits.
 func (c *Caller) Query(ctx context.Context, req QueryRequest) QueryResult {
 	start := time.Now()
 	res := c.query(ctx, req)
@@ -98,7 +99,7 @@
 	return again
 }
 
-// query sends a query to an address of the kept answer, and to another one when a connection fails.
+// query sends a query to a cached address, and to another one when the connection fails.
 func (c *Caller) query(ctx context.Context, req QueryRequest) QueryResult {
 	var res QueryResult
 	var failed []netip.AddrPort
@@ -122,18 +123,18 @@
 	return res
 }
 
-// WriteResult is what a caller was told of one write.
+// WriteResult is the outcome of one write at its caller.
 type WriteResult struct {
-	// Told lists what each send came to; a lost connection counts as unknown.
+	// Told lists the outcome of each attempt; a lost connection counts as unknown.
 	Told []caller.WriteOutcome
-	// Reason is the reason given last.
+	// Reason is the reason of the last attempt.
 	Reason string
 }
 
-// Write sends a write under one ticket, and again under the same ticket while its outcome is unknown: at first to the
-// same host, then to another.
+// Write sends a write with a ticket and retries it with the same ticket while the outcome is unknown: once at the same
+// host, then at another one.
 //
-// A new ticket is taken only where no connection to the first one's host was made: then the write surely did not run.
+// It takes a new ticket only if no connection to the ticket's host was established, since then the write did not run.
 func (c *Caller) Write(ctx context.Context, service string, w caller.Write) (WriteResult, error) {
 	var err error
 	for range maxSends {
@@ -171,7 +172,7 @@
 	return res, nil
 }
 
-// send returns an error only where no connection was made.
+// send returns an error only if no connection was established.
 func (c *Caller) send(ctx context.Context, addr netip.AddrPort, service, ticket string, w caller.Write) (caller.WriteOutcome, string, error) {
 	ans, err := c.client.Write(ctx, caller.Request{Host: addr, Service: service, ID: w.OpID, Deadline: left(ctx), Ticket: ticket}, w)
 	var op *net.OpError
@@ -184,7 +185,7 @@
 	return ans.Outcome, ans.Reason, nil
 }
 
-// Explain reads the explanation of an answer from the hosts in turn, since only the one that gave it knows.
+// Explain requests the explanation of an answer from each host in turn, since only the host that answered has it.
 func (c *Caller) Explain(ctx context.Context, id string, reply any) error {
 	var err error
 	for _, host := range c.seeds {
@@ -195,7 +196,7 @@
 	return fmt.Errorf("explanation %s: %w", id, err)
 }
 
-// ticket takes one write ticket and the address it is good for.
+// ticket returns a write ticket and the address that it is valid for.
 func (c *Caller) ticket(ctx context.Context, service string) (netip.AddrPort, string, error) {
 	for range 2 {
 		if addr, ticket, ok := c.takeTicket(service); ok {
@@ -205,7 +206,7 @@
 			return netip.AddrPort{}, "", err
 		}
 	}
-	// A host that hands out no tickets yet answers the write itself.
+	// A host that does not issue tickets yet accepts the write without one.
 	addr, err := c.pick(ctx, service, nil)
 	if err != nil {
 		return netip.AddrPort{}, "", errors.Join(ErrNoTicket, err)
@@ -235,8 +236,8 @@
 	return a.Address, ticket, true
 }
 
-// pick returns an address by weight that is not among those that failed, asking for a new answer where the kept one is
-// too old.
+// pick returns a random address by weight, without those that failed. It requests new addresses if the cached ones are
+// expired or all failed.
 func (c *Caller) pick(ctx context.Context, service string, failed []netip.AddrPort) (caller.Address, error) {
 	if addr, ok := c.fromKept(service, failed); ok {
 		return addr, nil
@@ -247,7 +248,7 @@
 	if addr, ok := c.fromKept(service, failed); ok {
 		return addr, nil
 	}
-	return caller.Address{}, fmt.Errorf("no address of %s is left to try", service)
+	return caller.Address{}, fmt.Errorf("all addresses of service %s failed", service)
 }
 
 func (c *Caller) fromKept(service string, failed []netip.AddrPort) (caller.Address, bool) {
@@ -275,7 +276,7 @@
 	return caller.Address{}, false
 }
 
-// refresh asks the seeds, in random order, for a new address answer.
+// refresh requests new addresses from the seeds in random order, without those that failed.
 func (c *Caller) refresh(ctx context.Context, service string, failed []netip.AddrPort) error {
 	var last error
 	for _, i := range rand.Perm(len(c.seeds)) {
@@ -294,10 +295,10 @@
 		c.mu.Unlock()
 		return nil
 	}
-	return fmt.Errorf("no host gave addresses of %s: %w", service, last)
+	return fmt.Errorf("no host returned addresses of service %s: %w", service, last)
 }
 
-// forget drops an address whose connection failed from the kept answer.
+// forget removes an address from the cache after its connection failed.
 func (c *Caller) forget(service string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/load/internal/hosts/caller_test.go
+++ b/load/internal/hosts/caller_test.go
@@ -17,7 +17,7 @@
 	"guavaspring.org/load/internal/hosts"
 )
 
-// fakeHost counts what it is sent and answers each kind of request by a function.
+// fakeHost counts the requests that it receives and answers each kind of request with a function.
 type fakeHost struct {
 	addr    netip.AddrPort
 	answer  func(n int) caller.Answer
@@ -54,7 +54,7 @@
 	return h.addr
 }
 
-// dead returns an address that nothing listens at.
+// dead returns an address without a listener.
 func dead() netip.AddrPort {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
@@ -70,8 +70,8 @@
 }
 
 func TestQueryGoesToAnotherAddressWhenAConnectionFails(t *testing.T) {
-	// The address answer holds a host that has died since; its weight makes it the first choice. The next answer must
-	// come within one more attempt.
+	// Guards against queries that fail because of a dead host in the cached addresses. The weight of the dead host makes
+	// it the first choice; the query must succeed with the second attempt.
 	c := qt.New(t)
 	h := &fakeHost{answer: complete}
 	alive := serve(c, h)
@@ -81,11 +81,13 @@
 	res := query(c, one, false)
 	c.Assert(res.Err, qt.IsNil)
 	c.Assert(res.Sends, qt.Equals, 2)
-	// The dead address is not tried again while the answer is kept.
+	// The dead address must not be used again while the addresses are cached.
 	c.Assert(query(c, one, false).Sends, qt.Equals, 1)
 }
 
 func TestRefusedQueryIsSentAgainOnlyAsTheRefusalSays(t *testing.T) {
+	// Guards against retries of refused queries that add to an overload: without a retry delay, past the deadline or
+	// where retries are off.
 	for _, test := range []struct {
 		name       string
 		retry      bool
@@ -117,8 +119,8 @@
 }
 
 func TestWriteOfUnknownOutcomeIsSentAgainUnderItsOwnTicket(t *testing.T) {
-	// The reply is lost twice. A caller that took a new ticket would make the write run again; this one repeats the
-	// first.
+	// Guards against a write that runs twice: the response is lost twice, and a retry with a new ticket would run the
+	// write again. Retries must use the first ticket.
 	c := qt.New(t)
 	h := &fakeHost{write: func(n int, _ string) caller.WriteOutcome {
 		if n < 3 {
@@ -137,13 +139,13 @@
 }
 
 func TestWriteTakesANewTicketOnlyWhereNoConnectionWasMade(t *testing.T) {
-	// The ticket's host has died and refuses connections, so the write surely did not run, and another host's ticket
-	// may be used.
+	// Guards against writes that fail because the ticket's host is dead. It refuses connections, so the write did not
+	// run and a ticket of another host may be used.
 	c := qt.New(t)
 	h := &fakeHost{write: func(int, string) caller.WriteOutcome { return caller.WriteDone }}
 	alive := serve(c, h)
 	h.list = []caller.Address{{Address: dead(), Weight: 1, Tickets: []string{"dead"}}, {Address: alive, Weight: 1, Tickets: []string{"alive"}}}
-	// Which of the two tickets comes first is drawn at random; of twenty callers some draw the dead host's.
+	// The first ticket is chosen at random; with 20 callers some get that of the dead host.
 	for range 20 {
 		one, err := hosts.New("c", []netip.AddrPort{alive})
 		c.Assert(err, qt.IsNil)
--- a/load/internal/hosts/doc.go
+++ b/load/internal/hosts/doc.go
@@ -1,2 +1,2 @@
-// Package hosts acts as a caller towards the entry hosts: addresses, tickets, failover.
+// Package hosts implements a caller of the entry hosts with address caching, write tickets and failover.
 package hosts
--- a/load/internal/measure/doc.go
+++ b/load/internal/measure/doc.go
@@ -1,2 +1,2 @@
-// Package measure turns samples into the three measures.
+// Package measure computes latency, coverage and goodput of a run from its samples.
 package measure
--- a/load/internal/measure/measure.go
+++ b/load/internal/measure/measure.go
@@ -8,35 +8,35 @@
 	"guavaspring.org/core/caller"
 )
 
-// Histograms hold 1 microsecond to 60 seconds with three digits.
+// The histograms cover 1 microsecond to 60 seconds, in microseconds, with three significant digits.
 const (
 	lowest  = 1
 	highest = 60_000_000
 	digits  = 3
 )
 
-// Sample is one query as its caller saw it.
+// Sample is the outcome of one query at its caller.
 type Sample struct {
-	// At is when the query was scheduled, since the start of the run.
+	// At is the scheduled time of the query since the start of the run.
 	At time.Duration
-	// Took counts from the scheduled time, so that a stall of the tool or of a connection is not hidden.
+	// Took is the latency from the scheduled time, so that it includes stalls of the load generator and connections.
 	Took time.Duration
-	// Refusal is how long the first refusal took by its caller's clock, from sending.
+	// Refusal is the time from sending to the first refusal, by the clock of the caller.
 	Refusal time.Duration
-	// Hot is set on the queries of the caller that sends the most.
+	// Hot marks the queries of the hot caller, which sends the most.
 	Hot     bool
 	Outcome caller.Outcome
-	// Share is the coverage of an answer; Shards the size of its snapshot.
+	// Share is the coverage of the answer from 0 to 1; Shards is the number of shards of its snapshot.
 	Share  float64
 	Shards int
-	// Late is set where the answer came after the deadline.
+	// Late is set if the answer arrived after the deadline.
 	Late bool
 }
 
-// OutcomeError is the outcome of a query that no host answered.
+// OutcomeError marks a query that no host answered.
 const OutcomeError caller.Outcome = "error"
 
-// Quantiles holds the latency at the usual quantiles, in milliseconds.
+// Quantiles holds latencies in milliseconds over N samples.
 type Quantiles struct {
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
@@ -45,26 +45,27 @@
 	N    int     `json:"n"`
 }
 
-// Summary holds the three measures of one run.
+// Summary holds the measures of one run.
 type Summary struct {
 	Scene  string `json:"scene"`
 	Policy string `json:"policy"`
 	Round  int    `json:"round"`
 
-	// Complete covers complete answers, All every answer that is not a refusal, Others those but the hot caller's,
-	// Refusals the time to a refusal.
+	// Complete is the latency of complete answers, All that of every query that was not refused, Others the same
+	// without the hot caller, Refusals the time to a refusal.
 	Complete Quantiles `json:"complete"`
 	All      Quantiles `json:"all"`
 	Others   Quantiles `json:"others"`
 	Refusals Quantiles `json:"refusals"`
 
-	// CoverageMean, CoverageWorst and CompleteShare are over the answers that are not refusals; an error covers
-	// nothing.
+	// CoverageMean, CoverageWorst and CompleteShare are taken over the queries that were not refused; an error counts
+	// as coverage 0.
 	CoverageMean  float64 `json:"coverage_mean"`
 	CoverageWorst float64 `json:"coverage_worst"`
 	CompleteShare float64 `json:"complete_share"`
 
-	// Sent is what reached the upstreams, Needed what a run without any second try sends.
+	// Sent is the number of attempts that reached the replicas, Needed that of a run without retries and hedges. Extra
+	// is Sent/Needed - 1.
 	Sent   int     `json:"sent"`
 	Needed int     `json:"needed"`
 	Extra  float64 `json:"extra_load"`
@@ -74,33 +75,35 @@
 	Failed  int `json:"failed"`
 	Errors  int `json:"errors"`
 	Late    int `json:"late"`
-	// Goodput is complete answers in time, a second.
+	// Goodput is the number of complete answers in time per second.
 	Goodput float64 `json:"goodput"`
-	// OthersCompleteShare is the share of the queries but the hot caller's that were answered whole and in time.
+	// OthersCompleteShare is the share of complete answers in time among the queries of all but the hot caller.
 	OthersCompleteShare float64 `json:"others_complete_share"`
-	// CPUPerQueryMS is processor time of the hosts for each query answered, zero where it was not measured.
+	// CPUPerQueryMS is the CPU time of the hosts per query in milliseconds, zero if it was not measured.
 	CPUPerQueryMS float64 `json:"cpu_per_query_ms"`
 
-	// PeakConnections is the most that any one replica of a service has had since it started, by service.
+	// PeakConnections is the highest number of connections at any replica since its start, by service.
 	PeakConnections    map[string]int `json:"peak_connections"`
 	RefusedConnections int            `json:"refused_connections"`
-	// LostTruths counts replicas whose truth could not be read at the end; Sent leaves out their last second.
+	// LostTruths is the number of replicas whose record could not be read at the end; Sent lacks their last second.
 	LostTruths int `json:"lost_truths"`
 
-	// Crashes counts the crashes of replicas that a request caused.
+	// Crashes is the number of crashes of replicas caused by a request.
 	Crashes int `json:"crashes"`
-	// AfterDrainMS is how long after the start of its drain a replica still took work.
+	// AfterDrainMS is the longest time after the start of its drain at which a replica accepted work, in milliseconds.
 	AfterDrainMS int64 `json:"after_drain_ms"`
 
-	// QueryReasons counts the queries that were refused or that no host answered, by outcome and reason.
+	// QueryReasons counts the refused and unanswered queries by outcome and reason.
 	QueryReasons map[string]int `json:"query_reasons,omitempty"`
-	// Writes counts the writes by their final outcome, WriteReasons those that are not done by outcome and reason.
+	// Writes counts the writes by final outcome, WriteReasons those that are not done by outcome and reason.
 	Writes       map[string]int `json:"writes,omitempty"`
 	WriteReasons map[string]int `json:"write_reasons,omitempty"`
-	Lies         []string       `json:"lies,omitempty"`
+	// Lies lists the false claims of answers and writes, and faults that could not be set.
+	Lies []string `json:"lies,omitempty"`
 }
 
-// Summarize computes what follows from the samples scheduled from warmup on, out of a run of the given length.
+// Summarize returns the measures that follow from the samples; those scheduled before warmup are left out. The length
+// is that of the whole run.
 func Summarize(samples []Sample, warmup, length time.Duration) Summary {
 	b := &builder{complete: histogram(), all: histogram(), others: histogram(), refusals: histogram()}
 	b.sum.CoverageWorst = 1
@@ -175,7 +178,7 @@
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// A value over the range is recorded as its end, never left out.
+	// Values outside the range are clamped, so that none is dropped.
 	_ = h.RecordValue(min(max(d.Microseconds(), lowest), highest))
 }
 
--- a/load/internal/measure/measure_test.go
+++ b/load/internal/measure/measure_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestSummaryOfARun(t *testing.T) {
-	// Four answers after the warmup: whole, whole but late, partial, none at all; one refusal. The hot caller's and the
-	// warmup's are told apart.
+	// Guards against queries counted under the wrong measure: after the warmup there are a complete, a complete but late,
+	// a partial, an unanswered and a refused one; one query is the hot caller's, one falls into the warmup.
 	c := qt.New(t)
 	at := 2 * time.Second
 	ms := time.Millisecond
--- a/load/internal/report/doc.go
+++ b/load/internal/report/doc.go
@@ -1,2 +1,2 @@
-// Package report writes runs as files and reads them back as one table.
+// Package report stores the results of runs as files and renders them as a table and plots.
 package report
--- a/load/internal/report/files.go
+++ b/load/internal/report/files.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/load/internal/measure"
 )
 
-// Files of one run lie in DIR/SCENE/ and are named after policy and round.
+// fileOf returns the path DIR/SCENE/POLICY-ROUND.EXT of a file of one run.
 func fileOf(dir string, sum measure.Summary, ext string) string {
 	return filepath.Join(dir, sum.Scene, fmt.Sprintf("%s-%d.%s", sum.Policy, sum.Round, ext))
 }
@@ -38,7 +38,7 @@
 	return writeCSV(fileOf(dir, sum, "csv"), rows)
 }
 
-// Read returns every run stored in dir.
+// Read returns the summary of every run stored in dir.
 func Read(dir string) ([]measure.Summary, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*", "*.json"))
 	if err != nil {
--- a/load/internal/report/plot.go
+++ b/load/internal/report/plot.go
@@ -17,7 +17,7 @@
 	plotPoints = 400
 )
 
-// Plot draws the latency of answers by quantile, one line for each policy, into DIR/SCENE/latency.png.
+// Plot writes the latency of answers by quantile, one line for each policy, to DIR/SCENE/latency.png.
 func (t *Table) Plot(dir, sceneName string) error {
 	p := plot.New()
 	p.Title.Text = sceneName + ": latency of answers, all rounds"
--- a/load/internal/report/samples.go
+++ b/load/internal/report/samples.go
@@ -12,8 +12,8 @@
 	"guavaspring.org/load/internal/measure"
 )
 
-// ReadSamples returns when every query in a file of samples was scheduled and how long it took, without the refused
-// ones.
+// ReadSamples returns the scheduled time, latency and outcome of every query in a CSV file of samples, without the
+// refused ones.
 func ReadSamples(file string) ([]measure.Sample, error) {
 	f, err := os.Open(file)
 	if err != nil {
--- a/load/internal/report/table.go
+++ b/load/internal/report/table.go
@@ -11,22 +11,22 @@
 	"guavaspring.org/load/internal/scene"
 )
 
-// The policies that are compared.
+// The policies that the table compares.
 const (
 	PolicySystem   = "guavaspring"
 	PolicyBaseline = "baseline"
 )
 
-// ReferenceSuffix ends the name of the runs that a scene's ratios are taken against.
+// ReferenceSuffix is appended to a scene's name for the runs that its ratios are computed against.
 const ReferenceSuffix = ".reference"
 
-// Spread is a figure over several rounds.
+// Spread summarizes a measure over N rounds.
 type Spread struct {
 	Median, Least, Most float64
 	N                   int
 }
 
-// SpreadOf returns the spread of the values; it is zero where there are none.
+// SpreadOf returns the spread of the values, or the zero Spread where there are none.
 func SpreadOf(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
@@ -36,7 +36,7 @@
 	return Spread{Median: mid, Least: s[0], Most: s[len(s)-1], N: len(s)}
 }
 
-// String gives the median with the least and the most.
+// String returns the median with the minimum and maximum.
 func (s Spread) String() string {
 	if s.N == 0 {
 		return "not run"
@@ -44,18 +44,18 @@
 	return fmt.Sprintf("%.4g [%.4g..%.4g]", s.Median, s.Least, s.Most)
 }
 
-// Apart reports whether two spreads have no value in common; a difference inside the spread is no difference.
+// Apart reports whether the ranges of two spreads are disjoint; a difference between overlapping spreads is noise.
 func (s Spread) Apart(other Spread) bool {
 	return s.N > 0 && other.N > 0 && (s.Most < other.Least || other.Most < s.Least)
 }
 
-// Table is every run that was stored.
+// Table holds the summaries of all stored runs.
 type Table struct{ runs []measure.Summary }
 
 // New returns a table of the runs.
 func New(runs []measure.Summary) *Table { return &Table{runs: runs} }
 
-// figure returns the value of f for each round of one scene and policy.
+// figure returns the spread of f over the rounds of one scene and policy.
 func (t *Table) figure(sceneName, policy string, f func(measure.Summary) float64) Spread {
 	var values []float64
 	for _, r := range t.of(sceneName, policy) {
@@ -75,7 +75,8 @@
 	return list
 }
 
-// WriteMeasures writes the three measures of every scene and policy: median over the rounds, with least and most.
+// WriteMeasures writes the measures of every scene and policy over its rounds: the median of each, but the minimum of
+// the worst coverage and the maximum of the lies.
 func (t *Table) WriteMeasures(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "scene\tpolicy\tcomplete p50/p99/p99.9 ms\tall p50/p99/p99.9 ms\tp99 of all, spread\tcoverage mean/complete/worst\textra load\tgoodput/s\trefused\tfailed+errors\tlies")
@@ -94,7 +95,7 @@
 
 func allP99(s measure.Summary) float64 { return s.All.P99 }
 
-// keys returns scene and policy of every run, once and in order.
+// keys returns the distinct pairs of scene and policy, sorted.
 func (t *Table) keys() [][2]string {
 	var keys [][2]string
 	for _, r := range t.runs {
@@ -106,7 +107,7 @@
 	return keys
 }
 
-// Lies returns how many untruths the runs of a policy found.
+// Lies returns the number of false claims found in the runs of a policy.
 func (t *Table) Lies(policy string) int {
 	n := 0
 	for _, r := range t.runs {
@@ -117,7 +118,7 @@
 	return n
 }
 
-// WriteAims writes, for each aim of the scenes, what both policies reached and whether the aim is met.
+// WriteAims writes, for each aim of the scenes, the measure under both policies and whether the aim is met.
 func (t *Table) WriteAims(w io.Writer, scenes []scene.Scene) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "scene\tmeasure\taim\tguavaspring\tbaseline\tverdict\tagainst the baseline")
@@ -167,11 +168,11 @@
 	}
 }
 
-// measured returns the measure of each round; ratios compare with the run of the scene's reference in the same round.
+// measured returns the spread of a measure; ratios are computed against the reference run of the same round.
 func (t *Table) measured(sc scene.Scene, name, policy string) (Spread, error) {
 	get, ok := Measures[name]
 	if !ok {
-		return Spread{}, fmt.Errorf("scene %s: measure %q is not known", sc.Name, name)
+		return Spread{}, fmt.Errorf("scene %s: unknown measure %q", sc.Name, name)
 	}
 	refs := t.of(sc.Name+ReferenceSuffix, policy)
 	var values []float64
@@ -185,8 +186,7 @@
 	return SpreadOf(values), nil
 }
 
-// Measures holds the measures that an aim may name; each is computed from a run and the reference run of the same
-// round.
+// Measures maps the names that an aim may use to functions of a run and the reference run of the same round.
 var Measures = map[string]func(run, ref measure.Summary) float64{
 	"p99_ratio":             func(run, ref measure.Summary) float64 { return run.All.P99 / ref.All.P99 },
 	"p99_ms":                func(run, _ measure.Summary) float64 { return run.All.P99 },
--- a/load/internal/report/table_test.go
+++ b/load/internal/report/table_test.go
@@ -17,7 +17,8 @@
 }
 
 func TestAimsAreJudgedByTheirSpread(t *testing.T) {
-	// A difference inside the spread must not be called one, and rounds that disagree must not be called a success.
+	// Guards against noise reported as a difference between policies, and against an aim reported as met where only
+	// some rounds meet it.
 	atMost := 100.0
 	sc := scene.Scene{Name: "s", Aims: []scene.Aim{{Measure: "p99_ms", AtMost: &atMost}}}
 	for _, test := range []struct {
@@ -52,6 +53,7 @@
 }
 
 func TestRunsAreReadAsTheyWereWritten(t *testing.T) {
+	// Guards against fields lost between Write and Read, and against refused queries among the latencies.
 	c := qt.New(t)
 	dir := c.TempDir()
 	sum := run(report.PolicySystem, 1, 12.5)
--- a/load/internal/scene/doc.go
+++ b/load/internal/scene/doc.go
@@ -1,2 +1,2 @@
-// Package scene describes one experiment.
+// Package scene reads the YAML files that describe load experiments.
 package scene
--- a/load/internal/scene/scene.go
+++ b/load/internal/scene/scene.go
@@ -12,13 +12,13 @@
 	"guavaspring.org/core/document"
 )
 
-// Scene is one experiment.
+// Scene describes one experiment: its load, faults and aims.
 type Scene struct {
-	// Name is also the name of its file, and About says in a sentence what happens.
+	// Name equals the base name of the file, and About is a one-sentence description.
 	Name  string `yaml:"name"`
 	About string `yaml:"about"`
-	// Service is queried at Rate a second by Callers callers for Duration; what was scheduled during Warmup is not
-	// counted.
+	// Service receives Rate queries per second from Callers callers for Duration. Queries scheduled during Warmup are
+	// not counted.
 	Service  string            `yaml:"service"`
 	Rate     float64           `yaml:"rate"`
 	Callers  int               `yaml:"callers"`
@@ -26,33 +26,33 @@
 	Warmup   document.Duration `yaml:"warmup"`
 	Deadline document.Duration `yaml:"deadline"`
 	Limit    int               `yaml:"limit"`
-	// HotShare of the queries come from one caller.
+	// HotShare is the share of queries that one caller sends, from 0 to below 1.
 	HotShare float64 `yaml:"hot_share"`
-	// RetryRefused lets callers send a refused query once more when the refusal says so.
+	// RetryRefused makes callers retry a refused query once where the refusal gives a retry delay.
 	RetryRefused bool `yaml:"retry_refused"`
-	// Writes are sent beside the queries.
+	// Writes are sent concurrently with the queries.
 	Writes Writes `yaml:"writes"`
-	// Poison is a query that crashes each replica that runs it, sent again and again.
+	// Poison is a query that crashes each replica that runs it and is sent repeatedly.
 	Poison Poison `yaml:"poison"`
-	// Policies names the policies that the scene is run for, all where it is empty.
+	// Policies names the policies to run the scene with; empty means all.
 	Policies []string `yaml:"policies"`
-	// Faults are set in the course of the run.
+	// Faults are set during the run.
 	Faults []Fault `yaml:"faults"`
-	// Reference changes the scene into the one that its ratios are taken against, such as the same without the fault;
-	// nil for none.
+	// Reference describes the run that ratios are computed against, such as the same scene without the fault; nil for
+	// none.
 	Reference *Reference `yaml:"reference"`
-	// Aims are what the table compares the runs with.
+	// Aims are the bounds that the table checks the runs against.
 	Aims []Aim `yaml:"aims"`
-	// Action is what the script that starts the processes does in the course of the run, such as kill_host.
+	// Action is the operation that the script of the run performs on the processes during the run, such as kill_host.
 	Action string `yaml:"action"`
 }
 
-// Reference is a run without the scene's faults and action, at a rate of its own and without a hot caller.
+// Reference is a run without the scene's faults, action and hot caller. A Rate of 0 means the scene's own rate.
 type Reference struct {
 	Rate float64 `yaml:"rate"`
 }
 
-// AsReference returns the scene that the ratios of s are taken against.
+// AsReference returns the scene that the ratios of s are computed against.
 func (s Scene) AsReference() (Scene, error) {
 	if s.Reference == nil {
 		return s, fmt.Errorf("scene %s has no reference", s.Name)
@@ -66,7 +66,7 @@
 
 // Aim bounds one measure of a scene; a bound that is not set does not apply.
 type Aim struct {
-	// Measure names the figure: see report.Measures.
+	// Measure is a key of report.Measures.
 	Measure string   `yaml:"measure"`
 	AtMost  *float64 `yaml:"at_most"`
 	AtLeast *float64 `yaml:"at_least"`
@@ -77,7 +77,7 @@
 	return (a.AtMost == nil || v <= *a.AtMost) && (a.AtLeast == nil || v >= *a.AtLeast)
 }
 
-// Bounds returns the bounds in words.
+// Bounds returns the bounds as text.
 func (a Aim) Bounds() string {
 	switch {
 	case a.AtMost != nil && a.AtLeast != nil:
@@ -91,13 +91,13 @@
 	}
 }
 
-// Writes describes the writes of a scene.
+// Writes describes the writes of a scene: Rate per second to Service.
 type Writes struct {
 	Service string  `yaml:"service"`
 	Rate    float64 `yaml:"rate"`
 }
 
-// Poison is a marked query that its caller keeps sending, to one host after another; its answers are not counted.
+// Poison is a query with a crash marker, sent Times times by the callers in turn; its answers are not counted.
 type Poison struct {
 	Text  string            `yaml:"text"`
 	At    document.Duration `yaml:"at"`
@@ -105,17 +105,17 @@
 	Times int               `yaml:"times"`
 }
 
-// Fault is set at a time of the run.
+// Fault is a fault of the stand-ins that is set during the run, At after its start.
 type Fault struct {
 	At document.Duration `yaml:"at"`
-	// Service and Replicas say where; a fault without a service is the platform's.
+	// Service and Replicas select the replicas by index; a fault without a service is set on the platform stand-in.
 	Service  string `yaml:"service"`
 	Replicas []int  `yaml:"replicas"`
-	// Set is the body of the stand-in's /control/faults.
+	// Set is the request body for /control/faults of the stand-in.
 	Set map[string]any `yaml:"set"`
 }
 
-// Body returns the fault as the stand-ins take it.
+// Body returns the fault as JSON for /control/faults of a stand-in.
 func (f Fault) Body() (json.RawMessage, error) {
 	b, err := json.Marshal(f.Set)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return b, nil
 }
 
-// Read returns the scene in the file.
+// Read returns the scene in the file, with defaults for the keys that it leaves out.
 func Read(file string) (Scene, error) {
 	s := Scene{
 		Service: "remnant-finder", Rate: 100, Callers: 24, Limit: 100,
--- a/load/internal/scene/scene_test.go
+++ b/load/internal/scene/scene_test.go
@@ -12,6 +12,7 @@
 )
 
 func TestEveryShippedSceneIsRight(t *testing.T) {
+	// Guards against a scene file that can't be read, has another name than its file, or names an unknown measure.
 	c := qt.New(t)
 	files, err := filepath.Glob("../../scenes/*.yaml")
 	c.Assert(err, qt.IsNil)
@@ -31,6 +32,7 @@
 }
 
 func TestWrongScenesAreRefused(t *testing.T) {
+	// Guards against invalid scenes that run with defaults or make no sense, such as one without time after the warmup.
 	for _, test := range []struct{ name, body, want string }{
 		{"no name", "rate: 1", "name: want a name"},
 		{"negative rate", "name: s\nrate: -1", "rate: -1: want queries a second"},
--- a/load/internal/truth/doc.go
+++ b/load/internal/truth/doc.go
@@ -1,2 +1,2 @@
-// Package truth reads from the stand-ins what really happened.
+// Package truth reads the stand-ins' records of the requests that they executed, and sets their faults.
 package truth
--- a/load/internal/truth/truth.go
+++ b/load/internal/truth/truth.go
@@ -17,11 +17,11 @@
 const (
 	readTimeout = 2 * time.Second
 	readTries   = 3
-	// crashCommand is what a replica notes as the cause of a crash on command.
+	// crashCommand is the cause that a replica records for a crash set as a fault.
 	crashCommand = "command"
 )
 
-// Replica is the truth of one replica.
+// Replica is the record of one replica, as served at /control/truth.
 type Replica struct {
 	ID           string         `json:"id"`
 	Requests     int            `json:"requests"`
@@ -40,7 +40,7 @@
 	} `json:"connections"`
 }
 
-// Fleet reads the truth of the replicas of one service.
+// Fleet reads the records of the replicas of one service, which listen on Count consecutive ports from Base.
 type Fleet struct {
 	Service string
 	Base    netip.AddrPort
@@ -51,7 +51,7 @@
 	lost []bool
 }
 
-// Parse reads "SERVICE=IP:PORT+COUNT": the first replica's address and how many there are.
+// Parse parses "SERVICE=IP:PORT+COUNT": the address of the first replica and the number of replicas.
 func Parse(s string) (*Fleet, error) {
 	service, rest, ok1 := strings.Cut(s, "=")
 	base, count, ok2 := strings.Cut(rest, "+")
@@ -63,7 +63,7 @@
 	return &Fleet{Service: service, Base: addr, Count: n, last: make([]Replica, n), lost: make([]bool, n)}, nil
 }
 
-// Read takes the truth of every replica; one that can't be read keeps what it said last and counts as lost.
+// Read fetches the record of every replica. One that can't be read keeps its previous record and counts as lost.
 func (f *Fleet) Read(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range f.Count {
@@ -80,7 +80,7 @@
 	wg.Wait()
 }
 
-// Lost returns how many replicas could not be read the last time.
+// Lost returns the number of replicas that the last Read could not reach.
 func (f *Fleet) Lost() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +93,7 @@
 	return n
 }
 
-// Requests returns how many requests have reached the replicas, whatever became of them.
+// Requests returns the number of requests that reached the replicas, whatever their outcome.
 func (f *Fleet) Requests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +104,7 @@
 	return n
 }
 
-// Peak returns the most connections that any one replica has had since it started.
+// Peak returns the highest number of connections that any replica has had open at once since its start.
 func (f *Fleet) Peak() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,7 +115,7 @@
 	return peak
 }
 
-// RefusedConnections returns how many connections the replicas have refused since they started.
+// RefusedConnections returns the number of connections that the replicas have refused since their start.
 func (f *Fleet) RefusedConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +126,7 @@
 	return n
 }
 
-// Crashes returns how often the replicas have crashed on a request, not on command.
+// Crashes returns the number of crashes caused by a request, without those set as a fault.
 func (f *Fleet) Crashes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +141,7 @@
 	return n
 }
 
-// AfterDrain returns how long after the start of its drain any replica still took work, in milliseconds.
+// AfterDrain returns the longest time after the start of its drain at which a replica accepted work, in milliseconds.
 func (f *Fleet) AfterDrain() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +152,7 @@
 	return most
 }
 
-// Ran returns how often each write took effect at all replicas together.
+// Ran returns the number of executions of each write, summed over the replicas.
 func (f *Fleet) Ran() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,7 +198,7 @@
 	return err
 }
 
-// call opens a connection of its own, which it gives back at once: the replicas have few.
+// call uses a new connection and closes it at once, since the number of connections of a replica is limited.
 func call(ctx context.Context, method string, addr netip.AddrPort, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/load/main.go
+++ b/load/main.go
@@ -1,4 +1,5 @@
-// Command load is the load and experiment tool: it calls hosts as callers do and compares what it gets with the truth.
+// Command load is the load generator: it sends requests to hosts as callers do and checks the answers against the
+// records of the stand-ins.
 package main
 
 import (
@@ -9,22 +10,22 @@
 	"guavaspring.org/core/settings"
 )
 
-// exitUntrue is the exit status of a run in which an answer lied, a write ran twice or an answer mixed snapshots.
+// exitUntrue is the exit status of a run in which an answer was false, a write ran twice or an answer mixed snapshots.
 const exitUntrue = 3
 
-// command is one subcommand and what it runs.
+// command is one subcommand and its function.
 type command struct {
 	name string
 	run  func() error
 }
 
-// usageError is a mistake in the settings that only shows once the command runs.
+// usageError is an invalid setting that is detected only when the command runs.
 type usageError struct{ error }
 
-// untrueError ends the process with exitUntrue.
+// untrueError reports the false claims found in a run; the process exits with exitUntrue.
 type untrueError struct{ lies int }
 
-func (e untrueError) Error() string { return fmt.Sprintf("%d untruths were found", e.lies) }
+func (e untrueError) Error() string { return fmt.Sprintf("%d false claims found", e.lies) }
 
 func main() {
 	app := settings.New("load", "Calls hosts as callers do and reports tail latency, coverage and extra load.")
--- a/load/ports.go
+++ b/load/ports.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -22,11 +21,11 @@
 				return nil
 			}
 		}
-		return errors.New("no such row of free ports was found")
+		return fmt.Errorf("found no %d consecutive free ports in %d attempts", *n, portTries)
 	}}
 }
 
-// The ports tried lie under those that Linux gives to outgoing connections, which could take one at any time.
+// The range of ports lies below the ephemeral ports of Linux, which an outgoing connection could take at any time.
 const (
 	lowestPort  = 12000
 	highestPort = 32000
--- a/load/run.go
+++ b/load/run.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// printReasons writes the most frequent reasons; there may be one for each request where they name ports.
+// printReasons writes the most frequent reasons. Reasons that contain a port number can differ for every request.
 func printReasons(w io.Writer, reasons map[string]int) {
 	keys := slices.SortedFunc(maps.Keys(reasons), func(a, b string) int {
 		return cmp.Or(cmp.Compare(reasons[b], reasons[a]), cmp.Compare(a, b))
--- a/load/write.go
+++ b/load/write.go
@@ -41,7 +41,7 @@
 	}}
 }
 
-// withTicket asks the host for addresses and takes the first ticket, which may be for another host.
+// withTicket requests addresses from the host and takes the first ticket, which may belong to another host.
 func withTicket(ctx context.Context, c *caller.Client, req caller.Request) (caller.Request, error) {
 	addrs, err := c.Addresses(ctx, req, 1)
 	if err != nil {
