--- a/load/baseline.go
+++ b/load/baseline.go
@@ -19,7 +19,7 @@
 	listen := settings.AddrPort(cmd.Flag("listen", "IP:port for callers.").Required())
 	plat := settings.AddrPort(cmd.Flag("platform", "IP:port of the platform stand-in.").Required())
 	cmd.Flag("zone", "Availability zone.").Default("zone-a").StringVar(&opts.Zone)
-	cmd.Flag("seats", "Most connections to each replica.").Default("5").IntVar(&opts.Seats)
+	cmd.Flag("seats", "Most connections to each replica.").Default("5").IntVar(&opts.MaxConnections)
 	cmd.Flag("deadline", "Deadline of a request that names none.").Default("400ms").DurationVar(&opts.Deadline)
 	return command{cmd.FullCommand(), func() error {
 		klog.SetLogger(klog.NewStdLogger(io.Discard))
--- a/load/compare.go
+++ b/load/compare.go
@@ -24,18 +24,18 @@
 			}
 		}
 		last := len(runs) - 1
-		findings, err := compare.Judge(runs[last], runs[:last])
+		findings, err := compare.Compare(runs[last], runs[:last])
 		if errors.Is(err, compare.ErrTooFew) {
 			return usageError{fmt.Errorf("runs: %w", err)}
 		}
 		if err != nil {
 			return err
 		}
-		return tell(findings)
+		return printFindings(findings)
 	}}
 }
 
-func tell(findings []compare.Finding) error {
+func printFindings(findings []compare.Finding) error {
 	var err error
 	for _, f := range findings {
 		fmt.Printf("p%g: %.3f of the median earlier run, normal up to %.3f\n", f.Quantile*100, f.Ratio, f.Bound)
--- a/load/internal/baseline/server.go
+++ b/load/internal/baseline/server.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	listEvery    = time.Second
+	listInterval = time.Second
 	callTimeout  = time.Second
 	maxBody      = 1 << 20
 	defaultLimit = 20
-	keep         = 5 * time.Second
+	addressTTL   = 5 * time.Second
 )
 
 // Options configures a Server.
@@ -35,8 +35,8 @@
 	Listen   netip.AddrPort
 	Zone     string
 	Platform netip.AddrPort
-	// Seats is the maximum number of connections to each replica.
-	Seats int
+	// MaxConnections is the maximum number of connections to each replica.
+	MaxConnections int
 	// Deadline applies to requests without a deadline of their own.
 	Deadline time.Duration
 }
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	client, err := upstream.New(upstream.Options{Seats: opts.Seats})
+	client, err := upstream.New(upstream.Options{Seats: opts.MaxConnections})
 	if err != nil {
 		return nil, err
 	}
@@ -87,16 +87,16 @@
 		list, err := s.platform.Replicas(callCtx)
 		cancel()
 		if err == nil {
-			s.learn(ctx, list)
+			s.updateServices(ctx, list)
 		}
 		select {
-		case <-time.After(listEvery):
+		case <-time.After(listInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (s *Server) learn(ctx context.Context, list []platform.Replica) {
+func (s *Server) updateServices(ctx context.Context, list []platform.Replica) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	held := map[string]map[int64][][]netip.AddrPort{}
@@ -114,7 +114,7 @@
 				held[row.Service] = map[int64][][]netip.AddrPort{}
 			}
 			for _, h := range health.Holdings {
-				note(held[row.Service], h, row.Addr)
+				addHolder(held[row.Service], h, row.Addr)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	s.services.Store(&next)
 }
 
-func note(versions map[int64][][]netip.AddrPort, h upstream.Holding, addr netip.AddrPort) {
+func addHolder(versions map[int64][][]netip.AddrPort, h upstream.Holding, addr netip.AddrPort) {
 	if versions[h.Version] == nil {
 		versions[h.Version] = make([][]netip.AddrPort, h.Shards)
 	}
@@ -155,8 +155,8 @@
 }
 
 func (s *Server) addresses(w http.ResponseWriter, r *http.Request) {
-	reply(w, http.StatusOK, caller.Addresses{
-		Service: r.URL.Query().Get("service"), Generation: 1, KeepMS: keep.Milliseconds(),
+	writeJSON(w, http.StatusOK, caller.Addresses{
+		Service: r.URL.Query().Get("service"), Generation: 1, KeepMS: addressTTL.Milliseconds(),
 		Addresses: []caller.Address{{Address: s.opts.Listen, Zone: s.opts.Zone, Weight: 1}},
 	})
 }
@@ -170,7 +170,7 @@
 	}
 	m, ok := (*s.services.Load())[service]
 	if err != nil || !ok {
-		reply(w, http.StatusBadRequest, caller.Problem{Code: "bad_request", Reason: fmt.Sprintf("service %q: %v", service, err)})
+		writeJSON(w, http.StatusBadRequest, caller.Problem{Code: "bad_request", Reason: fmt.Sprintf("service %q: %v", service, err)})
 		return
 	}
 	if q.Limit == 0 {
@@ -188,7 +188,7 @@
 	if ans.Outcome == caller.OutcomeFailed {
 		status = http.StatusServiceUnavailable
 	}
-	reply(w, status, ans)
+	writeJSON(w, status, ans)
 }
 
 // fanout sends one attempt for each shard and merges the replies that arrive by the deadline.
@@ -229,7 +229,7 @@
 	return ans
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/load/internal/check/check.go
+++ b/load/internal/check/check.go
@@ -30,14 +30,14 @@
 	FalseDone Kind = "false_done"
 )
 
-// Lie is one false claim.
-type Lie struct {
+// Violation is one false claim.
+type Violation struct {
 	Kind   Kind   `json:"kind"`
 	Detail string `json:"detail"`
 }
 
-// Asked holds the fields of a request that its answer must match.
-type Asked struct {
+// Request holds the fields of a request that its answer must match.
+type Request struct {
 	RequestID string
 	Service   string
 	Query     string
@@ -45,42 +45,42 @@
 }
 
 // Answer returns the false claims in ans. Of a refusal, which has no hits, only the request id and service are checked.
-func Answer(asked Asked, ans caller.Answer) []Lie {
-	c := &checker{asked: asked, ans: ans}
-	if ans.RequestID != asked.RequestID || ans.Service != asked.Service {
-		c.lie(ForeignAnswer, "the answer is for request %q of %q", ans.RequestID, ans.Service)
+func Answer(request Request, ans caller.Answer) []Violation {
+	c := &checker{request: request, ans: ans}
+	if ans.RequestID != request.RequestID || ans.Service != request.Service {
+		c.report(ForeignAnswer, "the answer is for request %q of %q", ans.RequestID, ans.Service)
 	}
 	if ans.Outcome == caller.OutcomeRefused {
-		return c.lies
+		return c.violations
 	}
 	c.coverage()
 	c.hits()
-	return c.lies
+	return c.violations
 }
 
 type checker struct {
-	asked Asked
-	ans   caller.Answer
-	lies  []Lie
+	request    Request
+	ans        caller.Answer
+	violations []Violation
 }
 
-func (c *checker) lie(kind Kind, format string, args ...any) {
-	detail := fmt.Sprintf("request %s, explanation %s: ", c.asked.RequestID, c.ans.ExplanationID)
-	c.lies = append(c.lies, Lie{Kind: kind, Detail: detail + fmt.Sprintf(format, args...)})
+func (c *checker) report(kind Kind, format string, args ...any) {
+	detail := fmt.Sprintf("request %s, explanation %s: ", c.request.RequestID, c.ans.ExplanationID)
+	c.violations = append(c.violations, Violation{Kind: kind, Detail: detail + fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) coverage() {
 	cov, snap := c.ans.Coverage, c.ans.Snapshot
 	if cov.Shards != snap.Shards || cov.Answered+len(cov.Missing) != cov.Shards {
-		c.lie(FalseCoverage, "%d answered and %d missing of %d, snapshot of %d", cov.Answered, len(cov.Missing), cov.Shards, snap.Shards)
+		c.report(FalseCoverage, "%d answered and %d missing of %d, snapshot of %d", cov.Answered, len(cov.Missing), cov.Shards, snap.Shards)
 	}
 	for i, s := range cov.Missing {
 		if s < 0 || s >= cov.Shards || slices.Contains(cov.Missing[:i], s) {
-			c.lie(FalseCoverage, "missing shard %d of %d is not a shard or named twice", s, cov.Shards)
+			c.report(FalseCoverage, "missing shard %d of %d is not a shard or named twice", s, cov.Shards)
 		}
 	}
 	if want := outcome(cov); c.ans.Outcome != want {
-		c.lie(FalseCoverage, "outcome %q with %d of %d shards, want %q", c.ans.Outcome, cov.Answered, cov.Shards, want)
+		c.report(FalseCoverage, "outcome %q with %d of %d shards, want %q", c.ans.Outcome, cov.Answered, cov.Shards, want)
 	}
 }
 
@@ -101,18 +101,18 @@
 	for _, h := range c.ans.Hits {
 		c.hit(h)
 		if seen[h.ID] {
-			c.lie(FalseCoverage, "hit %s appears twice", h.ID)
+			c.report(FalseCoverage, "hit %s appears twice", h.ID)
 		}
 		seen[h.ID] = true
 		perShard[h.Shard]++
 	}
-	if c.asked.Limit < c.ans.Coverage.Shards*hitsPerShard {
+	if c.request.Limit < c.ans.Coverage.Shards*hitsPerShard {
 		return
 	}
 	for s := range c.ans.Coverage.Shards {
 		missing := slices.Contains(c.ans.Coverage.Missing, s)
 		if !missing && perShard[s] != hitsPerShard {
-			c.lie(FalseCoverage, "shard %d is reported as answered and has %d hits, want %d", s, perShard[s], hitsPerShard)
+			c.report(FalseCoverage, "shard %d is reported as answered and has %d hits, want %d", s, perShard[s], hitsPerShard)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	var version int64
 	var shard, n int
 	if _, err := fmt.Sscanf(h.ID, "v%d-s%d-%d", &version, &shard, &n); err != nil {
-		c.lie(ForeignAnswer, "hit %q does not have the form vVERSION-sSHARD-NUMBER", h.ID)
+		c.report(ForeignAnswer, "hit %q does not have the form vVERSION-sSHARD-NUMBER", h.ID)
 		return
 	}
 	var data struct {
@@ -130,16 +130,16 @@
 		Shards  int    `json:"shards"`
 	}
 	if err := json.Unmarshal(h.Data, &data); err != nil {
-		c.lie(ForeignAnswer, "hit %q has invalid data", h.ID)
+		c.report(ForeignAnswer, "hit %q has invalid data", h.ID)
 		return
 	}
 	if version != c.ans.Snapshot.Version || data.Version != version || data.Shards != c.ans.Snapshot.Shards {
-		c.lie(MixedSnapshots, "hit %s of version %d with %d shards, the snapshot is version %d with %d", h.ID, version, data.Shards, c.ans.Snapshot.Version, c.ans.Snapshot.Shards)
+		c.report(MixedSnapshots, "hit %s of version %d with %d shards, the snapshot is version %d with %d", h.ID, version, data.Shards, c.ans.Snapshot.Version, c.ans.Snapshot.Shards)
 	}
 	if shard != h.Shard || slices.Contains(c.ans.Coverage.Missing, shard) {
-		c.lie(FalseCoverage, "hit %s counts for shard %d, missing are %v", h.ID, h.Shard, c.ans.Coverage.Missing)
+		c.report(FalseCoverage, "hit %s counts for shard %d, missing are %v", h.ID, h.Shard, c.ans.Coverage.Missing)
 	}
-	if data.Query != c.asked.Query {
-		c.lie(ForeignAnswer, "hit %s answers the query %q, want %q", h.ID, data.Query, c.asked.Query)
+	if data.Query != c.request.Query {
+		c.report(ForeignAnswer, "hit %s answers the query %q, want %q", h.ID, data.Query, c.request.Query)
 	}
 }
--- a/load/internal/check/check_test.go
+++ b/load/internal/check/check_test.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/load/internal/check"
 )
 
-var asked = check.Asked{RequestID: "q1", Service: "s", Query: "wool", Limit: 100}
+var request = check.Request{RequestID: "q1", Service: "s", Query: "wool", Limit: 100}
 
 func hit(version int64, shards, shard, n int, query string) caller.Hit {
 	data, _ := json.Marshal(map[string]any{"query": query, "version": version, "shards": shards})
@@ -66,13 +66,13 @@
 			c := qt.New(t)
 			ans := answer()
 			test.change(&ans)
-			lies := check.Answer(asked, ans)
+			violations := check.Answer(request, ans)
 			if test.want == "" {
-				c.Assert(lies, qt.HasLen, 0)
+				c.Assert(violations, qt.HasLen, 0)
 				return
 			}
-			c.Assert(lies, qt.Not(qt.HasLen), 0)
-			c.Assert(lies[0].Kind, qt.Equals, test.want)
+			c.Assert(violations, qt.Not(qt.HasLen), 0)
+			c.Assert(violations[0].Kind, qt.Equals, test.want)
 		})
 	}
 }
@@ -82,10 +82,10 @@
 	// contradicts nothing.
 	done, notRun, unknown := caller.WriteDone, caller.WriteNotRun, caller.WriteUnknown
 	for _, test := range []struct {
-		name string
-		told []caller.WriteOutcome
-		ran  int
-		want check.Kind
+		name     string
+		outcomes []caller.WriteOutcome
+		ran      int
+		want     check.Kind
 	}{
 		{"done and ran", []caller.WriteOutcome{done}, 1, ""},
 		{"not run", []caller.WriteOutcome{notRun}, 0, ""},
@@ -99,13 +99,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			lies := check.Writes([]check.Write{{OpID: "op", Told: test.told}}, map[string]int{"op": test.ran})
+			violations := check.Writes([]check.Write{{OpID: "op", Outcomes: test.outcomes}}, map[string]int{"op": test.ran})
 			if test.want == "" {
-				c.Assert(lies, qt.HasLen, 0)
+				c.Assert(violations, qt.HasLen, 0)
 				return
 			}
-			c.Assert(lies, qt.HasLen, 1)
-			c.Assert(lies[0].Kind, qt.Equals, test.want)
+			c.Assert(violations, qt.HasLen, 1)
+			c.Assert(violations[0].Kind, qt.Equals, test.want)
 		})
 	}
 }
--- a/load/internal/compare/compare.go
+++ b/load/internal/compare/compare.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// leastRuns is the minimum number of earlier runs, needed to estimate how much runs of one version differ.
-const leastRuns = 3
+// minEarlierRuns is the minimum number of earlier runs, needed to estimate how much runs of one version differ.
+const minEarlierRuns = 3
 
 // margin is the factor by which a ratio must exceed the spread of the earlier runs; a few runs understate the true
 // spread.
@@ -34,10 +34,10 @@
 // Slower reports whether Ratio exceeds the normal variation between the earlier runs.
 func (f Finding) Slower() bool { return f.Ratio > f.Bound }
 
-// Judge compares a run with earlier ones at each quantile. It returns ErrTooFew for fewer than three earlier runs or a
+// Compare compares a run with earlier ones at each quantile. It returns ErrTooFew for fewer than three earlier runs or a
 // run without samples.
-func Judge(newer Run, earlier []Run) ([]Finding, error) {
-	if len(earlier) < leastRuns || len(newer) == 0 || slices.ContainsFunc(earlier, func(r Run) bool { return len(r) == 0 }) {
+func Compare(newer Run, earlier []Run) ([]Finding, error) {
+	if len(earlier) < minEarlierRuns || len(newer) == 0 || slices.ContainsFunc(earlier, func(r Run) bool { return len(r) == 0 }) {
 		return nil, ErrTooFew
 	}
 	var findings []Finding
@@ -57,14 +57,14 @@
 func RatioToMedianRun(quantile float64, run Run, others []Run) float64 {
 	each := make([]float64, len(others))
 	for i, other := range others {
-		each[i] = at(quantile, run) / at(quantile, other)
+		each[i] = latencyAt(quantile, run) / latencyAt(quantile, other)
 	}
 	slices.Sort(each)
 	return each[(len(each)-1)/2]
 }
 
-// at returns the latency at a quantile by the nearest-rank method.
-func at(quantile float64, run Run) float64 {
+// latencyAt returns the latency at a quantile by the nearest-rank method.
+func latencyAt(quantile float64, run Run) float64 {
 	sorted := slices.Sorted(slices.Values(run))
 	i := int(math.Ceil(quantile*float64(len(sorted)))) - 1
 	return float64(sorted[min(max(i, 0), len(sorted)-1)])
--- a/load/internal/compare/compare_test.go
+++ b/load/internal/compare/compare_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			findings, err := compare.Judge(test.newer, test.earlier)
+			findings, err := compare.Compare(test.newer, test.earlier)
 			c.Assert(err, qt.IsNil)
 			slower := false
 			for _, f := range findings {
@@ -56,6 +56,6 @@
 func TestTwoEarlierRunsAreTooFew(t *testing.T) {
 	// Guards against a verdict from too few runs to estimate their variation.
 	c := qt.New(t)
-	_, err := compare.Judge(run(1, 50, 0, 1), []compare.Run{run(2, 50, 0, 1), run(3, 50, 0, 1)})
+	_, err := compare.Compare(run(1, 50, 0, 1), []compare.Run{run(2, 50, 0, 1), run(3, 50, 0, 1)})
 	c.Assert(err, qt.Equals, compare.ErrTooFew)
 }
--- a/load/internal/drive/counts.go
+++ b/load/internal/drive/counts.go
@@ -7,15 +7,15 @@
 	"guavaspring.org/load/internal/cpu"
 )
 
-func (d *Driver) watchTruths(ctx context.Context) {
-	for sleepUntil(ctx, time.Now().Add(truthEvery)) {
+func (d *Driver) pollFleets(ctx context.Context) {
+	for sleepUntil(ctx, time.Now().Add(pollInterval)) {
 		for _, f := range d.opts.Fleets {
 			f.Read(ctx)
 		}
 	}
 }
 
-func (d *Driver) readTruths(ctx context.Context) {
+func (d *Driver) readFleets(ctx context.Context) {
 	for _, f := range d.opts.Fleets {
 		f.Read(ctx)
 	}
--- a/load/internal/drive/drive.go
+++ b/load/internal/drive/drive.go
@@ -18,13 +18,14 @@
 
 const (
 	writeDeadline = 2 * time.Second
-	truthEvery    = time.Second
-	// settle is the wait before the last read of the replicas' records, in which they still record canceled requests.
-	settle = 500 * time.Millisecond
-	// maxLies is the number of false claims that a summary lists; the rest is given as a count.
-	maxLies = 20
-	// keptWorst is the number of answers kept as candidates for an explanation.
-	keptWorst = 10
+	pollInterval  = time.Second
+	// settleDelay is the wait before the last read of the replicas' records, in which they still record canceled
+	// requests.
+	settleDelay = 500 * time.Millisecond
+	// maxViolations is the number of false claims that a summary lists; the rest is given as a count.
+	maxViolations = 20
+	// maxWorst is the number of answers kept as candidates for an explanation.
+	maxWorst = 10
 )
 
 // Options configures a Driver.
@@ -47,15 +48,15 @@
 	callers []*hosts.Caller
 	start   time.Time
 
-	mu      sync.Mutex
-	samples []measure.Sample
-	writes  []check.Write
-	told    map[string]int
-	lies    []check.Lie
-	needed  int
+	mu            sync.Mutex
+	samples       []measure.Sample
+	writes        []check.Write
+	writeOutcomes map[string]int
+	violations    []check.Violation
+	needed        int
 	// worst holds the answers with the lowest coverage or the highest latency, the worst first.
-	worst   []scored
-	reasons map[string]int
+	worst        []scored
+	writeReasons map[string]int
 	// queryReasons counts refused and unanswered queries by reason.
 	queryReasons map[string]int
 }
@@ -68,7 +69,7 @@
 
 // New returns a driver with its callers; the first one is the hot caller, which sends the share HotShare of the queries.
 func New(opts Options) (*Driver, error) {
-	d := &Driver{opts: opts, told: map[string]int{}, reasons: map[string]int{}, queryReasons: map[string]int{}}
+	d := &Driver{opts: opts, writeOutcomes: map[string]int{}, writeReasons: map[string]int{}, queryReasons: map[string]int{}}
 	for i := range opts.Scene.Callers {
 		c, err := hosts.New(fmt.Sprintf("caller-%d", i), opts.Hosts)
 		if err != nil {
@@ -81,26 +82,26 @@
 
 // Run sends the scene's requests, waits for all of them, and checks the answers against the records of the replicas.
 func (d *Driver) Run(ctx context.Context) measure.Summary {
-	d.readTruths(ctx)
+	d.readFleets(ctx)
 	before, cpuBefore := d.counts(), d.cpuTime()
 	d.start = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg, watch sync.WaitGroup
-	watch.Go(func() { d.watchTruths(ctx) })
+	watch.Go(func() { d.pollFleets(ctx) })
 	wg.Go(func() { d.sendQueries(ctx) })
 	wg.Go(func() { d.sendWrites(ctx) })
 	wg.Go(func() { d.sendPoison(ctx) })
 	for _, f := range d.opts.Scene.Faults {
-		wg.Go(func() { d.fault(ctx, f) })
+		wg.Go(func() { d.setFault(ctx, f) })
 	}
 	wg.Wait()
-	d.mend()
-	time.Sleep(settle)
+	d.clearFaults()
+	time.Sleep(settleDelay)
 	cpuUsed := d.cpuTime() - cpuBefore
 	cancel()
 	watch.Wait()
-	d.readTruths(context.WithoutCancel(ctx))
+	d.readFleets(context.WithoutCancel(ctx))
 	return d.summary(before, cpuUsed)
 }
 
@@ -124,7 +125,7 @@
 	defer d.mu.Unlock()
 	sc := d.opts.Scene
 	sum := measure.Summarize(d.samples, sc.Warmup.Std(), sc.Duration.Std())
-	sum.Scene, sum.Writes, sum.WriteReasons = sc.Name, d.told, d.reasons
+	sum.Scene, sum.Writes, sum.WriteReasons = sc.Name, d.writeOutcomes, d.writeReasons
 	sum.QueryReasons = d.queryReasons
 	after := d.counts()
 	sum.Sent, sum.Needed, sum.Crashes = after.requests-before.requests, d.needed, after.crashes-before.crashes
@@ -137,32 +138,32 @@
 	sum.PeakConnections = map[string]int{}
 	sum.RefusedConnections = after.refused - before.refused
 	for _, f := range d.opts.Fleets {
-		sum.LostTruths += f.Lost()
+		sum.UnreadReplicas += f.Unread()
 		sum.AfterDrainMS = max(sum.AfterDrainMS, f.AfterDrain())
 		sum.PeakConnections[f.Service] = f.Peak()
 	}
-	d.lies = append(d.lies, check.Writes(d.writes, d.ran())...)
-	sum.Lies = inWords(d.lies)
+	d.violations = append(d.violations, check.Writes(d.writes, d.executions())...)
+	sum.Violations = describe(d.violations)
 	return sum
 }
 
-// ran returns the number of executions of each write, summed over the replicas.
-func (d *Driver) ran() map[string]int {
+// executions returns the number of executions of each write, summed over the replicas.
+func (d *Driver) executions() map[string]int {
 	all := map[string]int{}
 	for _, f := range d.opts.Fleets {
-		for op, n := range f.Ran() {
+		for op, n := range f.Executions() {
 			all[op] += n
 		}
 	}
 	return all
 }
 
-func inWords(lies []check.Lie) []string {
+func describe(violations []check.Violation) []string {
 	var words []string
-	for _, l := range lies[:min(len(lies), maxLies)] {
+	for _, l := range violations[:min(len(violations), maxViolations)] {
 		words = append(words, string(l.Kind)+": "+l.Detail)
 	}
-	if more := len(lies) - maxLies; more > 0 {
+	if more := len(violations) - maxViolations; more > 0 {
 		words = append(words, fmt.Sprintf("and %d more", more))
 	}
 	return words
--- a/load/internal/drive/drive_test.go
+++ b/load/internal/drive/drive_test.go
@@ -20,11 +20,11 @@
 	"guavaspring.org/load/internal/truth"
 )
 
-// fakeHost answers as a host does, after spoil has modified the answer.
+// fakeHost answers as a host does, after corrupt has modified the answer.
 type fakeHost struct {
-	addr  netip.AddrPort
-	spoil func(ans *caller.Answer)
-	write caller.WriteOutcome
+	addr    netip.AddrPort
+	corrupt func(ans *caller.Answer)
+	write   caller.WriteOutcome
 }
 
 func (h *fakeHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 		var q caller.Query
 		_ = json.NewDecoder(r.Body).Decode(&q)
 		ans := trueAnswer(r.Header.Get(caller.HeaderRequest), q.Query)
-		h.spoil(&ans)
+		h.corrupt(&ans)
 		_ = json.NewEncoder(w).Encode(ans)
 	}
 }
@@ -64,11 +64,11 @@
 	// Guards against a false claim that goes undetected: each host corrupts its answers in one way, or reports a write
 	// as not run that the upstream's record contains. A correct host must yield no findings.
 	for _, test := range []struct {
-		name  string
-		spoil func(ans *caller.Answer)
-		write caller.WriteOutcome
-		ran   int
-		want  string
+		name    string
+		corrupt func(ans *caller.Answer)
+		write   caller.WriteOutcome
+		ran     int
+		want    string
 	}{
 		{"true", func(*caller.Answer) {}, caller.WriteDone, 1, ""},
 		{"mixes snapshots", func(ans *caller.Answer) { ans.Snapshot.Version = 8 }, caller.WriteDone, 1, "mixed_snapshots"},
@@ -80,21 +80,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			sum := runAgainst(c, &fakeHost{spoil: test.spoil, write: test.write}, test.ran)
+			sum := runAgainst(c, &fakeHost{corrupt: test.corrupt, write: test.write}, test.ran)
 			c.Assert(sum.Offered > 0, qt.IsTrue)
 			if test.want == "" {
-				c.Assert(sum.Lies, qt.HasLen, 0)
+				c.Assert(sum.Violations, qt.HasLen, 0)
 				return
 			}
-			c.Assert(sum.Lies, qt.Not(qt.HasLen), 0)
-			c.Assert(sum.Lies[0], qt.Contains, test.want)
+			c.Assert(sum.Violations, qt.Not(qt.HasLen), 0)
+			c.Assert(sum.Violations[0], qt.Contains, test.want)
 		})
 	}
 }
 
 type summary struct {
-	Offered int
-	Lies    []string
+	Offered    int
+	Violations []string
 }
 
 // runAgainst runs a short scene against the host; the upstream's record contains each write the given number of times.
@@ -121,5 +121,5 @@
 	})
 	c.Assert(err, qt.IsNil)
 	sum := d.Run(context.Background())
-	return summary{Offered: sum.Offered, Lies: sum.Lies}
+	return summary{Offered: sum.Offered, Violations: sum.Violations}
 }
--- a/load/internal/drive/faults.go
+++ b/load/internal/drive/faults.go
@@ -9,17 +9,17 @@
 	"guavaspring.org/load/internal/truth"
 )
 
-func (d *Driver) fault(ctx context.Context, f scene.Fault) {
+func (d *Driver) setFault(ctx context.Context, f scene.Fault) {
 	if !sleepUntil(ctx, d.start.Add(f.At.Std())) {
 		return
 	}
 	body, err := f.Body()
 	if err != nil {
-		d.fail(err)
+		d.recordFaultError(err)
 		return
 	}
 	if f.Service == "" {
-		d.fail(truth.Command(ctx, d.opts.Platform, body))
+		d.recordFaultError(truth.SetPlatformFaults(ctx, d.opts.Platform, body))
 		return
 	}
 	for _, fleet := range d.opts.Fleets {
@@ -27,21 +27,21 @@
 			continue
 		}
 		for _, i := range f.Replicas {
-			d.fail(fleet.Command(ctx, i, body))
+			d.recordFaultError(fleet.SetFaults(ctx, i, body))
 		}
 	}
 }
 
-// mended clears every lasting fault of a replica, so that the next run starts with healthy upstreams.
-const mended = `{"slow":1,"straggler_share":0,"shed_share":0,"draining":false,"claim_load":"","claim_lag":"0s","crash_marker":"","lose_replies":0,"reset_before":0,"foreign":0}`
+// noFaults clears every lasting fault of a replica, so that the next run starts with healthy upstreams.
+const noFaults = `{"slow":1,"straggler_share":0,"shed_share":0,"draining":false,"claim_load":"","claim_lag":"0s","crash_marker":"","lose_replies":0,"reset_before":0,"foreign":0}`
 
-// mend clears the faults of the run. A replica that is down can't be reached; it restarts without faults.
-func (d *Driver) mend() {
+// clearFaults clears the faults of the run. A replica that is down can't be reached; it restarts without faults.
+func (d *Driver) clearFaults() {
 	ctx, cancel := context.WithTimeout(context.Background(), writeDeadline)
 	defer cancel()
 	for _, f := range d.opts.Scene.Faults {
 		if f.Service == "" {
-			_ = truth.Command(ctx, d.opts.Platform, json.RawMessage(`{}`))
+			_ = truth.SetPlatformFaults(ctx, d.opts.Platform, json.RawMessage(`{}`))
 			continue
 		}
 		for _, fleet := range d.opts.Fleets {
@@ -49,19 +49,19 @@
 				continue
 			}
 			for _, i := range f.Replicas {
-				_ = fleet.Command(ctx, i, json.RawMessage(mended))
+				_ = fleet.SetFaults(ctx, i, json.RawMessage(noFaults))
 			}
 		}
 	}
 }
 
-// fail records a fault that could not be set among the false claims of the run, so that the run does not count as one
-// with the fault.
-func (d *Driver) fail(err error) {
+// recordFaultError records a fault that could not be set among the false claims of the run, so that the run does not
+// count as one with the fault.
+func (d *Driver) recordFaultError(err error) {
 	if err == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lies = append(d.lies, check.Lie{Kind: "fault_not_set", Detail: err.Error()})
+	d.violations = append(d.violations, check.Violation{Kind: "fault_not_set", Detail: err.Error()})
 }
--- a/load/internal/drive/queries.go
+++ b/load/internal/drive/queries.go
@@ -28,13 +28,13 @@
 		if at > sc.Duration.Std() || !sleepUntil(ctx, d.start.Add(at)) {
 			return
 		}
-		from, hot := d.sender(rnd)
+		from, hot := d.pickCaller(rnd)
 		wg.Go(func() { d.query(ctx, from, hot, n, at) })
 	}
 }
 
-// sender picks the caller of the next query at random; hot is set for the caller with the hot share.
-func (d *Driver) sender(rnd *rand.Rand) (c *hosts.Caller, hot bool) {
+// pickCaller picks the caller of the next query at random; hot is set for the caller with the hot share.
+func (d *Driver) pickCaller(rnd *rand.Rand) (c *hosts.Caller, hot bool) {
 	if len(d.callers) == 1 {
 		return d.callers[0], true
 	}
@@ -46,7 +46,7 @@
 
 func (d *Driver) query(ctx context.Context, from *hosts.Caller, hot bool, n int, at time.Duration) {
 	sc := d.opts.Scene
-	asked := check.Asked{
+	request := check.Request{
 		RequestID: fmt.Sprintf("%s-q%d", d.opts.Run, n), Service: sc.Service,
 		Query: fmt.Sprintf("%s question %d", d.opts.Run, n), Limit: sc.Limit,
 	}
@@ -54,39 +54,39 @@
 	ctx, cancel := context.WithDeadline(ctx, due.Add(sc.Deadline.Std()+grace))
 	defer cancel()
 	res := from.Query(ctx, hosts.QueryRequest{
-		Service: sc.Service, ID: asked.RequestID, Deadline: due.Add(sc.Deadline.Std()),
-		Query: caller.Query{Query: asked.Query, Limit: sc.Limit}, Retry: sc.RetryRefused,
+		Service: sc.Service, ID: request.RequestID, Deadline: due.Add(sc.Deadline.Std()),
+		Query: caller.Query{Query: request.Query, Limit: sc.Limit}, Retry: sc.RetryRefused,
 	})
 	now := time.Now()
 	s := measure.Sample{At: at, Took: now.Sub(due), Refusal: res.Refusal, Hot: hot, Outcome: measure.OutcomeError}
-	s.Late = s.Took > sc.Deadline.Std()+lateness
+	s.Late = s.Took > sc.Deadline.Std()+lateTolerance
 	if res.Err == nil {
 		s.Outcome, s.Share, s.Shards = res.Answer.Outcome, res.Answer.Coverage.Share, res.Answer.Snapshot.Shards
 	}
-	d.note(s, asked, res)
+	d.recordQuery(s, request, res)
 }
 
 const (
 	// grace is the time after the deadline within which a caller still accepts an answer that the host cut off at the
 	// deadline.
 	grace = 300 * time.Millisecond
-	// lateness is the tolerance after the deadline for an answer to count as in time. It covers the network and
+	// lateTolerance is the tolerance after the deadline for an answer to count as in time. It covers the network and
 	// scheduling delay of the response.
-	lateness = 15 * time.Millisecond
+	lateTolerance = 15 * time.Millisecond
 )
 
-func (d *Driver) note(s measure.Sample, asked check.Asked, res hosts.QueryResult) {
-	var lies []check.Lie
+func (d *Driver) recordQuery(s measure.Sample, request check.Request, res hosts.QueryResult) {
+	var violations []check.Violation
 	if res.Err == nil {
-		lies = check.Answer(asked, res.Answer)
+		violations = check.Answer(request, res.Answer)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.samples = append(d.samples, s)
-	d.lies = append(d.lies, lies...)
+	d.violations = append(d.violations, violations...)
 	switch {
 	case res.Err != nil:
-		d.queryReasons["error: "+withoutIDs(res.Err.Error(), asked)]++
+		d.queryReasons["error: "+withoutIDs(res.Err.Error(), request)]++
 		return
 	case s.Outcome == caller.OutcomeRefused:
 		d.queryReasons["refused: "+res.Answer.Reason]++
@@ -95,7 +95,7 @@
 	d.needed += s.Shards
 	d.worst = append(d.worst, scored{answer: res.Answer, score: (1-s.Share)*1000 + s.Took.Seconds()})
 	slices.SortFunc(d.worst, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	d.worst = d.worst[:min(len(d.worst), keptWorst)]
+	d.worst = d.worst[:min(len(d.worst), maxWorst)]
 }
 
 // sendPoison sends a query that crashes its replicas repeatedly, each time as a new request. The text contains the name
@@ -119,6 +119,6 @@
 }
 
 // withoutIDs replaces the request id, so that equal errors of different requests are counted together.
-func withoutIDs(text string, asked check.Asked) string {
-	return strings.ReplaceAll(text, asked.RequestID, "ID")
+func withoutIDs(text string, request check.Request) string {
+	return strings.ReplaceAll(text, request.RequestID, "ID")
 }
--- a/load/internal/drive/writes.go
+++ b/load/internal/drive/writes.go
@@ -38,16 +38,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.told["not_sent"]++
-		d.reasons["not_sent: "+err.Error()]++
+		d.writeOutcomes["not_sent"]++
+		d.writeReasons["not_sent: "+err.Error()]++
 		return
 	}
-	d.writes = append(d.writes, check.Write{OpID: op, Told: res.Told})
-	d.told[string(final(res.Told))]++
-	if outcome := final(res.Told); outcome != caller.WriteDone {
-		d.reasons[string(outcome)+": "+res.Reason]++
+	d.writes = append(d.writes, check.Write{OpID: op, Outcomes: res.Outcomes})
+	d.writeOutcomes[string(finalOutcome(res.Outcomes))]++
+	if outcome := finalOutcome(res.Outcomes); outcome != caller.WriteDone {
+		d.writeReasons[string(outcome)+": "+res.Reason]++
 	}
 }
 
-// final returns the last outcome: a known outcome of a later attempt replaces an unknown one.
-func final(told []caller.WriteOutcome) caller.WriteOutcome { return told[len(told)-1] }
+// finalOutcome returns the last outcome: a known outcome of a later attempt replaces an unknown one.
+func finalOutcome(outcomes []caller.WriteOutcome) caller.WriteOutcome {
+	return outcomes[len(outcomes)-1]
+}
--- a/load/internal/hosts/caller.go
+++ b/load/internal/hosts/caller.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// connections is the maximum number of idle connections that a caller keeps to one host.
-	connections = 8
-	// maxSends is the maximum number of addresses that a caller contacts for one request.
-	maxSends = 3
-	// resends is the maximum number of retries of a write with unknown outcome.
-	resends = 2
-	// ticketsWanted is the number of write tickets that a caller requests for each address.
-	ticketsWanted = 4
-	addressWait   = 2 * time.Second
+	// maxIdleConns is the maximum number of idle connections that a caller keeps to one host.
+	maxIdleConns = 8
+	// maxAttempts is the maximum number of addresses that a caller contacts for one request.
+	maxAttempts = 3
+	// maxWriteRetries is the maximum number of retries of a write with unknown outcome.
+	maxWriteRetries = 2
+	// ticketsPerAddress is the number of write tickets that a caller requests for each address.
+	ticketsPerAddress = 4
+	addressTimeout    = 2 * time.Second
 )
 
 // ErrNoTicket means that no host issued a write ticket and none can take the write without one.
@@ -35,8 +35,8 @@
 	client *caller.Client
 	seeds  []netip.AddrPort
 
-	mu   sync.Mutex
-	kept map[string]*addresses
+	mu    sync.Mutex
+	cache map[string]*addresses
 }
 
 type addresses struct {
@@ -46,11 +46,11 @@
 
 // New returns a caller with the given name that requests addresses from the seeds.
 func New(name string, seeds []netip.AddrPort) (*Caller, error) {
-	client, err := caller.New(name, connections)
+	client, err := caller.New(name, maxIdleConns)
 	if err != nil {
 		return nil, fmt.Errorf("caller %s: %w", name, err)
 	}
-	return &Caller{client: client, seeds: seeds, kept: map[string]*addresses{}}, nil
+	return &Caller{client: client, seeds: seeds, cache: map[string]*addresses{}}, nil
 }
 
 // QueryResult is the outcome of one query at its caller.
@@ -58,8 +58,8 @@
 	Answer caller.Answer
 	// Err is set if no host answered.
 	Err error
-	// Sends is the number of attempts.
-	Sends int
+	// Attempts is the number of attempts.
+	Attempts int
 	// Refusal is the time until the first refusal, zero if there was none.
 	Refusal time.Duration
 }
@@ -95,7 +95,7 @@
 		return res
 	}
 	again := c.query(ctx, req)
-	again.Sends, again.Refusal = again.Sends+res.Sends, refusal
+	again.Attempts, again.Refusal = again.Attempts+res.Attempts, refusal
 	return again
 }
 
@@ -103,13 +103,13 @@
 func (c *Caller) query(ctx context.Context, req QueryRequest) QueryResult {
 	var res QueryResult
 	var failed []netip.AddrPort
-	for res.Sends < maxSends {
+	for res.Attempts < maxAttempts {
 		addr, err := c.pick(ctx, req.Service, failed)
 		if err != nil {
 			res.Err = err
 			return res
 		}
-		res.Sends++
+		res.Attempts++
 		res.Answer, res.Err = c.client.Query(ctx, caller.Request{
 			Host: addr.Address, Service: req.Service, ID: req.ID, Deadline: max(time.Until(req.Deadline), time.Millisecond),
 		}, req.Query)
@@ -118,15 +118,15 @@
 			return res
 		}
 		failed = append(failed, addr.Address)
-		c.forget(req.Service, addr.Address)
+		c.evict(req.Service, addr.Address)
 	}
 	return res
 }
 
 // WriteResult is the outcome of one write at its caller.
 type WriteResult struct {
-	// Told lists the outcome of each attempt; a lost connection counts as unknown.
-	Told []caller.WriteOutcome
+	// Outcomes lists the outcome of each attempt; a lost connection counts as unknown.
+	Outcomes []caller.WriteOutcome
 	// Reason is the reason of the last attempt.
 	Reason string
 }
@@ -137,7 +137,7 @@
 // It takes a new ticket only if no connection to the ticket's host was established, since then the write did not run.
 func (c *Caller) Write(ctx context.Context, service string, w caller.Write) (WriteResult, error) {
 	var err error
-	for range maxSends {
+	for range maxAttempts {
 		var res WriteResult
 		if res, err = c.writeOnce(ctx, service, w); err == nil || ctx.Err() != nil {
 			return res, err
@@ -153,17 +153,17 @@
 	}
 	var res WriteResult
 	target := addr
-	for range 1 + resends {
+	for range 1 + maxWriteRetries {
 		outcome, reason, err := c.send(ctx, target, service, ticket, w)
-		if err != nil && len(res.Told) == 0 {
-			c.forget(service, target)
+		if err != nil && len(res.Outcomes) == 0 {
+			c.evict(service, target)
 			return WriteResult{}, err
 		}
-		res.Told, res.Reason = append(res.Told, outcome), reason
+		res.Outcomes, res.Reason = append(res.Outcomes, outcome), reason
 		if outcome != caller.WriteUnknown || ctx.Err() != nil {
 			break
 		}
-		if len(res.Told) > 1 {
+		if len(res.Outcomes) > 1 {
 			if other, err := c.pick(ctx, service, []netip.AddrPort{addr}); err == nil {
 				target = other.Address
 			}
@@ -174,7 +174,7 @@
 
 // send returns an error only if no connection was established.
 func (c *Caller) send(ctx context.Context, addr netip.AddrPort, service, ticket string, w caller.Write) (caller.WriteOutcome, string, error) {
-	ans, err := c.client.Write(ctx, caller.Request{Host: addr, Service: service, ID: w.OpID, Deadline: left(ctx), Ticket: ticket}, w)
+	ans, err := c.client.Write(ctx, caller.Request{Host: addr, Service: service, ID: w.OpID, Deadline: timeLeft(ctx), Ticket: ticket}, w)
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
@@ -217,7 +217,7 @@
 func (c *Caller) takeTicket(service string) (netip.AddrPort, string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.kept[service]
+	kept := c.cache[service]
 	if kept == nil || time.Now().After(kept.until) {
 		return netip.AddrPort{}, "", false
 	}
@@ -237,24 +237,24 @@
 }
 
 // pick returns a random address by weight, without those that failed. It requests new addresses if the cached ones are
-// expired or all failed.
+// expired or have all failed.
 func (c *Caller) pick(ctx context.Context, service string, failed []netip.AddrPort) (caller.Address, error) {
-	if addr, ok := c.fromKept(service, failed); ok {
+	if addr, ok := c.pickCached(service, failed); ok {
 		return addr, nil
 	}
 	if err := c.refresh(ctx, service, failed); err != nil {
 		return caller.Address{}, err
 	}
-	if addr, ok := c.fromKept(service, failed); ok {
+	if addr, ok := c.pickCached(service, failed); ok {
 		return addr, nil
 	}
-	return caller.Address{}, fmt.Errorf("all addresses of service %s failed", service)
+	return caller.Address{}, fmt.Errorf("no usable address of service %s left", service)
 }
 
-func (c *Caller) fromKept(service string, failed []netip.AddrPort) (caller.Address, bool) {
+func (c *Caller) pickCached(service string, failed []netip.AddrPort) (caller.Address, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.kept[service]
+	kept := c.cache[service]
 	if kept == nil || time.Now().After(kept.until) {
 		return caller.Address{}, false
 	}
@@ -283,31 +283,31 @@
 		if slices.Contains(failed, c.seeds[i]) {
 			continue
 		}
-		askCtx, cancel := context.WithTimeout(ctx, addressWait)
-		reply, err := c.client.Addresses(askCtx, caller.Request{Host: c.seeds[i], Service: service}, ticketsWanted)
+		askCtx, cancel := context.WithTimeout(ctx, addressTimeout)
+		reply, err := c.client.Addresses(askCtx, caller.Request{Host: c.seeds[i], Service: service}, ticketsPerAddress)
 		cancel()
 		if err != nil || len(reply.Addresses) == 0 {
 			last = err
 			continue
 		}
 		c.mu.Lock()
-		c.kept[service] = &addresses{list: reply.Addresses, until: time.Now().Add(time.Duration(reply.KeepMS) * time.Millisecond)}
+		c.cache[service] = &addresses{list: reply.Addresses, until: time.Now().Add(time.Duration(reply.KeepMS) * time.Millisecond)}
 		c.mu.Unlock()
 		return nil
 	}
 	return fmt.Errorf("no host returned addresses of service %s: %w", service, last)
 }
 
-// forget removes an address from the cache after its connection failed.
-func (c *Caller) forget(service string, addr netip.AddrPort) {
+// evict removes an address from the cache after its connection failed.
+func (c *Caller) evict(service string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if kept := c.kept[service]; kept != nil {
+	if kept := c.cache[service]; kept != nil {
 		kept.list = slices.DeleteFunc(slices.Clone(kept.list), func(a caller.Address) bool { return a.Address == addr })
 	}
 }
 
-func left(ctx context.Context) time.Duration {
+func timeLeft(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
--- a/load/internal/hosts/caller_test.go
+++ b/load/internal/hosts/caller_test.go
@@ -80,9 +80,9 @@
 	c.Assert(err, qt.IsNil)
 	res := query(c, one, false)
 	c.Assert(res.Err, qt.IsNil)
-	c.Assert(res.Sends, qt.Equals, 2)
+	c.Assert(res.Attempts, qt.Equals, 2)
 	// The dead address must not be used again while the addresses are cached.
-	c.Assert(query(c, one, false).Sends, qt.Equals, 1)
+	c.Assert(query(c, one, false).Attempts, qt.Equals, 1)
 }
 
 func TestRefusedQueryIsSentAgainOnlyAsTheRefusalSays(t *testing.T) {
@@ -112,7 +112,7 @@
 			one, err := hosts.New("c", []netip.AddrPort{addr})
 			c.Assert(err, qt.IsNil)
 			res := query(c, one, test.retry)
-			c.Assert(res.Sends, qt.Equals, test.want)
+			c.Assert(res.Attempts, qt.Equals, test.want)
 			c.Assert(res.Refusal > 0, qt.IsTrue)
 		})
 	}
@@ -134,7 +134,7 @@
 	c.Assert(err, qt.IsNil)
 	res, err := one.Write(context.Background(), "s", caller.Write{OpID: "op"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(res.Told, qt.DeepEquals, []caller.WriteOutcome{caller.WriteUnknown, caller.WriteUnknown, caller.WriteDone})
+	c.Assert(res.Outcomes, qt.DeepEquals, []caller.WriteOutcome{caller.WriteUnknown, caller.WriteUnknown, caller.WriteDone})
 	c.Assert(h.tickets, qt.DeepEquals, []string{"t1", "t1", "t1"})
 }
 
@@ -151,7 +151,7 @@
 		c.Assert(err, qt.IsNil)
 		res, err := one.Write(context.Background(), "s", caller.Write{OpID: "op"})
 		c.Assert(err, qt.IsNil)
-		c.Assert(res.Told, qt.DeepEquals, []caller.WriteOutcome{caller.WriteDone})
+		c.Assert(res.Outcomes, qt.DeepEquals, []caller.WriteOutcome{caller.WriteDone})
 	}
 	for _, ticket := range h.tickets {
 		c.Assert(ticket, qt.Equals, "alive")
--- a/load/internal/measure/measure.go
+++ b/load/internal/measure/measure.go
@@ -10,9 +10,9 @@
 
 // The histograms cover 1 microsecond to 60 seconds, in microseconds, with three significant digits.
 const (
-	lowest  = 1
-	highest = 60_000_000
-	digits  = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
 )
 
 // Sample is the outcome of one query at its caller.
@@ -85,8 +85,8 @@
 	// PeakConnections is the highest number of connections at any replica since its start, by service.
 	PeakConnections    map[string]int `json:"peak_connections"`
 	RefusedConnections int            `json:"refused_connections"`
-	// LostTruths is the number of replicas whose record could not be read at the end; Sent lacks their last second.
-	LostTruths int `json:"lost_truths"`
+	// UnreadReplicas is the number of replicas whose record could not be read at the end; Sent lacks their last second.
+	UnreadReplicas int `json:"lost_truths"`
 
 	// Crashes is the number of crashes of replicas caused by a request.
 	Crashes int `json:"crashes"`
@@ -98,8 +98,8 @@
 	// Writes counts the writes by final outcome, WriteReasons those that are not done by outcome and reason.
 	Writes       map[string]int `json:"writes,omitempty"`
 	WriteReasons map[string]int `json:"write_reasons,omitempty"`
-	// Lies lists the false claims of answers and writes, and faults that could not be set.
-	Lies []string `json:"lies,omitempty"`
+	// Violations lists the false claims of answers and writes, and faults that could not be set.
+	Violations []string `json:"lies,omitempty"`
 }
 
 // Summarize returns the measures that follow from the samples; those scheduled before warmup are left out. The length
@@ -175,11 +175,13 @@
 	return b.sum
 }
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+func histogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
+}
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	// Values outside the range are clamped, so that none is dropped.
-	_ = h.RecordValue(min(max(d.Microseconds(), lowest), highest))
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
--- a/load/internal/report/files.go
+++ b/load/internal/report/files.go
@@ -11,8 +11,8 @@
 	"guavaspring.org/load/internal/measure"
 )
 
-// fileOf returns the path DIR/SCENE/POLICY-ROUND.EXT of a file of one run.
-func fileOf(dir string, sum measure.Summary, ext string) string {
+// runFile returns the path DIR/SCENE/POLICY-ROUND.EXT of a file of one run.
+func runFile(dir string, sum measure.Summary, ext string) string {
 	return filepath.Join(dir, sum.Scene, fmt.Sprintf("%s-%d.%s", sum.Policy, sum.Round, ext))
 }
 
@@ -25,17 +25,17 @@
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if err := os.WriteFile(fileOf(dir, sum, "json"), b, 0o644); err != nil {
+	if err := os.WriteFile(runFile(dir, sum, "json"), b, 0o644); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	rows := [][]string{{"at_ms", "took_ms", "refusal_ms", "hot", "outcome", "share", "late"}}
 	for _, s := range samples {
 		rows = append(rows, []string{
-			millis(s.At.Seconds()), millis(s.Took.Seconds()), millis(s.Refusal.Seconds()), strconv.FormatBool(s.Hot),
+			formatMillis(s.At.Seconds()), formatMillis(s.Took.Seconds()), formatMillis(s.Refusal.Seconds()), strconv.FormatBool(s.Hot),
 			string(s.Outcome), strconv.FormatFloat(s.Share, 'f', 4, 64), strconv.FormatBool(s.Late),
 		})
 	}
-	return writeCSV(fileOf(dir, sum, "csv"), rows)
+	return writeCSV(runFile(dir, sum, "csv"), rows)
 }
 
 // Read returns the summary of every run stored in dir.
@@ -69,11 +69,11 @@
 	}}
 	for _, s := range list {
 		rows = append(rows, []string{
-			s.Scene, s.Policy, strconv.Itoa(s.Round), strconv.Itoa(s.Offered), num(s.Goodput), num(s.Complete.P50), num(s.Complete.P99), num(s.Complete.P999),
-			num(s.All.P50), num(s.All.P99), num(s.All.P999), num(s.Others.P99), num(s.CoverageMean), num(s.CoverageWorst), num(s.CompleteShare),
-			strconv.Itoa(s.Sent), strconv.Itoa(s.Needed), num(s.Extra), strconv.Itoa(s.Refused), num(s.Refusals.P99), strconv.Itoa(s.Failed),
-			strconv.Itoa(s.Errors), strconv.Itoa(s.Late), num(s.CPUPerQueryMS),
-			strconv.Itoa(peak(s)), strconv.Itoa(s.RefusedConnections), strconv.Itoa(len(s.Lies)),
+			s.Scene, s.Policy, strconv.Itoa(s.Round), strconv.Itoa(s.Offered), formatFloat(s.Goodput), formatFloat(s.Complete.P50), formatFloat(s.Complete.P99), formatFloat(s.Complete.P999),
+			formatFloat(s.All.P50), formatFloat(s.All.P99), formatFloat(s.All.P999), formatFloat(s.Others.P99), formatFloat(s.CoverageMean), formatFloat(s.CoverageWorst), formatFloat(s.CompleteShare),
+			strconv.Itoa(s.Sent), strconv.Itoa(s.Needed), formatFloat(s.Extra), strconv.Itoa(s.Refused), formatFloat(s.Refusals.P99), strconv.Itoa(s.Failed),
+			strconv.Itoa(s.Errors), strconv.Itoa(s.Late), formatFloat(s.CPUPerQueryMS),
+			strconv.Itoa(peak(s)), strconv.Itoa(s.RefusedConnections), strconv.Itoa(len(s.Violations)),
 		})
 	}
 	return writeCSV(file, rows)
@@ -95,9 +95,9 @@
 	return nil
 }
 
-func num(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
 
-func millis(seconds float64) string { return strconv.FormatFloat(seconds*1000, 'f', 3, 64) }
+func formatMillis(seconds float64) string { return strconv.FormatFloat(seconds*1000, 'f', 3, 64) }
 
 func peak(s measure.Summary) int {
 	most := 0
--- a/load/internal/report/plot.go
+++ b/load/internal/report/plot.go
@@ -57,8 +57,8 @@
 
 func (t *Table) took(dir, sceneName, policy string) ([]float64, error) {
 	var all []float64
-	for _, run := range t.of(sceneName, policy) {
-		list, err := ReadSamples(fileOf(dir, run, "csv"))
+	for _, run := range t.runsOf(sceneName, policy) {
+		list, err := ReadSamples(runFile(dir, run, "csv"))
 		if err != nil {
 			return nil, err
 		}
--- a/load/internal/report/table.go
+++ b/load/internal/report/table.go
@@ -22,8 +22,8 @@
 
 // Spread summarizes a measure over N rounds.
 type Spread struct {
-	Median, Least, Most float64
-	N                   int
+	Median, Min, Max float64
+	N                int
 }
 
 // SpreadOf returns the spread of the values, or the zero Spread where there are none.
@@ -33,7 +33,7 @@
 	}
 	s := slices.Sorted(slices.Values(values))
 	mid := (s[(len(s)-1)/2] + s[len(s)/2]) / 2
-	return Spread{Median: mid, Least: s[0], Most: s[len(s)-1], N: len(s)}
+	return Spread{Median: mid, Min: s[0], Max: s[len(s)-1], N: len(s)}
 }
 
 // String returns the median with the minimum and maximum.
@@ -41,12 +41,12 @@
 	if s.N == 0 {
 		return "not run"
 	}
-	return fmt.Sprintf("%.4g [%.4g..%.4g]", s.Median, s.Least, s.Most)
+	return fmt.Sprintf("%.4g [%.4g..%.4g]", s.Median, s.Min, s.Max)
 }
 
-// Apart reports whether the ranges of two spreads are disjoint; a difference between overlapping spreads is noise.
-func (s Spread) Apart(other Spread) bool {
-	return s.N > 0 && other.N > 0 && (s.Most < other.Least || other.Most < s.Least)
+// Disjoint reports whether the ranges of two spreads are disjoint; a difference between overlapping spreads is noise.
+func (s Spread) Disjoint(other Spread) bool {
+	return s.N > 0 && other.N > 0 && (s.Max < other.Min || other.Max < s.Min)
 }
 
 // Table holds the summaries of all stored runs.
@@ -55,16 +55,16 @@
 // New returns a table of the runs.
 func New(runs []measure.Summary) *Table { return &Table{runs: runs} }
 
-// figure returns the spread of f over the rounds of one scene and policy.
-func (t *Table) figure(sceneName, policy string, f func(measure.Summary) float64) Spread {
+// overRounds returns the spread of f over the rounds of one scene and policy.
+func (t *Table) overRounds(sceneName, policy string, f func(measure.Summary) float64) Spread {
 	var values []float64
-	for _, r := range t.of(sceneName, policy) {
+	for _, r := range t.runsOf(sceneName, policy) {
 		values = append(values, f(r))
 	}
 	return SpreadOf(values)
 }
 
-func (t *Table) of(sceneName, policy string) []measure.Summary {
+func (t *Table) runsOf(sceneName, policy string) []measure.Summary {
 	var list []measure.Summary
 	for _, r := range t.runs {
 		if r.Scene == sceneName && r.Policy == policy {
@@ -76,19 +76,19 @@
 }
 
 // WriteMeasures writes the measures of every scene and policy over its rounds: the median of each, but the minimum of
-// the worst coverage and the maximum of the lies.
+// the worst coverage and the maximum number of false claims.
 func (t *Table) WriteMeasures(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "scene\tpolicy\tcomplete p50/p99/p99.9 ms\tall p50/p99/p99.9 ms\tp99 of all, spread\tcoverage mean/complete/worst\textra load\tgoodput/s\trefused\tfailed+errors\tlies")
 	for _, key := range t.keys() {
-		f := func(get func(measure.Summary) float64) Spread { return t.figure(key[0], key[1], get) }
+		f := func(get func(measure.Summary) float64) Spread { return t.overRounds(key[0], key[1], get) }
 		fmt.Fprintf(tw, "%s\t%s\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t%s\t%.3f/%.3f/%.2f\t%.1f%%\t%.0f\t%.0f\t%.0f\t%.0f\n", key[0], key[1],
 			f(func(s measure.Summary) float64 { return s.Complete.P50 }).Median, f(func(s measure.Summary) float64 { return s.Complete.P99 }).Median, f(func(s measure.Summary) float64 { return s.Complete.P999 }).Median,
 			f(func(s measure.Summary) float64 { return s.All.P50 }).Median, f(allP99).Median, f(func(s measure.Summary) float64 { return s.All.P999 }).Median, f(allP99),
-			f(func(s measure.Summary) float64 { return s.CoverageMean }).Median, f(func(s measure.Summary) float64 { return s.CompleteShare }).Median, f(func(s measure.Summary) float64 { return s.CoverageWorst }).Least,
+			f(func(s measure.Summary) float64 { return s.CoverageMean }).Median, f(func(s measure.Summary) float64 { return s.CompleteShare }).Median, f(func(s measure.Summary) float64 { return s.CoverageWorst }).Min,
 			f(func(s measure.Summary) float64 { return s.Extra }).Median*100,
 			f(func(s measure.Summary) float64 { return s.Goodput }).Median, f(func(s measure.Summary) float64 { return float64(s.Refused) }).Median,
-			f(func(s measure.Summary) float64 { return float64(s.Failed + s.Errors) }).Median, f(func(s measure.Summary) float64 { return float64(len(s.Lies)) }).Most)
+			f(func(s measure.Summary) float64 { return float64(s.Failed + s.Errors) }).Median, f(func(s measure.Summary) float64 { return float64(len(s.Violations)) }).Max)
 	}
 	return tw.Flush()
 }
@@ -107,12 +107,12 @@
 	return keys
 }
 
-// Lies returns the number of false claims found in the runs of a policy.
-func (t *Table) Lies(policy string) int {
+// Violations returns the number of false claims found in the runs of a policy.
+func (t *Table) Violations(policy string) int {
 	n := 0
 	for _, r := range t.runs {
 		if r.Policy == policy {
-			n += len(r.Lies)
+			n += len(r.Violations)
 		}
 	}
 	return n
@@ -124,15 +124,15 @@
 	fmt.Fprintln(tw, "scene\tmeasure\taim\tguavaspring\tbaseline\tverdict\tagainst the baseline")
 	for _, sc := range scenes {
 		for _, aim := range sc.Aims {
-			ours, err := t.measured(sc, aim.Measure, PolicySystem)
+			ours, err := t.measureSpread(sc, aim.Measure, PolicySystem)
 			if err != nil {
 				return err
 			}
-			plain, err := t.measured(sc, aim.Measure, PolicyBaseline)
+			plain, err := t.measureSpread(sc, aim.Measure, PolicyBaseline)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", sc.Name, aim.Measure, aim.Bounds(), ours, plain, verdict(aim, ours), against(ours, plain))
+			fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", sc.Name, aim.Measure, aim.Bounds(), ours, plain, verdict(aim, ours), compareToBaseline(ours, plain))
 		}
 	}
 	return tw.Flush()
@@ -144,22 +144,22 @@
 		return "not run"
 	case aim.AtMost == nil && aim.AtLeast == nil:
 		return "no bound set"
-	case aim.Met(s.Least) && aim.Met(s.Most):
+	case aim.Met(s.Min) && aim.Met(s.Max):
 		return "met"
-	case !aim.Met(s.Least) && !aim.Met(s.Most):
+	case !aim.Met(s.Min) && !aim.Met(s.Max):
 		return "missed"
 	default:
 		return "not settled: the rounds disagree"
 	}
 }
 
-func against(ours, plain Spread) string {
+func compareToBaseline(ours, plain Spread) string {
 	switch {
 	case ours.N == 0 || plain.N == 0:
 		return "not run"
 	case ours.N < 2 || plain.N < 2:
 		return "one round only"
-	case !ours.Apart(plain):
+	case !ours.Disjoint(plain):
 		return "no difference outside the spread"
 	case plain.Median == 0:
 		return fmt.Sprintf("%+.4g", ours.Median)
@@ -168,15 +168,15 @@
 	}
 }
 
-// measured returns the spread of a measure; ratios are computed against the reference run of the same round.
-func (t *Table) measured(sc scene.Scene, name, policy string) (Spread, error) {
+// measureSpread returns the spread of a measure; ratios are computed against the reference run of the same round.
+func (t *Table) measureSpread(sc scene.Scene, name, policy string) (Spread, error) {
 	get, ok := Measures[name]
 	if !ok {
 		return Spread{}, fmt.Errorf("scene %s: unknown measure %q", sc.Name, name)
 	}
-	refs := t.of(sc.Name+ReferenceSuffix, policy)
+	refs := t.runsOf(sc.Name+ReferenceSuffix, policy)
 	var values []float64
-	for _, run := range t.of(sc.Name, policy) {
+	for _, run := range t.runsOf(sc.Name, policy) {
 		var ref measure.Summary
 		if i := slices.IndexFunc(refs, func(r measure.Summary) bool { return r.Round == run.Round }); i >= 0 {
 			ref = refs[i]
@@ -202,7 +202,7 @@
 	"failed":                func(run, _ measure.Summary) float64 { return float64(run.Failed + run.Errors) },
 	"unanswered":            func(run, _ measure.Summary) float64 { return float64(run.Failed + run.Errors + run.Refused) },
 	"cpu_per_query_ms":      func(run, _ measure.Summary) float64 { return run.CPUPerQueryMS },
-	"lies":                  func(run, _ measure.Summary) float64 { return float64(len(run.Lies)) },
+	"lies":                  func(run, _ measure.Summary) float64 { return float64(len(run.Violations)) },
 	"crashes":               func(run, _ measure.Summary) float64 { return float64(run.Crashes) },
 	"after_drain_ms":        func(run, _ measure.Summary) float64 { return float64(run.AfterDrainMS) },
 	"writes_done_share":     func(run, _ measure.Summary) float64 { return writesShare(run, "done") },
--- a/load/internal/report/table_test.go
+++ b/load/internal/report/table_test.go
@@ -57,7 +57,7 @@
 	c := qt.New(t)
 	dir := c.TempDir()
 	sum := run(report.PolicySystem, 1, 12.5)
-	sum.Lies = []string{"x"}
+	sum.Violations = []string{"x"}
 	c.Assert(report.Write(dir, sum, []measure.Sample{{Outcome: "complete", Took: 5_000_000}, {Outcome: "refused"}}), qt.IsNil)
 	runs, err := report.Read(dir)
 	c.Assert(err, qt.IsNil)
--- a/load/internal/truth/truth.go
+++ b/load/internal/truth/truth.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	readTimeout = 2 * time.Second
-	readTries   = 3
+	readTimeout  = 2 * time.Second
+	readAttempts = 3
 	// crashCommand is the cause that a replica records for a crash set as a fault.
 	crashCommand = "command"
 )
@@ -80,8 +80,8 @@
 	wg.Wait()
 }
 
-// Lost returns the number of replicas that the last Read could not reach.
-func (f *Fleet) Lost() int {
+// Unread returns the number of replicas that the last Read could not reach.
+func (f *Fleet) Unread() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -152,8 +152,8 @@
 	return most
 }
 
-// Ran returns the number of executions of each write, summed over the replicas.
-func (f *Fleet) Ran() map[string]int {
+// Executions returns the number of executions of each write, summed over the replicas.
+func (f *Fleet) Executions() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := map[string]int{}
@@ -165,8 +165,8 @@
 	return all
 }
 
-// Command posts faults to replica i of the fleet.
-func (f *Fleet) Command(ctx context.Context, i int, faults json.RawMessage) error {
+// SetFaults posts faults to replica i of the fleet.
+func (f *Fleet) SetFaults(ctx context.Context, i int, faults json.RawMessage) error {
 	_, err := call(ctx, http.MethodPost, f.addr(i), "/control/faults", faults)
 	return err
 }
@@ -177,7 +177,7 @@
 
 func (f *Fleet) readOne(ctx context.Context, i int) (Replica, error) {
 	var last error
-	for range readTries {
+	for range readAttempts {
 		b, err := call(ctx, http.MethodGet, f.addr(i), "/control/truth", nil)
 		if err != nil {
 			last = err
@@ -192,8 +192,8 @@
 	return Replica{}, last
 }
 
-// Command posts faults to the platform stand-in at addr.
-func Command(ctx context.Context, addr netip.AddrPort, faults json.RawMessage) error {
+// SetPlatformFaults posts faults to the platform stand-in at addr.
+func SetPlatformFaults(ctx context.Context, addr netip.AddrPort, faults json.RawMessage) error {
 	_, err := call(ctx, http.MethodPost, addr, "/control/faults", faults)
 	return err
 }
--- a/load/main.go
+++ b/load/main.go
@@ -10,8 +10,9 @@
 	"guavaspring.org/core/settings"
 )
 
-// exitUntrue is the exit status of a run in which an answer was false, a write ran twice or an answer mixed snapshots.
-const exitUntrue = 3
+// exitViolations is the exit status of a run in which an answer was false, a write ran twice or an answer mixed
+// snapshots.
+const exitViolations = 3
 
 // command is one subcommand and its function.
 type command struct {
@@ -22,10 +23,10 @@
 // usageError is an invalid setting that is detected only when the command runs.
 type usageError struct{ error }
 
-// untrueError reports the false claims found in a run; the process exits with exitUntrue.
-type untrueError struct{ lies int }
+// violationsError reports the false claims found in a run; the process exits with exitViolations.
+type violationsError struct{ violations int }
 
-func (e untrueError) Error() string { return fmt.Sprintf("%d false claims found", e.lies) }
+func (e violationsError) Error() string { return fmt.Sprintf("%d false claims found", e.violations) }
 
 func main() {
 	app := settings.New("load", "Calls hosts as callers do and reports tail latency, coverage and extra load.")
@@ -50,9 +51,9 @@
 		settings.Fail(os.Stderr, "load", err)
 	}
 	fmt.Fprintf(os.Stderr, "load: %v\n", err)
-	var untrue untrueError
-	if errors.As(err, &untrue) {
-		os.Exit(exitUntrue)
+	var violations violationsError
+	if errors.As(err, &violations) {
+		os.Exit(exitViolations)
 	}
 	os.Exit(1)
 }
--- a/load/ports.go
+++ b/load/ports.go
@@ -9,19 +9,19 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-const portTries = 100
+const portAttempts = 100
 
 func portsCommand(app *kingpin.Application) command {
 	cmd := app.Command("ports", "Print the first of so many free ports in a row on the loopback address, for scripts.")
 	n := cmd.Arg("count", "How many ports.").Required().Int()
 	return command{cmd.FullCommand(), func() error {
-		for range portTries {
+		for range portAttempts {
 			if base, ok := freePorts(*n); ok {
 				fmt.Println(base)
 				return nil
 			}
 		}
-		return fmt.Errorf("found no %d consecutive free ports in %d attempts", *n, portTries)
+		return fmt.Errorf("found no %d consecutive free ports in %d attempts", *n, portAttempts)
 	}}
 }
 
--- a/load/query.go
+++ b/load/query.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/core/settings"
 )
 
-const queryWait = 10 * time.Second
+const queryTimeout = 10 * time.Second
 
 func queryCommand(app *kingpin.Application) command {
 	cmd := app.Command("query", "Run one query and print what came back.")
@@ -23,7 +23,7 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), queryWait)
+		ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 		defer cancel()
 		ans, err := c.Query(ctx, caller.Request{Host: *host, Service: *service}, caller.Query{Query: *text})
 		if err != nil {
--- a/load/run.go
+++ b/load/run.go
@@ -73,8 +73,8 @@
 	if explain {
 		printExplanation(d)
 	}
-	if len(sum.Lies) > 0 {
-		return untrueError{len(sum.Lies)}
+	if len(sum.Violations) > 0 {
+		return violationsError{len(sum.Violations)}
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	fmt.Fprintf(w, "  latency of complete answers  p50 %.1f ms  p99 %.1f ms  p99.9 %.1f ms  (%d)\n", s.Complete.P50, s.Complete.P99, s.Complete.P999, s.Complete.N)
 	fmt.Fprintf(w, "  latency of all answers       p50 %.1f ms  p99 %.1f ms  p99.9 %.1f ms  (%d)\n", s.All.P50, s.All.P99, s.All.P999, s.All.N)
 	fmt.Fprintf(w, "  coverage                     mean %.4f  complete %.2f%%  worst %.2f\n", s.CoverageMean, s.CompleteShare*100, s.CoverageWorst)
-	fmt.Fprintf(w, "  extra load                   %.2f%%  (%d sent, %d needed)%s\n", s.Extra*100, s.Sent, s.Needed, lost(s))
+	fmt.Fprintf(w, "  extra load                   %.2f%%  (%d sent, %d needed)%s\n", s.Extra*100, s.Sent, s.Needed, unreadNote(s))
 	fmt.Fprintf(w, "  of %d queries                goodput %.0f/s  refused %d (p99 %.1f ms)  failed %d  errors %d  late %d\n", s.Offered, s.Goodput, s.Refused, s.Refusals.P99, s.Failed, s.Errors, s.Late)
 	printReasons(w, s.QueryReasons)
 	if s.CPUPerQueryMS > 0 {
@@ -106,8 +106,8 @@
 	if s.AfterDrainMS > 0 {
 		fmt.Fprintf(w, "  work after a drain began     for %d ms\n", s.AfterDrainMS)
 	}
-	fmt.Fprintf(w, "  untruths                     %d\n", len(s.Lies))
-	for _, l := range s.Lies {
+	fmt.Fprintf(w, "  untruths                     %d\n", len(s.Violations))
+	for _, l := range s.Violations {
 		fmt.Fprintf(w, "    %s\n", l)
 	}
 }
@@ -124,11 +124,11 @@
 
 const maxReasons = 5
 
-func lost(s measure.Summary) string {
-	if s.LostTruths == 0 {
+func unreadNote(s measure.Summary) string {
+	if s.UnreadReplicas == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d replicas could not be read at the end, so their last second is left out", s.LostTruths)
+	return fmt.Sprintf("; %d replicas could not be read at the end, so their last second is left out", s.UnreadReplicas)
 }
 
 func printExplanation(d *drive.Driver) {
--- a/load/table.go
+++ b/load/table.go
@@ -50,8 +50,8 @@
 	if err := t.WriteAims(os.Stdout, scenes); err != nil {
 		return err
 	}
-	if n := t.Lies(report.PolicySystem); n > 0 {
-		return untrueError{n}
+	if n := t.Violations(report.PolicySystem); n > 0 {
+		return violationsError{n}
 	}
 	return nil
 }
--- a/load/write.go
+++ b/load/write.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/core/settings"
 )
 
-const writeWait = 30 * time.Second
+const writeTimeout = 30 * time.Second
 
 func writeCommand(app *kingpin.Application) command {
 	cmd := app.Command("write", "Run one write and print what became of it; without a ticket, take one from the host.")
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), writeWait)
+		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 		defer cancel()
 		req := caller.Request{Host: *host, Service: *service, Ticket: *ticket}
 		if req.Ticket == "" {
