--- a/load/internal/baseline/server.go
+++ b/load/internal/baseline/server.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	listEvery    = time.Second
+	listInterval = time.Second
 	callTimeout  = time.Second
 	maxBody      = 1 << 20
 	defaultLimit = 20
-	keep         = 5 * time.Second
+	addressTTL   = 5 * time.Second
 )
 
 // Options configures a Server.
@@ -35,14 +35,14 @@
 	Listen   netip.AddrPort
 	Zone     string
 	Platform netip.AddrPort
-	// Seats is the most connections to each replica.
-	Seats int
-	// Deadline is that of a request that names none.
+	// MaxConnections is the maximum number of connections to each replica.
+	MaxConnections int
+	// Deadline applies to requests without a deadline of their own.
 	Deadline time.Duration
 }
 
-// Server answers queries as plainly as can be, through the same HTTP server and client as an entry host: one random
-// holder for each shard, and what has not come by the deadline is missing.
+// Server sends each query to one random holder of each shard; shards without a reply by the deadline are missing. It
+// uses the same HTTP server and client as an entry host, so that only the policy differs.
 type Server struct {
 	opts     Options
 	platform *platform.Client
@@ -50,19 +50,19 @@
 	services atomic.Pointer[map[string]shardMap]
 }
 
-// shardMap is the newest index version whose every shard has a holder.
+// shardMap holds an index version and the replicas that hold each of its shards.
 type shardMap struct {
 	version int64
 	holders [][]netip.AddrPort
 }
 
-// New returns a server that knows no replica until Follow runs.
+// New returns a server without replicas; Follow fills the list.
 func New(opts Options) (*Server, error) {
 	plat, err := platform.New(opts.Platform)
 	if err != nil {
 		return nil, err
 	}
-	client, err := upstream.New(upstream.Options{Seats: opts.Seats})
+	client, err := upstream.New(upstream.Options{Seats: opts.MaxConnections})
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// HTTP returns the kratos server of the callers' API.
+// HTTP returns the kratos server that serves the API for callers.
 func (s *Server) HTTP() *khttp.Server {
 	srv := khttp.NewServer(khttp.Address(s.opts.Listen.String()), khttp.Timeout(0))
 	srv.HandleFunc("/v1/addresses", s.addresses)
@@ -80,23 +80,23 @@
 	return srv
 }
 
-// Follow reads the replica list and the replicas' holdings until ctx ends.
+// Follow polls the replica list and the holdings of each replica until ctx ends.
 func (s *Server) Follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		list, err := s.platform.Replicas(callCtx)
 		cancel()
 		if err == nil {
-			s.learn(ctx, list)
+			s.updateServices(ctx, list)
 		}
 		select {
-		case <-time.After(listEvery):
+		case <-time.After(listInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (s *Server) learn(ctx context.Context, list []platform.Replica) {
+func (s *Server) updateServices(ctx context.Context, list []platform.Replica) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	held := map[string]map[int64][][]netip.AddrPort{}
@@ -114,7 +114,7 @@
 				held[row.Service] = map[int64][][]netip.AddrPort{}
 			}
 			for _, h := range health.Holdings {
-				note(held[row.Service], h, row.Addr)
+				addHolder(held[row.Service], h, row.Addr)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	s.services.Store(&next)
 }
 
-func note(versions map[int64][][]netip.AddrPort, h upstream.Holding, addr netip.AddrPort) {
+func addHolder(versions map[int64][][]netip.AddrPort, h upstream.Holding, addr netip.AddrPort) {
 	if versions[h.Version] == nil {
 		versions[h.Version] = make([][]netip.AddrPort, h.Shards)
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-// newest returns the newest version that is whole, or the newest of all where none is.
+// newest returns the newest version with a holder for every shard, or the newest of all where there is none.
 func newest(versions map[int64][][]netip.AddrPort) shardMap {
 	var best shardMap
 	bestWhole := false
@@ -155,8 +155,8 @@
 }
 
 func (s *Server) addresses(w http.ResponseWriter, r *http.Request) {
-	reply(w, http.StatusOK, caller.Addresses{
-		Service: r.URL.Query().Get("service"), Generation: 1, KeepMS: keep.Milliseconds(),
+	writeJSON(w, http.StatusOK, caller.Addresses{
+		Service: r.URL.Query().Get("service"), Generation: 1, KeepMS: addressTTL.Milliseconds(),
 		Addresses: []caller.Address{{Address: s.opts.Listen, Zone: s.opts.Zone, Weight: 1}},
 	})
 }
@@ -170,7 +170,7 @@
 	}
 	m, ok := (*s.services.Load())[service]
 	if err != nil || !ok {
-		reply(w, http.StatusBadRequest, caller.Problem{Code: "bad_request", Reason: fmt.Sprintf("service %q: %v", service, err)})
+		writeJSON(w, http.StatusBadRequest, caller.Problem{Code: "bad_request", Reason: fmt.Sprintf("service %q: %v", service, err)})
 		return
 	}
 	if q.Limit == 0 {
@@ -188,10 +188,10 @@
 	if ans.Outcome == caller.OutcomeFailed {
 		status = http.StatusServiceUnavailable
 	}
-	reply(w, status, ans)
+	writeJSON(w, status, ans)
 }
 
-// fanout sends one try for each shard and takes what has come back by the deadline.
+// fanout sends one attempt for each shard and merges the replies that arrive by the deadline.
 func (s *Server) fanout(ctx context.Context, id string, m shardMap, q caller.Query) caller.Answer {
 	body := upstream.Query{Query: q.Query, Limit: q.Limit}.Encode()
 	ans := caller.Answer{RequestID: id, Snapshot: caller.Snapshot{Version: m.version, Shards: len(m.holders)}, Hits: []caller.Hit{}}
@@ -229,7 +229,7 @@
 	return ans
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/load/internal/hosts/caller_test.go
+++ b/load/internal/hosts/caller_test.go
@@ -17,7 +17,7 @@
 	"guavaspring.org/load/internal/hosts"
 )
 
-// fakeHost counts what it is sent and answers each kind of request by a function.
+// fakeHost counts the requests that it receives and answers each kind of request with a function.
 type fakeHost struct {
 	addr    netip.AddrPort
 	answer  func(n int) caller.Answer
@@ -54,7 +54,7 @@
 	return h.addr
 }
 
-// dead returns an address that nothing listens at.
+// dead returns an address without a listener.
 func dead() netip.AddrPort {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
@@ -70,8 +70,8 @@
 }
 
 func TestQueryGoesToAnotherAddressWhenAConnectionFails(t *testing.T) {
-	// The address answer holds a host that has died since; its weight makes it the first choice. The next answer must
-	// come within one more attempt.
+	// Guards against queries that fail because of a dead host in the cached addresses. The weight of the dead host makes
+	// it the first choice; the query must succeed with the second attempt.
 	c := qt.New(t)
 	h := &fakeHost{answer: complete}
 	alive := serve(c, h)
@@ -80,12 +80,14 @@
 	c.Assert(err, qt.IsNil)
 	res := query(c, one, false)
 	c.Assert(res.Err, qt.IsNil)
-	c.Assert(res.Sends, qt.Equals, 2)
-	// The dead address is not tried again while the answer is kept.
-	c.Assert(query(c, one, false).Sends, qt.Equals, 1)
+	c.Assert(res.Attempts, qt.Equals, 2)
+	// The dead address must not be used again while the addresses are cached.
+	c.Assert(query(c, one, false).Attempts, qt.Equals, 1)
 }
 
 func TestRefusedQueryIsSentAgainOnlyAsTheRefusalSays(t *testing.T) {
+	// Guards against retries of refused queries that add to an overload: without a retry delay, past the deadline or
+	// where retries are off.
 	for _, test := range []struct {
 		name       string
 		retry      bool
@@ -110,15 +112,15 @@
 			one, err := hosts.New("c", []netip.AddrPort{addr})
 			c.Assert(err, qt.IsNil)
 			res := query(c, one, test.retry)
-			c.Assert(res.Sends, qt.Equals, test.want)
+			c.Assert(res.Attempts, qt.Equals, test.want)
 			c.Assert(res.Refusal > 0, qt.IsTrue)
 		})
 	}
 }
 
 func TestWriteOfUnknownOutcomeIsSentAgainUnderItsOwnTicket(t *testing.T) {
-	// The reply is lost twice. A caller that took a new ticket would make the write run again; this one repeats the
-	// first.
+	// Guards against a write that runs twice: the response is lost twice, and a retry with a new ticket would run the
+	// write again. Retries must use the first ticket.
 	c := qt.New(t)
 	h := &fakeHost{write: func(n int, _ string) caller.WriteOutcome {
 		if n < 3 {
@@ -132,24 +134,24 @@
 	c.Assert(err, qt.IsNil)
 	res, err := one.Write(context.Background(), "s", caller.Write{OpID: "op"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(res.Told, qt.DeepEquals, []caller.WriteOutcome{caller.WriteUnknown, caller.WriteUnknown, caller.WriteDone})
+	c.Assert(res.Outcomes, qt.DeepEquals, []caller.WriteOutcome{caller.WriteUnknown, caller.WriteUnknown, caller.WriteDone})
 	c.Assert(h.tickets, qt.DeepEquals, []string{"t1", "t1", "t1"})
 }
 
 func TestWriteTakesANewTicketOnlyWhereNoConnectionWasMade(t *testing.T) {
-	// The ticket's host has died and refuses connections, so the write surely did not run, and another host's ticket
-	// may be used.
+	// Guards against writes that fail because the ticket's host is dead. It refuses connections, so the write did not
+	// run and a ticket of another host may be used.
 	c := qt.New(t)
 	h := &fakeHost{write: func(int, string) caller.WriteOutcome { return caller.WriteDone }}
 	alive := serve(c, h)
 	h.list = []caller.Address{{Address: dead(), Weight: 1, Tickets: []string{"dead"}}, {Address: alive, Weight: 1, Tickets: []string{"alive"}}}
-	// Which of the two tickets comes first is drawn at random; of twenty callers some draw the dead host's.
+	// The first ticket is chosen at random; with 20 callers some get that of the dead host.
 	for range 20 {
 		one, err := hosts.New("c", []netip.AddrPort{alive})
 		c.Assert(err, qt.IsNil)
 		res, err := one.Write(context.Background(), "s", caller.Write{OpID: "op"})
 		c.Assert(err, qt.IsNil)
-		c.Assert(res.Told, qt.DeepEquals, []caller.WriteOutcome{caller.WriteDone})
+		c.Assert(res.Outcomes, qt.DeepEquals, []caller.WriteOutcome{caller.WriteDone})
 	}
 	for _, ticket := range h.tickets {
 		c.Assert(ticket, qt.Equals, "alive")
--- a/load/internal/report/plot.go
+++ b/load/internal/report/plot.go
@@ -17,7 +17,7 @@
 	plotPoints = 400
 )
 
-// Plot draws the latency of answers by quantile, one line for each policy, into DIR/SCENE/latency.png.
+// Plot writes the latency of answers by quantile, one line for each policy, to DIR/SCENE/latency.png.
 func (t *Table) Plot(dir, sceneName string) error {
 	p := plot.New()
 	p.Title.Text = sceneName + ": latency of answers, all rounds"
@@ -57,8 +57,8 @@
 
 func (t *Table) took(dir, sceneName, policy string) ([]float64, error) {
 	var all []float64
-	for _, run := range t.of(sceneName, policy) {
-		list, err := ReadSamples(fileOf(dir, run, "csv"))
+	for _, run := range t.runsOf(sceneName, policy) {
+		list, err := ReadSamples(runFile(dir, run, "csv"))
 		if err != nil {
 			return nil, err
 		}
--- a/load/ports.go
+++ b/load/ports.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -10,23 +9,23 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-const portTries = 100
+const portAttempts = 100
 
 func portsCommand(app *kingpin.Application) command {
 	cmd := app.Command("ports", "Print the first of so many free ports in a row on the loopback address, for scripts.")
 	n := cmd.Arg("count", "How many ports.").Required().Int()
 	return command{cmd.FullCommand(), func() error {
-		for range portTries {
+		for range portAttempts {
 			if base, ok := freePorts(*n); ok {
 				fmt.Println(base)
 				return nil
 			}
 		}
-		return errors.New("no such row of free ports was found")
+		return fmt.Errorf("found no %d consecutive free ports in %d attempts", *n, portAttempts)
 	}}
 }
 
-// The ports tried lie under those that Linux gives to outgoing connections, which could take one at any time.
+// The range of ports lies below the ephemeral ports of Linux, which an outgoing connection could take at any time.
 const (
 	lowestPort  = 12000
 	highestPort = 32000
--- a/load/write.go
+++ b/load/write.go
@@ -11,7 +11,7 @@
 	"guavaspring.org/core/settings"
 )
 
-const writeWait = 30 * time.Second
+const writeTimeout = 30 * time.Second
 
 func writeCommand(app *kingpin.Application) command {
 	cmd := app.Command("write", "Run one write and print what became of it; without a ticket, take one from the host.")
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), writeWait)
+		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 		defer cancel()
 		req := caller.Request{Host: *host, Service: *service, Ticket: *ticket}
 		if req.Ticket == "" {
@@ -41,7 +41,7 @@
 	}}
 }
 
-// withTicket asks the host for addresses and takes the first ticket, which may be for another host.
+// withTicket requests addresses from the host and takes the first ticket, which may belong to another host.
 func withTicket(ctx context.Context, c *caller.Client, req caller.Request) (caller.Request, error) {
 	addrs, err := c.Addresses(ctx, req, 1)
 	if err != nil {
