--- a/core/upstream/attempt.go
+++ b/core/upstream/attempt.go
@@ -11,50 +11,50 @@
 	"guavaspring.org/core/clock"
 )
 
-var errLate = errors.New("the deadline passed before the first byte was sent")
+var errDeadlinePassed = errors.New("the deadline passed before the first byte was sent")
 
-// attempt follows one request down to the connection that carries it.
+// attempt tracks one request and the connection that carries it.
 type attempt struct {
 	clock    clock.Clock
 	deadline time.Time
 	conn     *conn
 	start    uint64
 
-	silence *silence
-	// cancel ends the request early; it is nil where the request waits for its own deadline.
+	silence *silenceDetector
+	// cancel ends the request early; nil if the request waits until its own deadline.
 	cancel context.CancelFunc
-	// usual says that the request's time is typical of the replica's.
-	usual bool
-	// sent and overtaken belong to silence.
+	// countsLatency is set if the latency of the request counts toward the replica's average.
+	countsLatency bool
+	// sent and overtaken are owned by the silenceDetector and protected by its lock.
 	sent      time.Time
 	overtaken int
 	silent    atomic.Bool
 }
 
-// trace returns req with the hook that tells the attempt its connection.
+// trace returns req with hooks that record its connection and the first byte of its reply.
 func (at *attempt) trace(req *http.Request) *http.Request {
 	at.deadline, _ = req.Context().Deadline()
-	hooks := &httptrace.ClientTrace{GotConn: at.gotConn, GotFirstResponseByte: at.answered}
+	hooks := &httptrace.ClientTrace{GotConn: at.gotConn, GotFirstResponseByte: at.gotFirstByte}
 	return req.WithContext(httptrace.WithClientTrace(req.Context(), hooks))
 }
 
 func (at *attempt) gotConn(info httptrace.GotConnInfo) {
 	at.conn = info.Conn.(*conn)
-	at.start = at.conn.begin(at.inTime)
+	at.start = at.conn.begin(at.checkDeadline)
 	at.silence.sent(at)
 }
 
-func (at *attempt) answered() { at.silence.answered(at, at.usual) }
+func (at *attempt) gotFirstByte() { at.silence.answered(at, at.countsLatency) }
 
-// giveUpSilent marks the request as one on a silent connection, and ends it where it may be tried elsewhere.
-func (at *attempt) giveUpSilent() {
+// abandonSilent marks the connection of the request as silent and cancels the request if it can be retried elsewhere.
+func (at *attempt) abandonSilent() {
 	at.silent.Store(true)
 	if at.cancel != nil {
 		at.cancel()
 	}
 }
 
-// end says that the request no longer uses its connection.
+// end marks the connection as no longer used by the request.
 func (at *attempt) end() {
 	at.silence.ended(at)
 	if at.conn != nil {
@@ -62,23 +62,23 @@
 	}
 }
 
-func (at *attempt) inTime() error {
+func (at *attempt) checkDeadline() error {
 	if !at.deadline.IsZero() && !at.clock.Now().Before(at.deadline) {
-		return errLate
+		return errDeadlinePassed
 	}
 	return nil
 }
 
-// giveUp ends the attempt's use of its connection and reports whether a byte of the request may have left.
+// giveUp stops all writes on the attempt's connection and reports whether a byte of the request may have been sent.
 func (at *attempt) giveUp() bool {
 	return at.conn != nil && at.conn.fence(at.start)
 }
 
-// noRedirect is a transport that hides where a redirect points to, since the client would follow it by itself:
-// a 303 becomes a GET at whatever address the reply names, and a 307 without a body is sent a second time.
+// noRedirect is a transport that removes the Location header, because the HTTP client follows redirects by itself:
+// it turns a 303 into a GET of any address that the reply names, and sends a 307 without a body a second time.
 type noRedirect struct{ next http.RoundTripper }
 
-// RoundTrip sends req once.
+// RoundTrip sends req once and removes the Location header of the response.
 func (t noRedirect) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := t.next.RoundTrip(req)
 	if err == nil {
--- a/core/upstream/conn.go
+++ b/core/upstream/conn.go
@@ -8,40 +8,42 @@
 	"time"
 )
 
-// linger is how long a closed connection waits for the replica to close its side.
+// linger is how long a closed connection waits until the replica closes its side.
 const linger = 250 * time.Millisecond
 
 var errFenced = errors.New("the request was given up before it was sent")
 
-// conn counts the bytes that leave on one connection, so that a try can tell truly whether any of its own did.
+// conn counts the bytes sent on one connection, so that an attempt knows for certain whether any of its bytes were
+// sent.
 //
-// net/http hands a request to a writing goroutine of the connection and may return from a cancelled request
-// while that goroutine has yet to write. A count taken then says zero and the bytes leave afterwards. fence closes
-// that gap: it decides under the lock of Write, and no write begins after it.
+// net/http passes a request to a writing goroutine of the connection and may return from a canceled request before
+// that goroutine writes. The count is then still zero, and the bytes are sent afterwards. fence closes this race: it
+// reads the count under the lock that Write takes, and no write begins after it.
 type conn struct {
 	net.Conn
-	seats  *seats
+	pool   *connPool
 	opened time.Time
 
-	// received is set once a byte came back, ended once the other side closed, closing once this side did.
-	received, ended, closing atomic.Bool
-	closeOnce                sync.Once
-
-	mu      sync.Mutex
-	sent    uint64
-	writing bool
-	fenced  bool
-	guard   func() error
-	// busy is set while a request uses the connection; heard is when it last received.
-	busy  bool
-	heard time.Time
+	// received is set after the first received byte, peerClosed after the other side closed the connection, closing after
+	// this side did.
+	received, peerClosed, closing atomic.Bool
+	closeOnce                     sync.Once
+
+	mu          sync.Mutex
+	sent        uint64
+	writing     bool
+	fenced      bool
+	beforeWrite func() error
+	// busy is set while a request uses the connection; lastReceived is the time of the last received byte.
+	busy         bool
+	lastReceived time.Time
 }
 
-// begin marks the start of a request, whose first byte leaves only if guard allows it then.
-func (c *conn) begin(guard func() error) (start uint64) {
+// begin marks the start of a request; its first byte is sent only if beforeWrite returns nil at that moment.
+func (c *conn) begin(beforeWrite func() error) (start uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.guard = guard
+	c.beforeWrite = beforeWrite
 	c.busy = true
 	return c.sent
 }
@@ -57,10 +59,10 @@
 func (c *conn) idleSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.busy && c.opened.Before(t) && c.heard.Before(t)
+	return !c.busy && c.opened.Before(t) && c.lastReceived.Before(t)
 }
 
-// fence forbids further writes and reports whether a byte may have left since start.
+// fence blocks all further writes and reports whether a byte may have been sent since start.
 func (c *conn) fence(start uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,9 +70,9 @@
 	return c.writing || c.sent > start
 }
 
-// Write sends b, or nothing where the connection is fenced or the guard of the request refuses its first byte.
+// Write sends b, or nothing if the connection is fenced or beforeWrite returns an error before the first byte.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginWrite(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -81,25 +83,25 @@
 	return n, err
 }
 
-func (c *conn) enter() error {
+func (c *conn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fenced {
 		return errFenced
 	}
-	// A host that was paused between the decision to send and this line must not start the request late.
-	if c.guard != nil {
-		if err := c.guard(); err != nil {
+	// A host that was paused after the decision to send must not start the request after its deadline.
+	if c.beforeWrite != nil {
+		if err := c.beforeWrite(); err != nil {
 			c.fenced = true
 			return err
 		}
-		c.guard = nil
+		c.beforeWrite = nil
 	}
 	c.writing = true
 	return nil
 }
 
-// Read reads from the connection; once it is closing, what still arrives belongs to nobody.
+// Read reads from the connection; once the connection is closing, received bytes are discarded.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.closing.Load() {
@@ -107,41 +109,41 @@
 	}
 	if n > 0 {
 		c.mu.Lock()
-		c.heard = c.seats.clock.Now()
+		c.lastReceived = c.pool.clock.Now()
 		c.mu.Unlock()
 	}
 	if n > 0 && !c.received.Swap(true) {
-		c.seats.answered()
+		c.pool.resetBackoff()
 	}
 	if err != nil {
-		c.ended.Store(true)
+		c.peerClosed.Store(true)
 	}
 	return n, err
 }
 
-// Close ends the sending side at once, which is how a replica learns of a cancel, and gives the seat back once the
-// replica has closed its side too: until then it counts the connection against its limit.
+// Close shuts down the sending side at once, which signals a cancellation to the replica. The connection counts as
+// open until the replica has closed its side too, because the replica counts it against its limit until then.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		c.closing.Store(true)
 		c.fence(0)
-		// net/http may wait for its reading and writing goroutines, which a plain close would have woken.
+		// net/http may wait for its reading and writing goroutines; the deadline unblocks them, as a plain close would.
 		_ = c.SetDeadline(time.Unix(1, 0))
-		go c.windUp()
+		go c.closeGracefully()
 	})
 	return nil
 }
 
-func (c *conn) windUp() {
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && !c.ended.Load() && tcp.CloseWrite() == nil {
+func (c *conn) closeGracefully() {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && !c.peerClosed.Load() && tcp.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(linger))
 		drain(c.Conn)
 	}
 	_ = c.Conn.Close()
-	c.seats.release(c, c.ended.Load() && !c.received.Load())
+	c.pool.release(c, c.peerClosed.Load() && !c.received.Load())
 }
 
-// drain reads until the other side closes or the deadline of the connection passes.
+// drain reads until the other side closes the connection or the read deadline passes.
 func drain(c net.Conn) {
 	buf := make([]byte, 4<<10)
 	for {
--- a/load/internal/drive/drive.go
+++ b/load/internal/drive/drive.go
@@ -18,26 +18,27 @@
 
 const (
 	writeDeadline = 2 * time.Second
-	truthEvery    = time.Second
-	// settle lets requests that were given up on reach the truth before it is read for the last time.
-	settle = 500 * time.Millisecond
-	// maxLies bounds how many untruths are kept in words; all are counted.
-	maxLies = 20
-	// keptWorst is how many answers are kept to be explained.
-	keptWorst = 10
+	pollInterval  = time.Second
+	// settleDelay is the wait before the last read of the replicas' records, in which they still record canceled
+	// requests.
+	settleDelay = 500 * time.Millisecond
+	// maxViolations is the number of false claims that a summary lists; the rest is given as a count.
+	maxViolations = 20
+	// maxWorst is the number of answers kept as candidates for an explanation.
+	maxWorst = 10
 )
 
-// Options says what to run and where.
+// Options configures a Driver.
 type Options struct {
 	Scene scene.Scene
-	// Seed fixes the arrivals and who sends each request.
+	// Seed determines the arrival times and the caller of each request.
 	Seed uint64
-	// Run names this run within the requests' ids, so that two runs on the same upstreams can be told apart.
+	// Run is the prefix of the request ids, which distinguishes runs against the same upstreams.
 	Run      string
 	Hosts    []netip.AddrPort
 	Fleets   []*truth.Fleet
 	Platform netip.AddrPort
-	// PIDs are the hosts' processes, whose processor time is measured.
+	// PIDs are the process ids of the hosts whose CPU time is measured.
 	PIDs []int
 }
 
@@ -47,28 +48,28 @@
 	callers []*hosts.Caller
 	start   time.Time
 
-	mu      sync.Mutex
-	samples []measure.Sample
-	writes  []check.Write
-	told    map[string]int
-	lies    []check.Lie
-	needed  int
-	// worst holds the answers that cover least or took longest, the worst first.
-	worst   []scored
-	reasons map[string]int
-	// queryReasons counts why queries were refused or not answered.
+	mu            sync.Mutex
+	samples       []measure.Sample
+	writes        []check.Write
+	writeOutcomes map[string]int
+	violations    []check.Violation
+	needed        int
+	// worst holds the answers with the lowest coverage or the highest latency, the worst first.
+	worst        []scored
+	writeReasons map[string]int
+	// queryReasons counts refused and unanswered queries by reason.
 	queryReasons map[string]int
 }
 
-// scored is an answer and how much it calls for an explanation.
+// scored is an answer and its rank among the candidates for an explanation; the highest score comes first.
 type scored struct {
 	answer caller.Answer
 	score  float64
 }
 
-// New returns a driver with its callers, the first of which is the one that sends the most.
+// New returns a driver with its callers; the first one is the hot caller, which sends the share HotShare of the queries.
 func New(opts Options) (*Driver, error) {
-	d := &Driver{opts: opts, told: map[string]int{}, reasons: map[string]int{}, queryReasons: map[string]int{}}
+	d := &Driver{opts: opts, writeOutcomes: map[string]int{}, writeReasons: map[string]int{}, queryReasons: map[string]int{}}
 	for i := range opts.Scene.Callers {
 		c, err := hosts.New(fmt.Sprintf("caller-%d", i), opts.Hosts)
 		if err != nil {
@@ -79,36 +80,36 @@
 	return d, nil
 }
 
-// Run sends the scene's requests, waits for all of them, and compares them with the truth.
+// Run sends the scene's requests, waits for all of them, and checks the answers against the records of the replicas.
 func (d *Driver) Run(ctx context.Context) measure.Summary {
-	d.readTruths(ctx)
+	d.readFleets(ctx)
 	before, cpuBefore := d.counts(), d.cpuTime()
 	d.start = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg, watch sync.WaitGroup
-	watch.Go(func() { d.watchTruths(ctx) })
+	watch.Go(func() { d.pollFleets(ctx) })
 	wg.Go(func() { d.sendQueries(ctx) })
 	wg.Go(func() { d.sendWrites(ctx) })
 	wg.Go(func() { d.sendPoison(ctx) })
 	for _, f := range d.opts.Scene.Faults {
-		wg.Go(func() { d.fault(ctx, f) })
+		wg.Go(func() { d.setFault(ctx, f) })
 	}
 	wg.Wait()
-	d.mend()
-	time.Sleep(settle)
+	d.clearFaults()
+	time.Sleep(settleDelay)
 	cpuUsed := d.cpuTime() - cpuBefore
 	cancel()
 	watch.Wait()
-	d.readTruths(context.WithoutCancel(ctx))
+	d.readFleets(context.WithoutCancel(ctx))
 	return d.summary(before, cpuUsed)
 }
 
 // Samples returns every query of the run.
 func (d *Driver) Samples() []measure.Sample { return d.samples }
 
-// Explain reads the explanation of the answer that covered least, or took longest, into reply and returns that answer;
-// the next worst stands in for one whose host is gone.
+// Explain reads the explanation of the answer with the lowest coverage or the highest latency into reply and returns
+// that answer. It falls back to the next worst answer where the host of the worst one is gone.
 func (d *Driver) Explain(ctx context.Context, reply any) (caller.Answer, error) {
 	err := errors.New("no answer to explain")
 	for _, w := range d.worst {
@@ -124,7 +125,7 @@
 	defer d.mu.Unlock()
 	sc := d.opts.Scene
 	sum := measure.Summarize(d.samples, sc.Warmup.Std(), sc.Duration.Std())
-	sum.Scene, sum.Writes, sum.WriteReasons = sc.Name, d.told, d.reasons
+	sum.Scene, sum.Writes, sum.WriteReasons = sc.Name, d.writeOutcomes, d.writeReasons
 	sum.QueryReasons = d.queryReasons
 	after := d.counts()
 	sum.Sent, sum.Needed, sum.Crashes = after.requests-before.requests, d.needed, after.crashes-before.crashes
@@ -137,32 +138,32 @@
 	sum.PeakConnections = map[string]int{}
 	sum.RefusedConnections = after.refused - before.refused
 	for _, f := range d.opts.Fleets {
-		sum.LostTruths += f.Lost()
+		sum.UnreadReplicas += f.Unread()
 		sum.AfterDrainMS = max(sum.AfterDrainMS, f.AfterDrain())
 		sum.PeakConnections[f.Service] = f.Peak()
 	}
-	d.lies = append(d.lies, check.Writes(d.writes, d.ran())...)
-	sum.Lies = inWords(d.lies)
+	d.violations = append(d.violations, check.Writes(d.writes, d.executions())...)
+	sum.Violations = describe(d.violations)
 	return sum
 }
 
-// ran returns how often each write took effect at all replicas together.
-func (d *Driver) ran() map[string]int {
+// executions returns the number of executions of each write, summed over the replicas.
+func (d *Driver) executions() map[string]int {
 	all := map[string]int{}
 	for _, f := range d.opts.Fleets {
-		for op, n := range f.Ran() {
+		for op, n := range f.Executions() {
 			all[op] += n
 		}
 	}
 	return all
 }
 
-func inWords(lies []check.Lie) []string {
+func describe(violations []check.Violation) []string {
 	var words []string
-	for _, l := range lies[:min(len(lies), maxLies)] {
+	for _, l := range violations[:min(len(violations), maxViolations)] {
 		words = append(words, string(l.Kind)+": "+l.Detail)
 	}
-	if more := len(lies) - maxLies; more > 0 {
+	if more := len(violations) - maxViolations; more > 0 {
 		words = append(words, fmt.Sprintf("and %d more", more))
 	}
 	return words
--- a/load/internal/hosts/caller.go
+++ b/load/internal/hosts/caller.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// connections is the most idle connections that a caller keeps to one host.
-	connections = 8
-	// maxSends bounds how many hosts a caller tries for one request.
-	maxSends = 3
-	// resends is how often a caller sends a write again whose outcome it does not know.
-	resends = 2
-	// ticketsWanted is how many write tickets a caller asks for at once, for each address.
-	ticketsWanted = 4
-	addressWait   = 2 * time.Second
+	// maxIdleConns is the maximum number of idle connections that a caller keeps to one host.
+	maxIdleConns = 8
+	// maxAttempts is the maximum number of addresses that a caller contacts for one request.
+	maxAttempts = 3
+	// maxWriteRetries is the maximum number of retries of a write with unknown outcome.
+	maxWriteRetries = 2
+	// ticketsPerAddress is the number of write tickets that a caller requests for each address.
+	ticketsPerAddress = 4
+	addressTimeout    = 2 * time.Second
 )
 
-// ErrNoTicket means that no host handed out a write ticket.
-var ErrNoTicket = errors.New("no write ticket is to be had")
+// ErrNoTicket means that no host issued a write ticket and none can take the write without one.
+var ErrNoTicket = errors.New("no write ticket available")
 
-// Caller is one caller: it asks any host for addresses, keeps the answer as long as it may, and connects there itself.
+// Caller requests addresses from any host, caches them for the time that the host permits, and sends its requests
+// directly to them.
 type Caller struct {
 	client *caller.Client
 	seeds  []netip.AddrPort
 
-	mu   sync.Mutex
-	kept map[string]*addresses
+	mu    sync.Mutex
+	cache map[string]*addresses
 }
 
 type addresses struct {
@@ -43,39 +44,39 @@
 	until time.Time
 }
 
-// New returns a caller with a name of its own that first turns to the seeds.
+// New returns a caller with the given name that requests addresses from the seeds.
 func New(name string, seeds []netip.AddrPort) (*Caller, error) {
-	client, err := caller.New(name, connections)
+	client, err := caller.New(name, maxIdleConns)
 	if err != nil {
 		return nil, fmt.Errorf("caller %s: %w", name, err)
 	}
-	return &Caller{client: client, seeds: seeds, kept: map[string]*addresses{}}, nil
+	return &Caller{client: client, seeds: seeds, cache: map[string]*addresses{}}, nil
 }
 
-// QueryResult is the end of one query as its caller saw it.
+// QueryResult is the outcome of one query at its caller.
 type QueryResult struct {
 	Answer caller.Answer
-	// Err is set where no host answered.
+	// Err is set if no host answered.
 	Err error
-	// Sends counts the hosts that the query was sent to.
-	Sends int
-	// Refusal is how long the first refusal took to arrive, zero where there was none.
+	// Attempts is the number of attempts.
+	Attempts int
+	// Refusal is the time until the first refusal, zero if there was none.
 	Refusal time.Duration
 }
 
-// QueryRequest is one query; Deadline is when its answer is wanted, and the context may wait a little longer for one
-// that was cut off then.
+// QueryRequest is one query. Deadline is sent to the host; the context may end a little later, to receive an answer
+// that the host cut off at the deadline.
 type QueryRequest struct {
 	Service  string
 	ID       string
 	Deadline time.Time
 	Query    caller.Query
-	// Retry asks to send a refused query once more, after the time that the refusal names, where the deadline leaves
-	// it.
+	// Retry permits one retry of a refused query after the delay given in the refusal, if that ends before the
+	// deadline.
 	Retry bool
 }
 
-// Query runs a query; one that is refused is sent again at the time that the refusal names, and never earlier.
+// Query runs a query. If req.Retry is set, it retries a refused query once, no earlier than the refusal permits.
 func (c *Caller) Query(ctx context.Context, req QueryRequest) QueryResult {
 	start := time.Now()
 	res := c.query(ctx, req)
@@ -94,21 +95,21 @@
 		return res
 	}
 	again := c.query(ctx, req)
-	again.Sends, again.Refusal = again.Sends+res.Sends, refusal
+	again.Attempts, again.Refusal = again.Attempts+res.Attempts, refusal
 	return again
 }
 
-// query sends a query to an address of the kept answer, and to another one when a connection fails.
+// query sends a query to a cached address, and to another one when the connection fails.
 func (c *Caller) query(ctx context.Context, req QueryRequest) QueryResult {
 	var res QueryResult
 	var failed []netip.AddrPort
-	for res.Sends < maxSends {
+	for res.Attempts < maxAttempts {
 		addr, err := c.pick(ctx, req.Service, failed)
 		if err != nil {
 			res.Err = err
 			return res
 		}
-		res.Sends++
+		res.Attempts++
 		res.Answer, res.Err = c.client.Query(ctx, caller.Request{
 			Host: addr.Address, Service: req.Service, ID: req.ID, Deadline: max(time.Until(req.Deadline), time.Millisecond),
 		}, req.Query)
@@ -117,26 +118,26 @@
 			return res
 		}
 		failed = append(failed, addr.Address)
-		c.forget(req.Service, addr.Address)
+		c.evict(req.Service, addr.Address)
 	}
 	return res
 }
 
-// WriteResult is what a caller was told of one write.
+// WriteResult is the outcome of one write at its caller.
 type WriteResult struct {
-	// Told lists what each send came to; a lost connection counts as unknown.
-	Told []caller.WriteOutcome
-	// Reason is the reason given last.
+	// Outcomes lists the outcome of each attempt; a lost connection counts as unknown.
+	Outcomes []caller.WriteOutcome
+	// Reason is the reason of the last attempt.
 	Reason string
 }
 
-// Write sends a write under one ticket, and again under the same ticket while its outcome is unknown: at first to the
-// same host, then to another.
+// Write sends a write with a ticket and retries it with the same ticket while the outcome is unknown: once at the same
+// host, then at another one.
 //
-// A new ticket is taken only where no connection to the first one's host was made: then the write surely did not run.
+// It takes a new ticket only if no connection to the ticket's host was established, since then the write did not run.
 func (c *Caller) Write(ctx context.Context, service string, w caller.Write) (WriteResult, error) {
 	var err error
-	for range maxSends {
+	for range maxAttempts {
 		var res WriteResult
 		if res, err = c.writeOnce(ctx, service, w); err == nil || ctx.Err() != nil {
 			return res, err
@@ -152,17 +153,17 @@
 	}
 	var res WriteResult
 	target := addr
-	for range 1 + resends {
+	for range 1 + maxWriteRetries {
 		outcome, reason, err := c.send(ctx, target, service, ticket, w)
-		if err != nil && len(res.Told) == 0 {
-			c.forget(service, target)
+		if err != nil && len(res.Outcomes) == 0 {
+			c.evict(service, target)
 			return WriteResult{}, err
 		}
-		res.Told, res.Reason = append(res.Told, outcome), reason
+		res.Outcomes, res.Reason = append(res.Outcomes, outcome), reason
 		if outcome != caller.WriteUnknown || ctx.Err() != nil {
 			break
 		}
-		if len(res.Told) > 1 {
+		if len(res.Outcomes) > 1 {
 			if other, err := c.pick(ctx, service, []netip.AddrPort{addr}); err == nil {
 				target = other.Address
 			}
@@ -171,9 +172,9 @@
 	return res, nil
 }
 
-// send returns an error only where no connection was made.
+// send returns an error only if no connection was established.
 func (c *Caller) send(ctx context.Context, addr netip.AddrPort, service, ticket string, w caller.Write) (caller.WriteOutcome, string, error) {
-	ans, err := c.client.Write(ctx, caller.Request{Host: addr, Service: service, ID: w.OpID, Deadline: left(ctx), Ticket: ticket}, w)
+	ans, err := c.client.Write(ctx, caller.Request{Host: addr, Service: service, ID: w.OpID, Deadline: timeLeft(ctx), Ticket: ticket}, w)
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
@@ -184,7 +185,7 @@
 	return ans.Outcome, ans.Reason, nil
 }
 
-// Explain reads the explanation of an answer from the hosts in turn, since only the one that gave it knows.
+// Explain requests the explanation of an answer from each host in turn, since only the host that answered has it.
 func (c *Caller) Explain(ctx context.Context, id string, reply any) error {
 	var err error
 	for _, host := range c.seeds {
@@ -195,7 +196,7 @@
 	return fmt.Errorf("explanation %s: %w", id, err)
 }
 
-// ticket takes one write ticket and the address it is good for.
+// ticket returns a write ticket and the address that it is valid for.
 func (c *Caller) ticket(ctx context.Context, service string) (netip.AddrPort, string, error) {
 	for range 2 {
 		if addr, ticket, ok := c.takeTicket(service); ok {
@@ -205,7 +206,7 @@
 			return netip.AddrPort{}, "", err
 		}
 	}
-	// A host that hands out no tickets yet answers the write itself.
+	// A host that does not issue tickets yet accepts the write without one.
 	addr, err := c.pick(ctx, service, nil)
 	if err != nil {
 		return netip.AddrPort{}, "", errors.Join(ErrNoTicket, err)
@@ -216,7 +217,7 @@
 func (c *Caller) takeTicket(service string) (netip.AddrPort, string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.kept[service]
+	kept := c.cache[service]
 	if kept == nil || time.Now().After(kept.until) {
 		return netip.AddrPort{}, "", false
 	}
@@ -235,25 +236,25 @@
 	return a.Address, ticket, true
 }
 
-// pick returns an address by weight that is not among those that failed, asking for a new answer where the kept one is
-// too old.
+// pick returns a random address by weight, without those that failed. It requests new addresses if the cached ones are
+// expired or have all failed.
 func (c *Caller) pick(ctx context.Context, service string, failed []netip.AddrPort) (caller.Address, error) {
-	if addr, ok := c.fromKept(service, failed); ok {
+	if addr, ok := c.pickCached(service, failed); ok {
 		return addr, nil
 	}
 	if err := c.refresh(ctx, service, failed); err != nil {
 		return caller.Address{}, err
 	}
-	if addr, ok := c.fromKept(service, failed); ok {
+	if addr, ok := c.pickCached(service, failed); ok {
 		return addr, nil
 	}
-	return caller.Address{}, fmt.Errorf("no address of %s is left to try", service)
+	return caller.Address{}, fmt.Errorf("no usable address of service %s left", service)
 }
 
-func (c *Caller) fromKept(service string, failed []netip.AddrPort) (caller.Address, bool) {
+func (c *Caller) pickCached(service string, failed []netip.AddrPort) (caller.Address, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.kept[service]
+	kept := c.cache[service]
 	if kept == nil || time.Now().After(kept.until) {
 		return caller.Address{}, false
 	}
@@ -275,38 +276,38 @@
 	return caller.Address{}, false
 }
 
-// refresh asks the seeds, in random order, for a new address answer.
+// refresh requests new addresses from the seeds in random order, without those that failed.
 func (c *Caller) refresh(ctx context.Context, service string, failed []netip.AddrPort) error {
 	var last error
 	for _, i := range rand.Perm(len(c.seeds)) {
 		if slices.Contains(failed, c.seeds[i]) {
 			continue
 		}
-		askCtx, cancel := context.WithTimeout(ctx, addressWait)
-		reply, err := c.client.Addresses(askCtx, caller.Request{Host: c.seeds[i], Service: service}, ticketsWanted)
+		askCtx, cancel := context.WithTimeout(ctx, addressTimeout)
+		reply, err := c.client.Addresses(askCtx, caller.Request{Host: c.seeds[i], Service: service}, ticketsPerAddress)
 		cancel()
 		if err != nil || len(reply.Addresses) == 0 {
 			last = err
 			continue
 		}
 		c.mu.Lock()
-		c.kept[service] = &addresses{list: reply.Addresses, until: time.Now().Add(time.Duration(reply.KeepMS) * time.Millisecond)}
+		c.cache[service] = &addresses{list: reply.Addresses, until: time.Now().Add(time.Duration(reply.KeepMS) * time.Millisecond)}
 		c.mu.Unlock()
 		return nil
 	}
-	return fmt.Errorf("no host gave addresses of %s: %w", service, last)
+	return fmt.Errorf("no host returned addresses of service %s: %w", service, last)
 }
 
-// forget drops an address whose connection failed from the kept answer.
-func (c *Caller) forget(service string, addr netip.AddrPort) {
+// evict removes an address from the cache after its connection failed.
+func (c *Caller) evict(service string, addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if kept := c.kept[service]; kept != nil {
+	if kept := c.cache[service]; kept != nil {
 		kept.list = slices.DeleteFunc(slices.Clone(kept.list), func(a caller.Address) bool { return a.Address == addr })
 	}
 }
 
-func left(ctx context.Context) time.Duration {
+func timeLeft(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
--- a/standin/internal/replica/listener.go
+++ b/standin/internal/replica/listener.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// gate is the port of a replica: it limits connections, makes a new one cost time, and can crash or fall silent.
-type gate struct {
+// replicaListener is the listener of a replica. It limits the number of connections, delays new ones by cost, and can
+// simulate a crash or silent connections.
+type replicaListener struct {
 	addr netip.AddrPort
 	cost time.Duration
 	max  int
@@ -26,13 +27,13 @@
 	opened  int
 }
 
-func openGate(addr netip.AddrPort, cost time.Duration, most int) (*gate, error) {
+func newReplicaListener(addr netip.AddrPort, cost time.Duration, most int) (*replicaListener, error) {
 	l, err := listen(addr)
 	if err != nil {
 		return nil, err
 	}
 	bound := l.Addr().(*net.TCPAddr).AddrPort()
-	return &gate{addr: bound, cost: cost, max: most, inner: l, conns: map[*conn]struct{}{}}, nil
+	return &replicaListener{addr: bound, cost: cost, max: most, inner: l, conns: map[*conn]struct{}{}}, nil
 }
 
 func listen(addr netip.AddrPort) (net.Listener, error) {
@@ -44,8 +45,8 @@
 	return l, nil
 }
 
-// Accept returns the next connection within the limit; it outlives the crash of the port.
-func (g *gate) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit. During a crash it waits for the port to open again.
+func (g *replicaListener) Accept() (net.Conn, error) {
 	for {
 		g.mu.Lock()
 		inner, reopen, closed := g.inner, g.reopen, g.closed
@@ -54,7 +55,7 @@
 			return nil, net.ErrClosed
 		}
 		if inner == nil {
-			g.comeBack(reopen)
+			g.reopenPort(reopen)
 			continue
 		}
 		raw, err := inner.Accept()
@@ -70,17 +71,17 @@
 	}
 }
 
-func (g *gate) crashed() bool {
+func (g *replicaListener) crashed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inner == nil && !g.closed
 }
 
-func (g *gate) comeBack(at time.Time) {
+func (g *replicaListener) reopenPort(at time.Time) {
 	time.Sleep(time.Until(at))
 	l, err := listen(g.addr)
 	if err != nil {
-		// The port may still be held for a moment by connections that are being torn down.
+		// Connections in the course of closing may still hold the port for a moment.
 		time.Sleep(10 * time.Millisecond)
 		return
 	}
@@ -93,7 +94,7 @@
 	g.inner = l
 }
 
-func (g *gate) admit(raw net.Conn) net.Conn {
+func (g *replicaListener) admit(raw net.Conn) net.Conn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.conns) >= g.max || g.inner == nil {
@@ -108,8 +109,8 @@
 	return c
 }
 
-// Close closes the port for good.
-func (g *gate) Close() error {
+// Close closes the port permanently.
+func (g *replicaListener) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
@@ -120,10 +121,10 @@
 }
 
 // Addr returns the address of the port.
-func (g *gate) Addr() net.Addr { return net.TCPAddrFromAddrPort(g.addr) }
+func (g *replicaListener) Addr() net.Addr { return net.TCPAddrFromAddrPort(g.addr) }
 
-// crash breaks every connection and refuses new ones until at.
-func (g *gate) crash(at time.Time) {
+// crash resets every connection and closes the port until at.
+func (g *replicaListener) crash(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inner == nil {
@@ -137,8 +138,8 @@
 	clear(g.conns)
 }
 
-// silence lets no connection that is open now answer any more; new ones work.
-func (g *gate) silence() {
+// silence drops all further replies on the open connections; new connections work.
+func (g *replicaListener) silence() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
@@ -146,33 +147,34 @@
 	}
 }
 
-func (g *gate) remove(c *conn) {
+func (g *replicaListener) remove(c *conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.conns, c)
 }
 
-type gateCounts struct {
+type connCounts struct {
 	Open    int `json:"open"`
 	Peak    int `json:"peak"`
 	Refused int `json:"refused"`
 	Opened  int `json:"opened"`
 }
 
-func (g *gate) counts() gateCounts {
+func (g *replicaListener) counts() connCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return gateCounts{Open: len(g.conns), Peak: g.peak, Refused: g.refused, Opened: g.opened}
+	return connCounts{Open: len(g.conns), Peak: g.peak, Refused: g.refused, Opened: g.opened}
 }
 
 type conn struct {
 	net.Conn
-	gate   *gate
+	gate   *replicaListener
 	ready  time.Time
 	silent atomic.Bool
 }
 
-// Read holds the first bytes back until the connection has been open for its cost; a silent one reads and forgets.
+// Read delays the first bytes until the connection has been open for the listener's cost. On a silent connection it
+// discards all bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	if d := time.Until(c.ready); d > 0 {
 		time.Sleep(d)
@@ -185,7 +187,7 @@
 	}
 }
 
-// Write pretends to succeed on a silent connection, as a middlebox that lost track of it would have it.
+// Write discards the bytes on a silent connection and reports success, as if a middlebox dropped the packets.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.silent.Load() {
 		return len(b), nil
@@ -193,13 +195,13 @@
 	return c.Conn.Write(b)
 }
 
-// Close frees the connection's place under the limit.
+// Close closes the connection, which no longer counts against the limit.
 func (c *conn) Close() error {
 	c.gate.remove(c)
 	return c.Conn.Close()
 }
 
-// reset closes the connection so that the other end sees it broken rather than ended.
+// reset closes the connection with a TCP reset, so that the peer sees an error instead of a regular end.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/standin/internal/rollout/rollout.go
+++ b/standin/internal/rollout/rollout.go
@@ -12,27 +12,28 @@
 	"guavaspring.org/core/upstream"
 )
 
-// Options describes a change from one version to the next.
+// Options configures a rollout from one index version to another.
 type Options struct {
-	// Base is the address of the first replica; the others count up.
+	// Base is the address of the first replica; the ports of the others count up.
 	Base     netip.AddrPort
 	Replicas int
-	// OldVersion and OldShards describe what the replicas hold, each shard on neighbouring replicas.
+	// OldVersion and OldShards describe the version that the replicas hold; consecutive replicas hold the same shard.
 	OldVersion int64
 	OldShards  int
-	// Version and Shards describe what they are to hold; another number of shards is a repartition.
+	// Version and Shards describe the new version; a different number of shards is a repartition.
 	Version int64
 	Shards  int
-	// Step is the time between two replicas.
+	// Step is the pause between two replicas.
 	Step time.Duration
-	// Overlap is how long the old version stays after the last replica has the new one.
+	// Overlap is how long replicas keep the old version after the last one has received the new one.
 	Overlap time.Duration
 }
 
-// Run gives the new version to every replica in turn and then takes the old one away in turn.
+// Run adds the new version to one replica after another, waits for Overlap, and then removes the old version in the
+// same order.
 func Run(ctx context.Context, opts Options) error {
 	for i := range opts.Replicas {
-		if err := hold(ctx, opts, i, opts.older(i), opts.newer(i)); err != nil {
+		if err := setHoldings(ctx, opts, i, opts.oldHolding(i), opts.newHolding(i)); err != nil {
 			return err
 		}
 		if err := sleep(ctx, opts.Step); err != nil {
@@ -43,7 +44,7 @@
 		return err
 	}
 	for i := range opts.Replicas {
-		if err := hold(ctx, opts, i, opts.newer(i)); err != nil {
+		if err := setHoldings(ctx, opts, i, opts.newHolding(i)); err != nil {
 			return err
 		}
 		if err := sleep(ctx, opts.Step); err != nil {
@@ -53,15 +54,15 @@
 	return nil
 }
 
-func (opts Options) older(i int) upstream.Holding {
+func (opts Options) oldHolding(i int) upstream.Holding {
 	return upstream.Holding{Version: opts.OldVersion, Shard: i * opts.OldShards / opts.Replicas, Shards: opts.OldShards}
 }
 
-func (opts Options) newer(i int) upstream.Holding {
+func (opts Options) newHolding(i int) upstream.Holding {
 	return upstream.Holding{Version: opts.Version, Shard: i * opts.Shards / opts.Replicas, Shards: opts.Shards}
 }
 
-func hold(ctx context.Context, opts Options, i int, list ...upstream.Holding) error {
+func setHoldings(ctx context.Context, opts Options, i int, list ...upstream.Holding) error {
 	addr := netip.AddrPortFrom(opts.Base.Addr(), opts.Base.Port()+uint16(i))
 	b, err := json.Marshal(list)
 	if err != nil {
@@ -84,6 +85,6 @@
 	case <-time.After(d):
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("rollout stopped half way: %w", ctx.Err())
+		return fmt.Errorf("rollout interrupted: %w", ctx.Err())
 	}
 }
