--- a/core/upstream/client.go
+++ b/core/upstream/client.go
@@ -25,8 +25,8 @@
 type Options struct {
 	// Clock is the source of time; nil means the system clock.
 	Clock clock.Clock
-	// Seats is the maximum number of connections to each replica.
-	Seats int
+	// MaxConns is the maximum number of connections to each replica.
+	MaxConns int
 
 	dialOnDemand bool
 }
@@ -54,8 +54,8 @@
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
 	}
-	c := &Client{clock: opts.Clock, dialOnDemand: opts.dialOnDemand, connLimit: opts.Seats, pools: map[string]*connPool{}}
-	l, err := c.newHTTPClient(opts.Seats)
+	c := &Client{clock: opts.Clock, dialOnDemand: opts.dialOnDemand, connLimit: opts.MaxConns, pools: map[string]*connPool{}}
+	l, err := c.newHTTPClient(opts.MaxConns)
 	if err != nil {
 		return nil, err
 	}
--- a/core/upstream/once_test.go
+++ b/core/upstream/once_test.go
@@ -98,8 +98,8 @@
 }
 
 func newTestClient(t *testing.T, opts Options) *Client {
-	if opts.Seats == 0 {
-		opts.Seats = 2
+	if opts.MaxConns == 0 {
+		opts.MaxConns = 2
 	}
 	c, err := New(opts)
 	qt.Assert(t, err, qt.IsNil)
@@ -112,7 +112,7 @@
 func TestWriteIsNotResentOnReusedConnection(t *testing.T) {
 	for _, body := range []string{`{"op_id":"a"}`, ""} {
 		p := newFakeReplica(t, func(c net.Conn, id string, nth int) bool { return nth == 1 && replyOK(c, id) })
-		c := newTestClient(t, Options{Seats: 1})
+		c := newTestClient(t, Options{MaxConns: 1})
 		qt.Assert(t, c.Write(t.Context(), p.addr(), "first", []byte(body)).Kind, qt.Equals, KindOK)
 		res := c.Write(t.Context(), p.addr(), "second", []byte(body))
 		qt.Assert(t, res.Kind, qt.Equals, KindBroken, qt.Commentf("%s", res.Detail))
@@ -145,7 +145,7 @@
 		replyOK(c, id)
 		return false
 	})
-	c := newTestClient(t, Options{Seats: 1})
+	c := newTestClient(t, Options{MaxConns: 1})
 	for i := range 200 {
 		id := fmt.Sprintf("w%d", i)
 		res := c.Write(t.Context(), p.addr(), id, []byte("{}"))
@@ -160,7 +160,7 @@
 // request; a byte count read then is zero, and the write runs after the caller received not_run.
 func TestNotSentIsTrueWhenCancelled(t *testing.T) {
 	p := newFakeReplica(t, func(c net.Conn, id string, _ int) bool { return replyOK(c, id) })
-	c := newTestClient(t, Options{Seats: 8})
+	c := newTestClient(t, Options{MaxConns: 8})
 	kinds := make([]Kind, 400)
 	var wg sync.WaitGroup
 	for w := range 8 {
@@ -231,7 +231,7 @@
 // Nothing listens at the replica's address, or all its connections are in use until the request is canceled. Nothing
 // was sent; KindBroken would give the caller an unknown outcome for a write that can safely be retried elsewhere.
 func TestNotSentWithoutConnection(t *testing.T) {
-	c := newTestClient(t, Options{Seats: 1})
+	c := newTestClient(t, Options{MaxConns: 1})
 	l := listen(t)
 	gone := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
--- a/core/upstream/pool_test.go
+++ b/core/upstream/pool_test.go
@@ -130,7 +130,7 @@
 func TestSeatsStayUnderTheLimitThroughCancels(t *testing.T) {
 	const most = 4
 	p := newLimitedReplica(t, most, 0, func(string) { time.Sleep(2 * time.Millisecond) })
-	c := newTestClient(t, Options{Seats: most})
+	c := newTestClient(t, Options{MaxConns: most})
 	ok := sendWrites(t.Context(), c, p.addr(), 16, 600, func(i int) time.Duration {
 		if i%2 == 0 {
 			return time.Duration(i%5) * 500 * time.Microsecond
@@ -147,7 +147,7 @@
 // connections that other hosts need and wastes CPU time of the replica.
 func TestRefusedConnectionsAreNotDialledInALoop(t *testing.T) {
 	p := newLimitedReplica(t, 0, 0, func(string) {})
-	c := newTestClient(t, Options{Seats: 4})
+	c := newTestClient(t, Options{MaxConns: 4})
 	for i := range 500 {
 		res := c.Write(t.Context(), p.addr(), fmt.Sprint(i), []byte("{}"))
 		qt.Assert(t, res.Kind == KindNotSent || res.Kind == KindBroken, qt.IsTrue)
@@ -162,7 +162,7 @@
 	for _, cold := range []bool{true, false} {
 		b.Run(fmt.Sprintf("cold=%t", cold), func(b *testing.B) {
 			p := newLimitedReplica(b, 5, 6*time.Millisecond, func(string) { time.Sleep(5 * time.Millisecond) })
-			c, err := New(Options{Seats: 5, dialOnDemand: cold})
+			c, err := New(Options{MaxConns: 5, dialOnDemand: cold})
 			qt.Assert(b, err, qt.IsNil)
 			defer c.Close()
 			sendWrites(b.Context(), c, p.addr(), 4, b.N, func(i int) time.Duration {
@@ -186,7 +186,7 @@
 func TestSeatsFollowTheDocument(t *testing.T) {
 	const many, few = 6, 2
 	p := newLimitedReplica(t, many, 0, func(string) {})
-	c := newTestClient(t, Options{Seats: many})
+	c := newTestClient(t, Options{MaxConns: many})
 	never := func(int) time.Duration { return -1 }
 	sendWrites(t.Context(), c, p.addr(), 16, 200, never)
 	p.waitForConns(t, many)
--- a/core/upstream/silence_test.go
+++ b/core/upstream/silence_test.go
@@ -98,7 +98,7 @@
 		}
 		return writeReply(c, 200, "", `{"request_id":"`+id+`","version":1,"shard":0}`)
 	})
-	c := newTestClient(t, Options{Seats: 3})
+	c := newTestClient(t, Options{MaxConns: 3})
 	query := func(id string) Result {
 		return c.Query(t.Context(), p.addr(), QueryTry{ID: id, Version: 1, Body: []byte("{}")})
 	}
--- a/entry/internal/service/cost_test.go
+++ b/entry/internal/service/cost_test.go
@@ -92,7 +92,7 @@
 
 func BenchmarkBareOverHTTP(b *testing.B) {
 	list := startReplicas(b)
-	client, err := upstream.New(upstream.Options{Seats: 5})
+	client, err := upstream.New(upstream.Options{MaxConns: 5})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -66,7 +66,7 @@
 
 // New returns the service described by gen, without any replicas.
 func New(gen accepted.Generation, opts Options) (*Service, error) {
-	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: connectionLimit(gen.Document)})
+	client, err := upstream.New(upstream.Options{Clock: opts.Clock, MaxConns: connectionLimit(gen.Document)})
 	if err != nil {
 		return nil, err
 	}
--- a/load/internal/baseline/server.go
+++ b/load/internal/baseline/server.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	client, err := upstream.New(upstream.Options{Seats: opts.MaxConnections})
+	client, err := upstream.New(upstream.Options{MaxConns: opts.MaxConnections})
 	if err != nil {
 		return nil, err
 	}
--- a/standin/internal/replica/replica_test.go
+++ b/standin/internal/replica/replica_test.go
@@ -42,7 +42,7 @@
 	srv := rep.HTTP()
 	done := make(chan error, 1)
 	go func() { done <- srv.Start(context.Background()) }()
-	client, err := upstream.New(upstream.Options{Seats: 4})
+	client, err := upstream.New(upstream.Options{MaxConns: 4})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() {
 		client.Close()
@@ -134,10 +134,10 @@
 	c := qt.New(t)
 	addr, _ := start(c, replica.Options{Slots: 1, Connections: 1})
 	// With more than one seat, a client may open a second connection and lose its request to the limit.
-	client, err := upstream.New(upstream.Options{Seats: 1})
+	client, err := upstream.New(upstream.Options{MaxConns: 1})
 	c.Assert(err, qt.IsNil)
 	c.Assert(query(client, addr, "q1", "wool").Kind, qt.Equals, upstream.KindOK)
-	other, err := upstream.New(upstream.Options{Seats: 1})
+	other, err := upstream.New(upstream.Options{MaxConns: 1})
 	c.Assert(err, qt.IsNil)
 	// The client may notice the close before or after it sends the request; in both cases the request must not run.
 	kind := query(other, addr, "q2", "wool").Kind
@@ -178,7 +178,7 @@
 	c.Assert(query(client, addr, "q1", "wool").Kind, qt.Equals, upstream.KindOK)
 	command(c, addr, `{"silence":true}`)
 	c.Assert(untilCanceled(client, addr), qt.Equals, upstream.KindCanceled)
-	fresh, err := upstream.New(upstream.Options{Seats: 1})
+	fresh, err := upstream.New(upstream.Options{MaxConns: 1})
 	c.Assert(err, qt.IsNil)
 	defer fresh.Close()
 	c.Assert(query(fresh, addr, "q3", "wool").Kind, qt.Equals, upstream.KindOK)
