--- a/core/upstream/client.go
+++ b/core/upstream/client.go
@@ -35,7 +35,7 @@
 type Client struct {
 	clock        clock.Clock
 	dialOnDemand bool
-	// current is the HTTP client for all new requests; SetSeats replaces it.
+	// current is the HTTP client for all new requests; SetMaxConns replaces it.
 	current atomic.Pointer[httpClient]
 
 	mu        sync.Mutex
@@ -79,12 +79,13 @@
 	return &httpClient{http: hc, tr: tr}, nil
 }
 
-// SetSeats changes the maximum number of connections to each replica; requests in flight finish on their connections.
+// SetMaxConns changes the maximum number of connections to each replica; requests in flight finish on their
+// connections.
 //
 // Operators lower the limit if other systems need the connections of a replica. The limit of a running transport can't
 // be changed, so later requests use a new transport. Both transports dial through the same pool and share its count of
 // open connections, so a replica never has more connections than the higher of the two limits.
-func (c *Client) SetSeats(connLimit int) error {
+func (c *Client) SetMaxConns(connLimit int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if connLimit == c.connLimit {
--- a/core/upstream/pool_test.go
+++ b/core/upstream/pool_test.go
@@ -191,7 +191,7 @@
 	sendWrites(t.Context(), c, p.addr(), 16, 200, never)
 	p.waitForConns(t, many)
 	for _, most := range []int{few, many, few} {
-		qt.Assert(t, c.SetSeats(most), qt.IsNil)
+		qt.Assert(t, c.SetMaxConns(most), qt.IsNil)
 		p.waitForConns(t, most)
 		ok := sendWrites(t.Context(), c, p.addr(), 16, 200, never)
 		qt.Assert(t, ok, qt.Equals, 200)
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -105,7 +105,7 @@
 func (s *Service) SetGeneration(gen accepted.Generation) {
 	s.gen.Store(&gen)
 	s.gate.SetLimits(admissionLimits(gen.Document))
-	if err := s.client.SetSeats(connectionLimit(gen.Document)); err != nil {
+	if err := s.client.SetMaxConns(connectionLimit(gen.Document)); err != nil {
 		panic(fmt.Sprintf("service: can't set the upstream client's connection limit: %v", err))
 	}
 }
