--- a/core/upstream/client.go
+++ b/core/upstream/client.go
@@ -165,8 +165,8 @@
 	c.current.Load().tr.CloseIdleConnections()
 }
 
-// QueryTry is one attempt of a query at one replica.
-type QueryTry struct {
+// QueryAttempt is one attempt of a query at one replica.
+type QueryAttempt struct {
 	ID      string
 	Version int64
 	Shard   int
@@ -177,7 +177,7 @@
 }
 
 // Query sends one attempt of a query; the deadline and the cancellation of ctx are passed on to the replica.
-func (c *Client) Query(ctx context.Context, addr netip.AddrPort, try QueryTry) Result {
+func (c *Client) Query(ctx context.Context, addr netip.AddrPort, try QueryAttempt) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req, err := c.request(ctx, http.MethodPost, addr, "/v1/query", try.ID, try.Body)
--- a/core/upstream/silence_test.go
+++ b/core/upstream/silence_test.go
@@ -100,7 +100,7 @@
 	})
 	c := newTestClient(t, Options{MaxConns: 3})
 	query := func(id string) Result {
-		return c.Query(t.Context(), p.addr(), QueryTry{ID: id, Version: 1, Body: []byte("{}")})
+		return c.Query(t.Context(), p.addr(), QueryAttempt{ID: id, Version: 1, Body: []byte("{}")})
 	}
 	qt.Assert(t, query("first").Kind, qt.Equals, KindOK)
 	kinds := make(chan Kind, 1)
--- a/entry/internal/fanout/attempts.go
+++ b/entry/internal/fanout/attempts.go
@@ -81,7 +81,7 @@
 // start sends attempt k of the current round of shard i; nth counts the shard's attempts in all rounds.
 func (p *plan) start(ctx context.Context, i, k, nth int, r *replica.Replica) {
 	p.sent++
-	try := upstream.QueryTry{
+	try := upstream.QueryAttempt{
 		ID:      p.id + "-" + strconv.Itoa(i) + "-" + strconv.Itoa(nth),
 		Version: p.vm.Version, Shard: i, Body: p.body, Patient: nth > 1,
 	}
--- a/entry/internal/fanout/fanout.go
+++ b/entry/internal/fanout/fanout.go
@@ -43,7 +43,7 @@
 	// Clock returns the current time and the timers.
 	Clock clock.Clock
 	// Send sends one attempt to a replica and returns its result.
-	Send func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result
+	Send func(ctx context.Context, r *replica.Replica, try upstream.QueryAttempt) upstream.Result
 	// Heard is called with the replica, index version and result of each attempt, before the query's next decision. It
 	// may be nil.
 	Heard func(r *replica.Replica, version int64, res upstream.Result)
--- a/entry/internal/fanout/fanout_test.go
+++ b/entry/internal/fanout/fanout_test.go
@@ -50,8 +50,8 @@
 	canceled int
 }
 
-func (s *fakeSender) send(answer replyFunc) func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
-	return func(ctx context.Context, r *replica.Replica, try upstream.QueryTry) upstream.Result {
+func (s *fakeSender) send(answer replyFunc) func(ctx context.Context, r *replica.Replica, try upstream.QueryAttempt) upstream.Result {
+	return func(ctx context.Context, r *replica.Replica, try upstream.QueryAttempt) upstream.Result {
 		s.mu.Lock()
 		s.to = append(s.to, r.ID)
 		kind, d := answer(r)
@@ -226,7 +226,7 @@
 // goroutines and the channel of a fan-out over 69 shards alone.
 func BenchmarkRun(b *testing.B) {
 	tab := table(69)
-	runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: func(context.Context, *replica.Replica, upstream.QueryTry) upstream.Result {
+	runner := fanout.New(fanout.Options{Clock: clock.System{}, Send: func(context.Context, *replica.Replica, upstream.QueryAttempt) upstream.Result {
 		return upstream.Result{Kind: upstream.KindOK, Holdings: "", Query: upstream.QueryReply{Hits: []upstream.Hit{{ID: "a"}}}}
 	}})
 	req := fanout.Request{ID: "q", Query: caller.Query{Limit: 20}, Document: document.Default(), Map: tab.View().Versions[0]}
--- a/entry/internal/service/cost_test.go
+++ b/entry/internal/service/cost_test.go
@@ -103,7 +103,7 @@
 		var wg sync.WaitGroup
 		for i := range costShards {
 			wg.Go(func() {
-				if res := client.Query(ctx, list[i].Addr, upstream.QueryTry{ID: "q", Version: 1, Shard: i, Body: body}); res.Kind != upstream.KindOK {
+				if res := client.Query(ctx, list[i].Addr, upstream.QueryAttempt{ID: "q", Version: 1, Shard: i, Body: body}); res.Kind != upstream.KindOK {
 					b.Errorf("%v", res)
 				}
 			})
--- a/entry/internal/service/quarantine.go
+++ b/entry/internal/service/quarantine.go
@@ -33,7 +33,7 @@
 }
 
 // sendQuery sends one attempt of a query unless the query is quarantined for crashing replicas.
-func (s *Service) sendQuery(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+func (s *Service) sendQuery(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result {
 	return s.sendUnlessQuarantined(ctx, r, attempt.Shard, attempt.Body, func() upstream.Result { return s.opts.Send(ctx, r, attempt) })
 }
 
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -33,7 +33,7 @@
 	// NewID returns a new random identifier.
 	NewID func() string
 	// Send sends one attempt; nil means over HTTP.
-	Send func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result
+	Send func(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result
 	// Publish gossips a rumor to all hosts; it may be nil and must not block.
 	Publish func(rumor.Rumor)
 	// Health reads the health endpoint of a replica; nil means over HTTP.
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	if opts.Send == nil {
-		opts.Send = func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+		opts.Send = func(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result {
 			return client.Query(ctx, r.Addr, attempt)
 		}
 	}
--- a/entry/internal/service/sim_test.go
+++ b/entry/internal/service/sim_test.go
@@ -98,7 +98,7 @@
 
 // serviceTime returns the service time of an attempt: 3 ms and an exponential part with a mean of 2 ms, drawn from the
 // attempt's id.
-func (f *simReplicas) serviceTime(w *simReplica, attempt upstream.QueryTry) time.Duration {
+func (f *simReplicas) serviceTime(w *simReplica, attempt upstream.QueryAttempt) time.Duration {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(attempt.ID))
 	rnd := rand.New(rand.NewPCG(f.seed, h.Sum64()))
@@ -113,7 +113,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func (f *simReplicas) send(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+func (f *simReplicas) send(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result {
 	f.mu.Lock()
 	w := f.replicaAt(r.Addr)
 	res := upstream.Result{Kind: upstream.KindOK, Holdings: fmt.Sprintf("1=%d/%d", w.shard, f.shards), Claimed: w.loadHeader, Draining: w.draining}
@@ -235,7 +235,7 @@
 				first := intN(copies)
 				for k := range copies {
 					r := &replica.Replica{Addr: f.addr(i + f.shards*((first+k)%copies))}
-					attempt := upstream.QueryTry{ID: fmt.Sprintf("p%d-%d-%d-%d", host, id, i, k), Body: []byte(`{"query":"` + req.Query.Query + `"}     `)}
+					attempt := upstream.QueryAttempt{ID: fmt.Sprintf("p%d-%d-%d-%d", host, id, i, k), Body: []byte(`{"query":"` + req.Query.Query + `"}     `)}
 					if f.send(ctx, r, attempt).Kind == upstream.KindOK {
 						ok[i] = true
 						return
--- a/entry/internal/service/versions_sim_test.go
+++ b/entry/internal/service/versions_sim_test.go
@@ -119,7 +119,7 @@
 }
 
 // delay draws the delay of an attempt from its id, so that a seed gives the same delays in any order of goroutines.
-func (f *fleet) delay(attempt upstream.QueryTry) time.Duration {
+func (f *fleet) delay(attempt upstream.QueryAttempt) time.Duration {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(attempt.ID))
 	rnd := rand.New(rand.NewPCG(f.seed, h.Sum64()))
@@ -131,7 +131,7 @@
 
 // send answers for the replica at r's address; each hit names its query and the version, shard and number of shards
 // that it comes from.
-func (f *fleet) send(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+func (f *fleet) send(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result {
 	d := f.delay(attempt)
 	res := f.serve(r, attempt)
 	select {
@@ -143,7 +143,7 @@
 	return res
 }
 
-func (f *fleet) serve(r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+func (f *fleet) serve(r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.find(r.Addr)
--- a/load/internal/baseline/server.go
+++ b/load/internal/baseline/server.go
@@ -202,7 +202,7 @@
 			continue
 		}
 		wg.Go(func() {
-			try := upstream.QueryTry{ID: id + "-" + strconv.Itoa(i), Version: m.version, Shard: i, Body: body}
+			try := upstream.QueryAttempt{ID: id + "-" + strconv.Itoa(i), Version: m.version, Shard: i, Body: body}
 			results[i] = s.client.Query(ctx, holders[rand.IntN(len(holders))], try)
 		})
 	}
--- a/standin/internal/replica/replica_test.go
+++ b/standin/internal/replica/replica_test.go
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	body, _ := json.Marshal(upstream.Query{Query: text, Limit: 10})
-	return client.Query(ctx, addr, upstream.QueryTry{ID: id, Version: 4, Shard: 2, Body: body})
+	return client.Query(ctx, addr, upstream.QueryAttempt{ID: id, Version: 4, Shard: 2, Body: body})
 }
 
 func command(c *qt.C, addr netip.AddrPort, faults string) {
@@ -189,7 +189,7 @@
 	body, _ := json.Marshal(upstream.Query{Query: "wool", Limit: 1})
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		res := client.Query(ctx, addr, upstream.QueryTry{ID: "q2", Version: 4, Shard: 2, Body: body})
+		res := client.Query(ctx, addr, upstream.QueryAttempt{ID: "q2", Version: 4, Shard: 2, Body: body})
 		cancel()
 		if res.Kind != upstream.KindOK {
 			return res.Kind
