--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -5,9 +5,9 @@
 	"strconv"
 )
 
-// ErrHistoryGone means that the changes since the requested revision are no longer stored, so all objects must be
+// ErrCompacted means that the changes since the requested revision are no longer stored, so all objects must be
 // listed again.
-var ErrHistoryGone = errors.New("feed: the history since that revision is gone")
+var ErrCompacted = errors.New("feed: the history since that revision is gone")
 
 // Position is a point in the history of the store. When the store is restored from a backup, it counts revisions from
 // that of the backup and increments its era, so revisions of different eras can't be compared.
--- a/entry/internal/source/era_test.go
+++ b/entry/internal/source/era_test.go
@@ -101,7 +101,7 @@
 		return feed.Batch[int64]{}, nil, errUnavailable
 	}
 	if since > s.revision {
-		return feed.Batch[int64]{}, nil, feed.ErrHistoryGone
+		return feed.Batch[int64]{}, nil, feed.ErrCompacted
 	}
 	return s.batch(since), s.changed, ctx.Err()
 }
--- a/entry/internal/source/follower_test.go
+++ b/entry/internal/source/follower_test.go
@@ -176,7 +176,7 @@
 			}
 			if historyDropped {
 				clock.Sleep(ctx, clock.System{}, wait)
-				return feed.Batch[int64]{}, feed.ErrHistoryGone
+				return feed.Batch[int64]{}, feed.ErrCompacted
 			}
 			if revision == since {
 				select {
--- a/entry/internal/source/read.go
+++ b/entry/internal/source/read.go
@@ -52,7 +52,7 @@
 	switch {
 	case errors.Is(err, errEraEnded):
 		f.watchable = false
-	case errors.Is(err, feed.ErrHistoryGone):
+	case errors.Is(err, feed.ErrCompacted):
 		events.HistoryGone.Log(f.opts.Log, "kind", f.opts.Name, "since", st.Revision)
 		f.watchable = false
 	case err == nil && batch.Era > st.Era:
