--- a/core/route/table.go
+++ b/core/route/table.go
@@ -54,8 +54,8 @@
 // Config returns the configuration of the table.
 func (t *Table) Config() *Config { return &t.config }
 
-// Of returns the routes of a host name, longest prefix first; the slice must not be modified.
-func (t *Table) Of(host string) []*Route {
+// Routes returns the routes of a host name, longest prefix first; the slice must not be modified.
+func (t *Table) Routes(host string) []*Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -64,7 +64,7 @@
 
 // Find returns the route of the host name with the longest prefix of path, or nil.
 func (t *Table) Find(host, path string) *Route {
-	for _, r := range t.Of(host) {
+	for _, r := range t.Routes(host) {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
