--- a/core/apikey/key.go
+++ b/core/apikey/key.go
@@ -18,8 +18,8 @@
 // that can be used to make a request.
 type Key [sha256.Size]byte
 
-// Of returns the digest of an API key in the form that the customer sends; an empty text is no key.
-func Of(text string) Key {
+// Digest returns the digest of an API key in the form that the customer sends; an empty text is no key.
+func Digest(text string) Key {
 	if text == "" {
 		return Key{}
 	}
--- a/core/apikey/key_test.go
+++ b/core/apikey/key_test.go
@@ -13,19 +13,19 @@
 // Guards against an API key that can be read from a log line or a message between hosts.
 func TestDigestDoesNotShowTheKey(t *testing.T) {
 	const text = "rvnzqjynjcfv8nmpby25"
-	key := apikey.Of(text)
+	key := apikey.Digest(text)
 	qt.Assert(t, strings.Contains(fmt.Sprintf("%s %v %x %q", key, key, key[:], key[:]), text), qt.IsFalse)
 	qt.Assert(t, len(key.String()), qt.Equals, 8)
 }
 
 func TestKeysAreToldApart(t *testing.T) {
-	qt.Assert(t, apikey.Of("a"), qt.Equals, apikey.Of("a"))
-	qt.Assert(t, apikey.Of("a"), qt.Not(qt.Equals), apikey.Of("A"))
-	qt.Assert(t, apikey.Of("a").IsZero(), qt.IsFalse)
+	qt.Assert(t, apikey.Digest("a"), qt.Equals, apikey.Digest("a"))
+	qt.Assert(t, apikey.Digest("a"), qt.Not(qt.Equals), apikey.Digest("A"))
+	qt.Assert(t, apikey.Digest("a").IsZero(), qt.IsFalse)
 }
 
 // Guards against an empty text that is accepted as a key.
 func TestEmptyTextIsNoKey(t *testing.T) {
-	qt.Assert(t, apikey.Of("").IsZero(), qt.IsTrue)
-	qt.Assert(t, apikey.Of("").String(), qt.Equals, "none")
+	qt.Assert(t, apikey.Digest("").IsZero(), qt.IsTrue)
+	qt.Assert(t, apikey.Digest("").String(), qt.Equals, "none")
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -54,13 +54,13 @@
 // Guards against a key that is assigned to the wrong customer, or accepted although the configuration does not list it.
 func TestCustomerOfAKey(t *testing.T) {
 	table := route.NewTable(route.Config{Keyed: true, Customers: []route.Customer{
-		{Name: "quilts", Keys: []apikey.Key{apikey.Of("k1"), apikey.Of("k2")}},
-		{Name: "boards", Keys: []apikey.Key{apikey.Of("k3"), apikey.Of("k1"), {}}},
+		{Name: "quilts", Keys: []apikey.Key{apikey.Digest("k1"), apikey.Digest("k2")}},
+		{Name: "boards", Keys: []apikey.Key{apikey.Digest("k3"), apikey.Digest("k1"), {}}},
 	}})
 	tests := []struct{ key, want string }{{"k1", "quilts"}, {"k2", "quilts"}, {"k3", "boards"}, {"K1", ""}, {"", ""}, {"k4", ""}}
 	for _, test := range tests {
 		got := ""
-		if c := table.Customer(apikey.Of(test.key)); c != nil {
+		if c := table.Customer(apikey.Digest(test.key)); c != nil {
 			got = c.Name
 		}
 		qt.Check(t, got, qt.Equals, test.want, qt.Commentf(test.key))
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -56,8 +56,8 @@
 			{Name: "west", Host: "a.example", Prefix: "/west/", Attempts: 2, Timeout: time.Second, Split: split, Homes: []string{"west"}},
 		},
 		Customers: []route.Customer{
-			{Name: "quilts", Keys: []apikey.Key{apikey.Of(quiltsKey)}},
-			{Name: "boards", Keys: []apikey.Key{apikey.Of(boardsKey)}, Homes: []string{"east"}},
+			{Name: "quilts", Keys: []apikey.Key{apikey.Digest(quiltsKey)}},
+			{Name: "boards", Keys: []apikey.Key{apikey.Digest(boardsKey)}, Homes: []string{"east"}},
 		},
 	})
 	s.opts.Config = func() *route.Table { return table }
