--- a/core/opaque/request.go
+++ b/core/opaque/request.go
@@ -61,8 +61,8 @@
 	Decode func(r *http.Request, body []byte) Request
 	// StripKey removes the key of the client from the forwarded fields.
 	StripKey func(h http.Header)
-	// AskForKey sets the header field of a refusal that specifies how to send a key.
-	AskForKey func(h http.Header)
+	// SetKeyChallenge sets the header field of a refusal that specifies how to send a key.
+	SetKeyChallenge func(h http.Header)
 	// AppendHead appends the request line and header of a request to a replica; left is the time until its deadline.
 	AppendHead func(b []byte, r *Request, replica string, left time.Duration) []byte
 	// Reply decodes the header of a replica's reply.
--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -333,7 +333,7 @@
 	f.opts.Requests.Refused(refused)
 	f.opts.Refused(refused)
 	if ref.status == http.StatusUnauthorized {
-		f.opts.Codec.AskForKey(w.Header())
+		f.opts.Codec.SetKeyChallenge(w.Header())
 	}
 	if ref.retryAfter > 0 {
 		errorWithRetryAfter(w, ref.status, ref.retryAfter, ref.message)
