--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -33,7 +33,7 @@
 	*Forwarder
 	log      strings.Builder
 	mu       sync.Mutex
-	received []platformtest.Seen
+	received []platformtest.RequestHeader
 }
 
 // newCustomerFixture returns a forwarder whose rate limit decisions are those of take; nil means no limit.
--- a/soak/internal/world/world.go
+++ b/soak/internal/world/world.go
@@ -230,7 +230,7 @@
 	}
 }
 
-func (r *Replica) answer(seen platformtest.Seen) []byte {
+func (r *Replica) answer(seen platformtest.RequestHeader) []byte {
 	if seen.Replica != r.ID {
 		return platformtest.Misdirected(seen.ID)
 	}
