--- a/entry/internal/exchange/pool_test.go
+++ b/entry/internal/exchange/pool_test.go
@@ -48,7 +48,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := replicatest.New()
 				r := f.Add("a", 1, func(req *http.Request, _ []byte) replicatest.Answer {
-					id := platformtest.Read(req).ID
+					id := platformtest.ReadRequestHeader(req).ID
 					a := replicatest.Answer{After: 20 * time.Millisecond, Raw: platformtest.Reply(200, id, "s."+id, []byte(id))}
 					if id == "one" {
 						a.Late, a.LateAfter = platformtest.Reply(200, id, "s."+id, []byte("late")), test.lateAfter
@@ -137,7 +137,7 @@
 		f.DialTime = 250 * time.Millisecond
 		var sentDeadline string
 		r := f.Add("a", 1, func(req *http.Request, b []byte) replicatest.Answer {
-			sentDeadline = platformtest.Read(req).Deadline
+			sentDeadline = platformtest.ReadRequestHeader(req).Deadline
 			return replicatest.OK("a-1", 0, "x")(req, b)
 		})
 		p := newPool(f, r)
--- a/entry/internal/forward/answers_test.go
+++ b/entry/internal/forward/answers_test.go
@@ -62,7 +62,7 @@
 		defer farm.Close()
 		farm.Add("s0", 1, replicatest.OK("a", time.Millisecond, "aaaaaaaaaaaaaaaa"))
 		farm.Add("s1", 1, func(r *http.Request, _ []byte) replicatest.Answer {
-			id := platformtest.Read(r).ID
+			id := platformtest.ReadRequestHeader(r).ID
 			return replicatest.Answer{Raw: platformtest.Reply(http.StatusInternalServerError, id, "b."+id, []byte("zzzzzzzzzzzzzzzz"))}
 		})
 		farm.Add("s2", 1, replicatest.OK("c", time.Millisecond, "cccccccccccccccc"))
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -42,7 +42,7 @@
 	farm.Add("desk", 0, func(r *http.Request, _ []byte) replicatest.Answer {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		seen := platformtest.Read(r)
+		seen := platformtest.ReadRequestHeader(r)
 		s.received = append(s.received, seen)
 		return replicatest.Answer{After: time.Millisecond, Raw: platformtest.Reply(http.StatusOK, seen.ID, "stamp", []byte("ok"))}
 	})
--- a/entry/internal/replicatest/farm.go
+++ b/entry/internal/replicatest/farm.go
@@ -229,14 +229,14 @@
 	defer r.mu.Unlock()
 	r.arrivals++
 	if !a.NotRun {
-		r.runs = append(r.runs, platformtest.Read(req).ID)
+		r.runs = append(r.runs, platformtest.ReadRequestHeader(req).ID)
 	}
 }
 
 // OK returns a handler that replies with the body after a delay. The reply's stamp is name and the request id.
 func OK(name string, after time.Duration, body string) func(*http.Request, []byte) Answer {
 	return func(req *http.Request, _ []byte) Answer {
-		id := platformtest.Read(req).ID
+		id := platformtest.ReadRequestHeader(req).ID
 		return Answer{After: after, Raw: platformtest.Reply(http.StatusOK, id, name+"."+id, []byte(body))}
 	}
 }
@@ -254,13 +254,13 @@
 // Full returns a handler that sheds each request without running it.
 func Full() func(*http.Request, []byte) Answer {
 	return func(req *http.Request, _ []byte) Answer {
-		return Answer{NotRun: true, Raw: platformtest.NotRun(platformtest.Read(req).ID)}
+		return Answer{NotRun: true, Raw: platformtest.NotRun(platformtest.ReadRequestHeader(req).ID)}
 	}
 }
 
 // Misdirected returns a handler that replies that the address belongs to another replica.
 func Misdirected() func(*http.Request, []byte) Answer {
 	return func(req *http.Request, _ []byte) Answer {
-		return Answer{NotRun: true, Raw: platformtest.Misdirected(platformtest.Read(req).ID)}
+		return Answer{NotRun: true, Raw: platformtest.Misdirected(platformtest.ReadRequestHeader(req).ID)}
 	}
 }
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -333,7 +333,7 @@
 			b.farm.Add("s0", n, func(r *http.Request, body []byte) replicatest.Answer {
 				mu.Lock()
 				defer mu.Unlock()
-				id := platformtest.Read(r).ID
+				id := platformtest.ReadRequestHeader(r).ID
 				if reached[id] == nil {
 					reached[id] = map[int]bool{}
 				}
--- a/entry/onplatform_test.go
+++ b/entry/onplatform_test.go
@@ -73,7 +73,7 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		seen := platformtest.Read(r)
+		seen := platformtest.ReadRequestHeader(r)
 		if seen.Replica != id {
 			_, _ = c.Write(platformtest.Misdirected(seen.ID))
 			continue
--- a/soak/internal/world/world.go
+++ b/soak/internal/world/world.go
@@ -223,7 +223,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		reply := r.answer(platformtest.Read(req))
+		reply := r.answer(platformtest.ReadRequestHeader(req))
 		if _, err := c.Write(reply); err != nil {
 			return
 		}
