--- a/soak/internal/faults/driver.go
+++ b/soak/internal/faults/driver.go
@@ -170,7 +170,7 @@
 func (d *Driver) loseStoreHistory() {
 	d.Logf("store forgets its history")
 	d.disturbAll()
-	d.World.Store.Forget()
+	d.World.Store.DropHistory()
 }
 
 func (d *Driver) replicaLinkFault(ctx context.Context, r *world.Replica, f proxy.Fault, t time.Duration) {
