--- a/entry/onplatform_test.go
+++ b/entry/onplatform_test.go
@@ -138,7 +138,7 @@
 
 // resolve asks a host for the addresses to use.
 func (s *session) resolve(directory string) []string {
-	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+directory+platformtest.Resolve("osborne-hall"), nil)
+	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+directory+platformtest.ResolvePath("osborne-hall"), nil)
 	qt.Assert(s.t, err, qt.IsNil)
 	resp, err := http.DefaultClient.Do(r)
 	qt.Assert(s.t, err, qt.IsNil)
--- a/soak/internal/client/client.go
+++ b/soak/internal/client/client.go
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	h := c.all[rand.IntN(len(c.all))]
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Directory()+platformtest.Resolve("osborne-hall"), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Directory()+platformtest.ResolvePath("osborne-hall"), nil)
 	if err != nil {
 		return
 	}
