--- a/entry/onplatform_test.go
+++ b/entry/onplatform_test.go
@@ -109,7 +109,7 @@
 		})
 	}
 	s.t.Cleanup(stop)
-	s.until(name+" is ready", func() bool { return s.get(fmt.Sprintf("%s:%d", ip, first+1), platformtest.Ready) == http.StatusOK })
+	s.until(name+" is ready", func() bool { return s.get(fmt.Sprintf("%s:%d", ip, first+1), platformtest.ReadyPath) == http.StatusOK })
 	s.say("%s is ready", name)
 	return stop
 }
