--- a/entry/onplatform.go
+++ b/entry/onplatform.go
@@ -63,7 +63,7 @@
 func storeCalls(c *store.Client) []frontmetrics.StoreCalls {
 	list := make([]frontmetrics.StoreCalls, len(store.AllCalls))
 	for i, what := range store.AllCalls {
-		list[i] = frontmetrics.StoreCalls{For: string(what), Calls: c.CallsFor(what)}
+		list[i] = frontmetrics.StoreCalls{For: string(what), Calls: c.CallCount(what)}
 	}
 	return list
 }
