--- a/entry/onplatform.go
+++ b/entry/onplatform.go
@@ -46,7 +46,7 @@
 			ListEvacuations: c.ListEvacuations, WatchEvacuations: c.WatchEvacuations,
 			List: c.List, Get: c.Get, Put: c.Put, Reconnect: c.Reconnect,
 		},
-		Codec: wire.Codec(), Resolve: wire.ResolveHandler, Ready: wire.Ready,
+		Codec: wire.Codec(), Resolve: wire.ResolveHandler, Ready: wire.ReadyHandler,
 		Cores: s.Cores, LinkBits: s.LinkBits,
 		Metrics: netip.AddrPortFrom(s.Front.Addr(), metricsPort), StoreCalls: func() []frontmetrics.StoreCalls { return storeCalls(c) }, LinesLost: lost, Traffic: meter,
 		Grace: s.Grace, MaxKeep: s.MaxKeep, Apply: s.ApplyConfig, Drain: s.Drain, Evacuate: s.Evacuate,
