--- a/core/upstream/client.go
+++ b/core/upstream/client.go
@@ -25,8 +25,8 @@
 type Options struct {
 	// Clock is the source of time; nil means the system clock.
 	Clock clock.Clock
-	// Seats is the maximum number of connections to each replica.
-	Seats int
+	// MaxConns is the maximum number of connections to each replica.
+	MaxConns int
 
 	dialOnDemand bool
 }
@@ -35,7 +35,7 @@
 type Client struct {
 	clock        clock.Clock
 	dialOnDemand bool
-	// current is the HTTP client for all new requests; SetSeats replaces it.
+	// current is the HTTP client for all new requests; SetMaxConns replaces it.
 	current atomic.Pointer[httpClient]
 
 	mu        sync.Mutex
@@ -54,8 +54,8 @@
 	if opts.Clock == nil {
 		opts.Clock = clock.System{}
 	}
-	c := &Client{clock: opts.Clock, dialOnDemand: opts.dialOnDemand, connLimit: opts.Seats, pools: map[string]*connPool{}}
-	l, err := c.newHTTPClient(opts.Seats)
+	c := &Client{clock: opts.Clock, dialOnDemand: opts.dialOnDemand, connLimit: opts.MaxConns, pools: map[string]*connPool{}}
+	l, err := c.newHTTPClient(opts.MaxConns)
 	if err != nil {
 		return nil, err
 	}
@@ -79,12 +79,13 @@
 	return &httpClient{http: hc, tr: tr}, nil
 }
 
-// SetSeats changes the maximum number of connections to each replica; requests in flight finish on their connections.
+// SetMaxConns changes the maximum number of connections to each replica; requests in flight finish on their
+// connections.
 //
 // Operators lower the limit if other systems need the connections of a replica. The limit of a running transport can't
 // be changed, so later requests use a new transport. Both transports dial through the same pool and share its count of
 // open connections, so a replica never has more connections than the higher of the two limits.
-func (c *Client) SetSeats(connLimit int) error {
+func (c *Client) SetMaxConns(connLimit int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if connLimit == c.connLimit {
@@ -164,8 +165,8 @@
 	c.current.Load().tr.CloseIdleConnections()
 }
 
-// QueryTry is one attempt of a query at one replica.
-type QueryTry struct {
+// QueryAttempt is one attempt of a query at one replica.
+type QueryAttempt struct {
 	ID      string
 	Version int64
 	Shard   int
@@ -176,7 +177,7 @@
 }
 
 // Query sends one attempt of a query; the deadline and the cancellation of ctx are passed on to the replica.
-func (c *Client) Query(ctx context.Context, addr netip.AddrPort, try QueryTry) Result {
+func (c *Client) Query(ctx context.Context, addr netip.AddrPort, try QueryAttempt) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req, err := c.request(ctx, http.MethodPost, addr, "/v1/query", try.ID, try.Body)
--- a/core/upstream/silence_test.go
+++ b/core/upstream/silence_test.go
@@ -98,9 +98,9 @@
 		}
 		return writeReply(c, 200, "", `{"request_id":"`+id+`","version":1,"shard":0}`)
 	})
-	c := newTestClient(t, Options{Seats: 3})
+	c := newTestClient(t, Options{MaxConns: 3})
 	query := func(id string) Result {
-		return c.Query(t.Context(), p.addr(), QueryTry{ID: id, Version: 1, Body: []byte("{}")})
+		return c.Query(t.Context(), p.addr(), QueryAttempt{ID: id, Version: 1, Body: []byte("{}")})
 	}
 	qt.Assert(t, query("first").Kind, qt.Equals, KindOK)
 	kinds := make(chan Kind, 1)
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -33,7 +33,7 @@
 	*Forwarder
 	log      strings.Builder
 	mu       sync.Mutex
-	received []platformtest.Seen
+	received []platformtest.RequestHeader
 }
 
 // newCustomerFixture returns a forwarder whose rate limit decisions are those of take; nil means no limit.
@@ -42,7 +42,7 @@
 	farm.Add("desk", 0, func(r *http.Request, _ []byte) replicatest.Answer {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		seen := platformtest.Read(r)
+		seen := platformtest.ReadRequestHeader(r)
 		s.received = append(s.received, seen)
 		return replicatest.Answer{After: time.Millisecond, Raw: platformtest.Reply(http.StatusOK, seen.ID, "stamp", []byte("ok"))}
 	})
@@ -56,8 +56,8 @@
 			{Name: "west", Host: "a.example", Prefix: "/west/", Attempts: 2, Timeout: time.Second, Split: split, Homes: []string{"west"}},
 		},
 		Customers: []route.Customer{
-			{Name: "quilts", Keys: []apikey.Key{apikey.Of(quiltsKey)}},
-			{Name: "boards", Keys: []apikey.Key{apikey.Of(boardsKey)}, Homes: []string{"east"}},
+			{Name: "quilts", Keys: []apikey.Key{apikey.Digest(quiltsKey)}},
+			{Name: "boards", Keys: []apikey.Key{apikey.Digest(boardsKey)}, Homes: []string{"east"}},
 		},
 	})
 	s.opts.Config = func() *route.Table { return table }
--- a/entry/internal/service/cost_test.go
+++ b/entry/internal/service/cost_test.go
@@ -92,7 +92,7 @@
 
 func BenchmarkBareOverHTTP(b *testing.B) {
 	list := startReplicas(b)
-	client, err := upstream.New(upstream.Options{Seats: 5})
+	client, err := upstream.New(upstream.Options{MaxConns: 5})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		var wg sync.WaitGroup
 		for i := range costShards {
 			wg.Go(func() {
-				if res := client.Query(ctx, list[i].Addr, upstream.QueryTry{ID: "q", Version: 1, Shard: i, Body: body}); res.Kind != upstream.KindOK {
+				if res := client.Query(ctx, list[i].Addr, upstream.QueryAttempt{ID: "q", Version: 1, Shard: i, Body: body}); res.Kind != upstream.KindOK {
 					b.Errorf("%v", res)
 				}
 			})
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -33,7 +33,7 @@
 	// NewID returns a new random identifier.
 	NewID func() string
 	// Send sends one attempt; nil means over HTTP.
-	Send func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result
+	Send func(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result
 	// Publish gossips a rumor to all hosts; it may be nil and must not block.
 	Publish func(rumor.Rumor)
 	// Health reads the health endpoint of a replica; nil means over HTTP.
@@ -66,12 +66,12 @@
 
 // New returns the service described by gen, without any replicas.
 func New(gen accepted.Generation, opts Options) (*Service, error) {
-	client, err := upstream.New(upstream.Options{Clock: opts.Clock, Seats: connectionLimit(gen.Document)})
+	client, err := upstream.New(upstream.Options{Clock: opts.Clock, MaxConns: connectionLimit(gen.Document)})
 	if err != nil {
 		return nil, err
 	}
 	if opts.Send == nil {
-		opts.Send = func(ctx context.Context, r *replica.Replica, attempt upstream.QueryTry) upstream.Result {
+		opts.Send = func(ctx context.Context, r *replica.Replica, attempt upstream.QueryAttempt) upstream.Result {
 			return client.Query(ctx, r.Addr, attempt)
 		}
 	}
@@ -105,7 +105,7 @@
 func (s *Service) SetGeneration(gen accepted.Generation) {
 	s.gen.Store(&gen)
 	s.gate.SetLimits(admissionLimits(gen.Document))
-	if err := s.client.SetSeats(connectionLimit(gen.Document)); err != nil {
+	if err := s.client.SetMaxConns(connectionLimit(gen.Document)); err != nil {
 		panic(fmt.Sprintf("service: can't set the upstream client's connection limit: %v", err))
 	}
 }
--- a/entry/onplatform.go
+++ b/entry/onplatform.go
@@ -48,7 +48,7 @@
 			ListEvacuations: client.ListEvacuations, WatchEvacuations: client.WatchEvacuations,
 			List: client.List, Get: client.Get, Put: client.Put, Reconnect: client.Reconnect,
 		},
-		Codec: wire.Codec(), Resolve: wire.Resolve, Ready: wire.Ready,
+		Codec: wire.Codec(), Resolve: wire.ResolveHandler, Ready: wire.ReadyHandler,
 		Cores: s.Cores, LinkBits: s.LinkBits,
 		Metrics: netip.AddrPortFrom(s.Front.Addr(), metricsPort), StoreCalls: func() []frontmetrics.StoreCalls { return storeCalls(client) }, LinesLost: droppedLines, Traffic: meter,
 		Grace: s.Grace, MaxKeep: s.MaxKeep, Apply: s.ApplyConfig, Drain: s.Drain, Evacuate: s.Evacuate,
@@ -65,7 +65,7 @@
 func storeCalls(client *store.Client) []frontmetrics.StoreCalls {
 	list := make([]frontmetrics.StoreCalls, len(store.AllCalls))
 	for i, purpose := range store.AllCalls {
-		list[i] = frontmetrics.StoreCalls{For: string(purpose), Calls: client.CallsFor(purpose)}
+		list[i] = frontmetrics.StoreCalls{For: string(purpose), Calls: client.CallCount(purpose)}
 	}
 	return list
 }
--- a/entry/onplatform_test.go
+++ b/entry/onplatform_test.go
@@ -76,7 +76,7 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		seen := platformtest.Read(r)
+		seen := platformtest.ReadRequestHeader(r)
 		if seen.Replica != id {
 			_, _ = c.Write(platformtest.Misdirected(seen.ID))
 			continue
@@ -114,7 +114,7 @@
 		})
 	}
 	s.t.Cleanup(stop)
-	s.waitFor(name+" is ready", func() bool { return s.get(fmt.Sprintf("%s:%d", ip, first+1), platformtest.Ready) == http.StatusOK })
+	s.waitFor(name+" is ready", func() bool { return s.get(fmt.Sprintf("%s:%d", ip, first+1), platformtest.ReadyPath) == http.StatusOK })
 	s.addLine("%s is ready", name)
 	return stop
 }
@@ -144,7 +144,7 @@
 
 // resolve looks up the addresses of the hosts that clients may use and returns them sorted.
 func (s *session) resolve(directory string) []string {
-	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+directory+platformtest.Resolve("osborne-hall"), nil)
+	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+directory+platformtest.ResolvePath("osborne-hall"), nil)
 	qt.Assert(s.t, err, qt.IsNil)
 	resp, err := http.DefaultClient.Do(r)
 	qt.Assert(s.t, err, qt.IsNil)
--- a/load/internal/baseline/server.go
+++ b/load/internal/baseline/server.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	client, err := upstream.New(upstream.Options{Seats: opts.MaxConnections})
+	client, err := upstream.New(upstream.Options{MaxConns: opts.MaxConnections})
 	if err != nil {
 		return nil, err
 	}
@@ -202,7 +202,7 @@
 			continue
 		}
 		wg.Go(func() {
-			try := upstream.QueryTry{ID: id + "-" + strconv.Itoa(i), Version: m.version, Shard: i, Body: body}
+			try := upstream.QueryAttempt{ID: id + "-" + strconv.Itoa(i), Version: m.version, Shard: i, Body: body}
 			results[i] = s.client.Query(ctx, holders[rand.IntN(len(holders))], try)
 		})
 	}
--- a/soak/internal/world/world.go
+++ b/soak/internal/world/world.go
@@ -223,14 +223,14 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		reply := r.answer(platformtest.Read(req))
+		reply := r.answer(platformtest.ReadRequestHeader(req))
 		if _, err := c.Write(reply); err != nil {
 			return
 		}
 	}
 }
 
-func (r *Replica) answer(seen platformtest.Seen) []byte {
+func (r *Replica) answer(seen platformtest.RequestHeader) []byte {
 	if seen.Replica != r.ID {
 		return platformtest.Misdirected(seen.ID)
 	}
--- a/standin/internal/replica/replica_test.go
+++ b/standin/internal/replica/replica_test.go
@@ -42,7 +42,7 @@
 	srv := rep.HTTP()
 	done := make(chan error, 1)
 	go func() { done <- srv.Start(context.Background()) }()
-	client, err := upstream.New(upstream.Options{Seats: 4})
+	client, err := upstream.New(upstream.Options{MaxConns: 4})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() {
 		client.Close()
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	body, _ := json.Marshal(upstream.Query{Query: text, Limit: 10})
-	return client.Query(ctx, addr, upstream.QueryTry{ID: id, Version: 4, Shard: 2, Body: body})
+	return client.Query(ctx, addr, upstream.QueryAttempt{ID: id, Version: 4, Shard: 2, Body: body})
 }
 
 func command(c *qt.C, addr netip.AddrPort, faults string) {
@@ -134,10 +134,10 @@
 	c := qt.New(t)
 	addr, _ := start(c, replica.Options{Slots: 1, Connections: 1})
 	// With more than one seat, a client may open a second connection and lose its request to the limit.
-	client, err := upstream.New(upstream.Options{Seats: 1})
+	client, err := upstream.New(upstream.Options{MaxConns: 1})
 	c.Assert(err, qt.IsNil)
 	c.Assert(query(client, addr, "q1", "wool").Kind, qt.Equals, upstream.KindOK)
-	other, err := upstream.New(upstream.Options{Seats: 1})
+	other, err := upstream.New(upstream.Options{MaxConns: 1})
 	c.Assert(err, qt.IsNil)
 	// The client may notice the close before or after it sends the request; in both cases the request must not run.
 	kind := query(other, addr, "q2", "wool").Kind
@@ -178,7 +178,7 @@
 	c.Assert(query(client, addr, "q1", "wool").Kind, qt.Equals, upstream.KindOK)
 	command(c, addr, `{"silence":true}`)
 	c.Assert(untilCanceled(client, addr), qt.Equals, upstream.KindCanceled)
-	fresh, err := upstream.New(upstream.Options{Seats: 1})
+	fresh, err := upstream.New(upstream.Options{MaxConns: 1})
 	c.Assert(err, qt.IsNil)
 	defer fresh.Close()
 	c.Assert(query(fresh, addr, "q3", "wool").Kind, qt.Equals, upstream.KindOK)
@@ -189,7 +189,7 @@
 	body, _ := json.Marshal(upstream.Query{Query: "wool", Limit: 1})
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		res := client.Query(ctx, addr, upstream.QueryTry{ID: "q2", Version: 4, Shard: 2, Body: body})
+		res := client.Query(ctx, addr, upstream.QueryAttempt{ID: "q2", Version: 4, Shard: 2, Body: body})
 		cancel()
 		if res.Kind != upstream.KindOK {
 			return res.Kind
