--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -74,9 +74,9 @@
 	return true
 }
 
-// Strike counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the attempt
+// RecordFailure counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the attempt
 // only took the replica out of rotation until the next probe.
-func (s *State) Strike(now time.Time) bool {
+func (s *State) RecordFailure(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures++
--- a/entry/internal/eject/eject_test.go
+++ b/entry/internal/eject/eject_test.go
@@ -15,11 +15,11 @@
 func TestSlowReplicaIsEjectedUntilProbeSucceeds(t *testing.T) {
 	var s eject.State
 	now := time.Unix(100, 0)
-	qt.Assert(t, s.Strike(now), qt.IsFalse)
+	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
 	qt.Assert(t, s.Good(), qt.IsFalse)
-	qt.Assert(t, s.Strike(now), qt.IsFalse)
+	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
 	qt.Assert(t, s.In(), qt.IsTrue)
-	qt.Assert(t, s.Strike(now), qt.IsFalse)
+	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
 	qt.Assert(t, s.In(), qt.IsFalse)
 
 	// The first probe is due at once and succeeds: the replica returns without having been ejected.
@@ -28,17 +28,17 @@
 	qt.Assert(t, s.Good(), qt.IsFalse)
 	qt.Assert(t, s.In(), qt.IsTrue)
 
-	s.Strike(now)
-	s.Strike(now)
+	s.RecordFailure(now)
+	s.RecordFailure(now)
 	qt.Assert(t, s.Trial(now), qt.IsTrue)
-	qt.Assert(t, s.Strike(now), qt.IsTrue)
+	qt.Assert(t, s.RecordFailure(now), qt.IsTrue)
 	qt.Assert(t, s.In(), qt.IsFalse)
 
 	var probes []int
 	for sec := range 60 {
 		if s.Trial(now.Add(time.Duration(sec) * time.Second)) {
 			probes = append(probes, sec)
-			s.Strike(now)
+			s.RecordFailure(now)
 		}
 	}
 	qt.Assert(t, probes, qt.DeepEquals, []int{1, 3, 7, 15, 31, 47})
--- a/entry/internal/fanout/record.go
+++ b/entry/internal/fanout/record.go
@@ -47,7 +47,7 @@
 }
 
 func (run *Runner) strike(r *replica.Replica, now time.Time, why string) {
-	if r.Eject.Strike(now) {
+	if r.Eject.RecordFailure(now) {
 		run.opts.Judged(r, true, why)
 	}
 }
