--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -113,7 +113,7 @@
 	r, verdict := choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Found)
 	qt.Assert(t, r, qt.IsNotNil)
-	hs[0][0].Eject.Good()
+	hs[0][0].Eject.RecordSuccess()
 	r, _ = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, r, qt.Equals, hs[0][0])
 	for range r.Limit.Most() {
--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -94,8 +94,8 @@
 	return true
 }
 
-// Good counts a successful attempt and reports whether it restored an ejected replica.
-func (s *State) Good() bool {
+// RecordSuccess counts a successful attempt and reports whether it restored an ejected replica.
+func (s *State) RecordSuccess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasEjected := s.ejected
--- a/entry/internal/eject/eject_test.go
+++ b/entry/internal/eject/eject_test.go
@@ -16,7 +16,7 @@
 	var s eject.State
 	now := time.Unix(100, 0)
 	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
-	qt.Assert(t, s.Good(), qt.IsFalse)
+	qt.Assert(t, s.RecordSuccess(), qt.IsFalse)
 	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
 	qt.Assert(t, s.In(), qt.IsTrue)
 	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
@@ -25,7 +25,7 @@
 	// The first probe is due at once and succeeds: the replica returns without having been ejected.
 	qt.Assert(t, s.Trial(now), qt.IsTrue)
 	qt.Assert(t, s.Trial(now), qt.IsFalse)
-	qt.Assert(t, s.Good(), qt.IsFalse)
+	qt.Assert(t, s.RecordSuccess(), qt.IsFalse)
 	qt.Assert(t, s.In(), qt.IsTrue)
 
 	s.RecordFailure(now)
@@ -42,7 +42,7 @@
 		}
 	}
 	qt.Assert(t, probes, qt.DeepEquals, []int{1, 3, 7, 15, 31, 47})
-	qt.Assert(t, s.Good(), qt.IsTrue)
+	qt.Assert(t, s.RecordSuccess(), qt.IsTrue)
 	qt.Assert(t, s.In(), qt.IsTrue)
 	qt.Assert(t, s.Trial(now.Add(time.Hour)), qt.IsFalse)
 }
--- a/entry/internal/fanout/record.go
+++ b/entry/internal/fanout/record.go
@@ -53,7 +53,7 @@
 }
 
 func (run *Runner) recordSuccess(r *replica.Replica, why string) {
-	if r.Eject.Good() {
+	if r.Eject.RecordSuccess() {
 		run.opts.Judged(r, false, why)
 	}
 }
