--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -58,8 +58,8 @@
 	s.nextProbe.Store(now.UnixNano())
 }
 
-// Trial reports whether a probe is due. It returns true to one caller only, which has to send the probe.
-func (s *State) Trial(now time.Time) bool {
+// ClaimProbe reports whether a probe is due. It returns true to one caller only, which has to send the probe.
+func (s *State) ClaimProbe(now time.Time) bool {
 	at := s.nextProbe.Load()
 	if at == 0 || now.UnixNano() < at {
 		return false
