--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"guavaspring.org/entry/internal/homes"
+	"guavaspring.org/entry/internal/inflight"
 	"guavaspring.org/entry/internal/member"
 	"guavaspring.org/entry/internal/pick"
 	"guavaspring.org/entry/internal/queueing"
-	"guavaspring.org/entry/internal/room"
 	"guavaspring.org/entry/internal/spend"
 )
 
@@ -120,7 +120,7 @@
 	for _, r := range members {
 		list = append(list, r)
 		if serves(r) {
-			slots += int64(room.Slots(r.row.Slots))
+			slots += int64(inflight.Slots(r.row.Slots))
 			z.add(r)
 		}
 	}
@@ -223,7 +223,7 @@
 		}
 		estimate := pick.Estimate(v, need.Usual, draw())
 		switch {
-		case v.Running >= room.Most(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
+		case v.Running >= inflight.Most(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
 			if busyEstimate < 0 || estimate < busyEstimate {
 				busyEstimate = estimate
 			}
--- a/entry/internal/room/room.go
+++ b/entry/internal/inflight/inflight.go
@@ -1,4 +1,4 @@
-package room
+package inflight
 
 import "math"
 
--- a/entry/internal/room/room_test.go
+++ b/entry/internal/inflight/inflight_test.go
@@ -1,11 +1,11 @@
-package room_test
+package inflight_test
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"guavaspring.org/entry/internal/room"
+	"guavaspring.org/entry/internal/inflight"
 )
 
 // Guards against two wrong limits. Under a burst, or where the capacity is just sufficient, each host sends up to its
@@ -19,8 +19,8 @@
 		part := 1 / float64(test.hosts)
 		c := qt.Commentf("%d hosts, %d slots", test.hosts, test.slots)
 		for _, use := range []float64{0.85, 1.4, 3} {
-			qt.Check(t, room.Most(test.slots, part, use), qt.Equals, test.busy, c)
+			qt.Check(t, inflight.Most(test.slots, part, use), qt.Equals, test.busy, c)
 		}
-		qt.Check(t, room.Most(test.slots, part, 0.1), qt.Equals, test.quiet, c)
+		qt.Check(t, inflight.Most(test.slots, part, 0.1), qt.Equals, test.quiet, c)
 	}
 }
--- a/entry/internal/room/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package room limits the requests that a host may have in flight at one replica.
-package room
