--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -10,7 +10,7 @@
 	"guavaspring.org/entry/internal/member"
 	"guavaspring.org/entry/internal/pick"
 	"guavaspring.org/entry/internal/queueing"
-	"guavaspring.org/entry/internal/spend"
+	"guavaspring.org/entry/internal/retrybudget"
 )
 
 // Verdict is the outcome of a choice.
@@ -29,7 +29,7 @@
 // Service holds one service's replicas and its retry and hedge budget.
 type Service struct {
 	Name   string
-	Budget *spend.Budget
+	Budget *retrybudget.Budget
 	queue
 	list atomic.Pointer[[]*Replica]
 	// zones holds the availability zones and regions with a serving replica.
--- a/entry/internal/endpoints/table.go
+++ b/entry/internal/endpoints/table.go
@@ -16,7 +16,7 @@
 	"guavaspring.org/core/route"
 	"guavaspring.org/entry/internal/events"
 	"guavaspring.org/entry/internal/member"
-	"guavaspring.org/entry/internal/spend"
+	"guavaspring.org/entry/internal/retrybudget"
 )
 
 const (
@@ -41,7 +41,7 @@
 	// Regions holds the region of each availability zone; a zone without one is no request's home.
 	Regions map[string]string
 	Codec   *opaque.Codec
-	Spend   spend.Options
+	Spend   retrybudget.Options
 	// Share returns this host's part, 0 to 1, of a limit that holds for all hosts together.
 	Share func() float64
 	// Hosts returns the id of this host and the serving hosts, among which the replicas are divided; nil means that
@@ -105,7 +105,7 @@
 func (t *Table) service(name string) *Service {
 	s := t.services[name]
 	if s == nil {
-		s = &Service{Name: name, Budget: spend.New(t.opts.Spend), share: t.opts.Share, hosts: t.opts.Hosts}
+		s = &Service{Name: name, Budget: retrybudget.New(t.opts.Spend), share: t.opts.Share, hosts: t.opts.Hosts}
 		s.list.Store(&[]*Replica{})
 		s.zones.Store(&servingZones{})
 		s.conns.Store(int64(t.maxConnections(name)))
--- a/entry/internal/endpoints/table_test.go
+++ b/entry/internal/endpoints/table_test.go
@@ -19,7 +19,7 @@
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/pick"
 	"guavaspring.org/entry/internal/replicatest"
-	"guavaspring.org/entry/internal/spend"
+	"guavaspring.org/entry/internal/retrybudget"
 	"guavaspring.org/platform/wire"
 )
 
@@ -27,7 +27,7 @@
 	codec := wire.Codec()
 	return endpoints.New(endpoints.Options{
 		Clock: clock.System{}, Log: logr.Discard(), Zone: "a", Codec: &codec, Dial: f.Dial,
-		Spend: spend.Options{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, Share: func() float64 { return 1.0 / 3 },
+		Spend: retrybudget.Options{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}, Share: func() float64 { return 1.0 / 3 },
 	})
 }
 
--- a/entry/internal/forward/answers_test.go
+++ b/entry/internal/forward/answers_test.go
@@ -16,9 +16,9 @@
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/replicatest"
 	"guavaspring.org/entry/internal/requestlog"
+	"guavaspring.org/entry/internal/retrybudget"
 	"guavaspring.org/entry/internal/rumor"
 	"guavaspring.org/entry/internal/scatter"
-	"guavaspring.org/entry/internal/spend"
 	"guavaspring.org/platform/platformtest"
 	"guavaspring.org/platform/wire"
 )
@@ -28,7 +28,7 @@
 	codec := wire.Codec()
 	share := func() float64 { return 1 }
 	table := endpoints.New(endpoints.Options{
-		Clock: clock.System{}, Log: logr.Discard(), Codec: &codec, Share: share, Dial: farm.Dial, Spend: spend.Options{Ratio: 1, Slack: 50, Window: 10 * time.Second},
+		Clock: clock.System{}, Log: logr.Discard(), Codec: &codec, Share: share, Dial: farm.Dial, Spend: retrybudget.Options{Ratio: 1, Slack: 50, Window: 10 * time.Second},
 	})
 	if listed {
 		table.Replace(farm.Batch(), false)
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -35,10 +35,10 @@
 	"guavaspring.org/entry/internal/member"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/requestlog"
+	"guavaspring.org/entry/internal/retrybudget"
 	"guavaspring.org/entry/internal/rumor"
 	"guavaspring.org/entry/internal/scatter"
 	"guavaspring.org/entry/internal/source"
-	"guavaspring.org/entry/internal/spend"
 	"guavaspring.org/entry/internal/startup"
 	"guavaspring.org/entry/internal/subquery"
 	"guavaspring.org/entry/internal/traffic"
@@ -124,7 +124,7 @@
 	// QuotaExcess is the share of its limit that a customer may run over it, in addition to QuotaSlack.
 	QuotaExcess float64
 	// Spend bounds the retries and hedges of all hosts together.
-	Spend spend.Options
+	Spend retrybudget.Options
 }
 
 // Front is an entry host that forwards opaque requests.
--- a/entry/internal/spend/spend.go
+++ b/entry/internal/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-package spend
+package retrybudget
 
 import (
 	"sync"
--- a/entry/internal/spend/spend_test.go
+++ b/entry/internal/retrybudget/retrybudget_test.go
@@ -1,4 +1,4 @@
-package spend_test
+package retrybudget_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"guavaspring.org/entry/internal/spend"
+	"guavaspring.org/entry/internal/retrybudget"
 )
 
 const window = 10 * time.Second
@@ -17,10 +17,10 @@
 func TestNoWindowExceedsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 6
-		opts := spend.Options{Ratio: 0.2, Slack: 52, Window: window}
-		budgets := make([]*spend.Budget, hosts)
+		opts := retrybudget.Options{Ratio: 0.2, Slack: 52, Window: window}
+		budgets := make([]*retrybudget.Budget, hosts)
 		for i := range budgets {
-			budgets[i] = spend.New(opts)
+			budgets[i] = retrybudget.New(opts)
 		}
 		start := time.Unix(0, 0)
 		var events []event
@@ -67,7 +67,7 @@
 
 // Guards against hedges using up the budget, so that none is left for retries after failures.
 func TestHedgesLeaveRoomForRetries(t *testing.T) {
-	b := spend.New(spend.Options{Ratio: 0.2, Slack: 0, Window: window})
+	b := retrybudget.New(retrybudget.Options{Ratio: 0.2, Slack: 0, Window: window})
 	now := time.Unix(0, 0)
 	for range 1000 {
 		b.Request(now)
@@ -86,7 +86,7 @@
 
 // Guards against charging the budget for an attempt that was not sent.
 func TestUnsend(t *testing.T) {
-	b := spend.New(spend.Options{Ratio: 0, Slack: 2, Window: window})
+	b := retrybudget.New(retrybudget.Options{Ratio: 0, Slack: 2, Window: window})
 	now := time.Unix(0, 0)
 	qt.Assert(t, b.Retry(now, 1), qt.IsTrue)
 	qt.Assert(t, b.Retry(now, 1), qt.IsFalse)
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -22,8 +22,8 @@
 	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/replicatest"
+	"guavaspring.org/entry/internal/retrybudget"
 	"guavaspring.org/entry/internal/scatter"
-	"guavaspring.org/entry/internal/spend"
 	"guavaspring.org/platform/platformtest"
 	"guavaspring.org/platform/wire"
 )
@@ -61,7 +61,7 @@
 	b.table = endpoints.New(endpoints.Options{
 		Clock: clock.System{}, Log: logr.Discard(), Zone: zone, Codec: &codec, Dial: b.farm.Dial, Share: share,
 		Evacuated: func(zone string) bool { return b.evacuated.Load() == zone },
-		Spend:     spend.Options{Ratio: 0.2, Slack: slack, Window: 10 * time.Second},
+		Spend:     retrybudget.Options{Ratio: 0.2, Slack: slack, Window: 10 * time.Second},
 	})
 	b.quarantine = quarantine.New(quarantine.Options{Clock: clock.System{}, Service: "opaque"})
 	b.runner = scatter.New(scatter.Options{Clock: clock.System{}, Share: share, Draw: func() float64 { return 0 }, Quarantine: b.quarantine, Subqueries: sub})
--- a/entry/internal/spend/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package spend limits retries and hedges, over all hosts together, in any window of time.
-package spend
--- a/entry/onplatform.go
+++ b/entry/onplatform.go
@@ -16,7 +16,7 @@
 	"guavaspring.org/entry/internal/events"
 	"guavaspring.org/entry/internal/front"
 	"guavaspring.org/entry/internal/frontmetrics"
-	"guavaspring.org/entry/internal/spend"
+	"guavaspring.org/entry/internal/retrybudget"
 	"guavaspring.org/entry/internal/traffic"
 	"guavaspring.org/platform/settings"
 	"guavaspring.org/platform/store"
@@ -51,7 +51,7 @@
 		Metrics: netip.AddrPortFrom(s.Front.Addr(), metricsPort), StoreCalls: func() []frontmetrics.StoreCalls { return storeCalls(c) }, LinesLost: lost, Traffic: meter,
 		Grace: s.Grace, MaxKeep: s.MaxKeep, Apply: s.ApplyConfig, Drain: s.Drain, Evacuate: s.Evacuate,
 		QuotaSlack: s.QuotaSlack, QuotaExcess: s.QuotaExcess,
-		Spend: spend.Options{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
+		Spend: retrybudget.Options{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
 	})
 	if err != nil {
 		return err
