--- a/entry/internal/patience/tracker.go
+++ b/entry/internal/clienttimeout/tracker.go
@@ -1,4 +1,4 @@
-package patience
+package clienttimeout
 
 import (
 	"slices"
--- a/entry/internal/patience/tracker_test.go
+++ b/entry/internal/clienttimeout/tracker_test.go
@@ -1,4 +1,4 @@
-package patience_test
+package clienttimeout_test
 
 import (
 	"testing"
@@ -6,14 +6,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"guavaspring.org/entry/internal/patience"
+	"guavaspring.org/entry/internal/clienttimeout"
 )
 
 // Guards against first attempts being taken for retries, which are all refused under load. Four clients in ten retry
 // with less time left, and one in a hundred states minutes.
 func TestFirstAttemptsAreNotTakenForRetries(t *testing.T) {
 	const timeout = 600 * time.Millisecond
-	var tracker patience.Tracker
+	var tracker clienttimeout.Tracker
 	for i := range 500 {
 		left := timeout
 		switch {
--- a/entry/internal/learned/route.go
+++ b/entry/internal/learned/route.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"guavaspring.org/entry/internal/clienttimeout"
 	"guavaspring.org/entry/internal/latency"
-	"guavaspring.org/entry/internal/patience"
 	"guavaspring.org/entry/internal/unloaded"
 )
 
@@ -14,9 +14,9 @@
 	Recent   latency.Recent
 	Unloaded unloaded.Estimator
 	// Patience tracks the remaining time that clients state.
-	Patience patience.Tracker
+	Patience clienttimeout.Tracker
 	// Arriving tracks it for all requests, including those that are refused before any attempt is sent.
-	Arriving patience.Tracker
+	Arriving clienttimeout.Tracker
 }
 
 // Replied records the time that a reply took.
--- a/entry/internal/patience/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package patience distinguishes clients that retry a refused request from those that send it first.
-package patience
