--- /dev/null
+++ b/entry/internal/baselatency/doc.go
@@ -0,0 +1,2 @@
+// Package baselatency estimates reply times without queueing at the replicas.
+package baselatency
--- a/entry/internal/unloaded/estimator.go
+++ b/entry/internal/baselatency/estimator.go
@@ -1,4 +1,4 @@
-package unloaded
+package baselatency
 
 import (
 	"math"
--- a/entry/internal/learned/route.go
+++ b/entry/internal/learned/route.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
+	"guavaspring.org/entry/internal/baselatency"
 	"guavaspring.org/entry/internal/clienttimeout"
 	"guavaspring.org/entry/internal/latency"
-	"guavaspring.org/entry/internal/unloaded"
 )
 
 // Route holds the statistics of one route. The zero value is ready to use.
 type Route struct {
 	// Recent holds the newest reply times, Unloaded the estimated reply time without queueing.
 	Recent   latency.Recent
-	Unloaded unloaded.Estimator
+	Unloaded baselatency.Estimator
 	// Patience tracks the remaining time that clients state.
 	Patience clienttimeout.Tracker
 	// Arriving tracks it for all requests, including those that are refused before any attempt is sent.
--- a/entry/internal/unloaded/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package unloaded estimates reply times without queueing at the replicas.
-package unloaded
