--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -22,10 +22,10 @@
 	"guavaspring.org/entry/internal/events"
 	"guavaspring.org/entry/internal/exchange"
 	"guavaspring.org/entry/internal/homes"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/records"
 	"guavaspring.org/entry/internal/requestlog"
+	"guavaspring.org/entry/internal/routestats"
 	"guavaspring.org/entry/internal/scatter"
 )
 
@@ -263,13 +263,13 @@
 }
 
 // learnedRoute returns the measurements of a route and creates them on first use.
-func (f *Forwarder) learnedRoute(rt *route.Route) *learned.Route {
+func (f *Forwarder) learnedRoute(rt *route.Route) *routestats.Route {
 	key := rt.Host + rt.Prefix
 	if r, ok := f.routes.Load(key); ok {
-		return r.(*learned.Route)
+		return r.(*routestats.Route)
 	}
-	r, _ := f.routes.LoadOrStore(key, &learned.Route{})
-	return r.(*learned.Route)
+	r, _ := f.routes.LoadOrStore(key, &routestats.Route{})
+	return r.(*routestats.Route)
 }
 
 var errTooLarge = errors.New("the body is over the limit")
--- a/entry/internal/learned/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package learned holds the time statistics that a host collects per route.
-package learned
--- a/entry/internal/learned/route.go
+++ b/entry/internal/routestats/route.go
@@ -1,4 +1,4 @@
-package learned
+package routestats
 
 import (
 	"time"
--- a/entry/internal/scatter/burst_test.go
+++ b/entry/internal/scatter/burst_test.go
@@ -14,8 +14,8 @@
 	"guavaspring.org/core/clock"
 	"guavaspring.org/core/opaque"
 	"guavaspring.org/core/route"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/replicatest"
+	"guavaspring.org/entry/internal/routestats"
 	"guavaspring.org/entry/internal/scatter"
 )
 
@@ -48,7 +48,7 @@
 	hosts []*testHost
 	// routes is indexed by kind, and learned by host and kind.
 	routes  []*route.Route
-	learned [][]*learned.Route
+	learned [][]*routestats.Route
 	mu      sync.Mutex
 	tallies []tally
 	next    int
@@ -75,9 +75,9 @@
 		h.table.Replace(farm.Batch(), false)
 		h.runner = scatter.New(scatter.Options{Clock: clock.System{}, Share: func() float64 { return 1 / float64(hosts) }, Draw: seeded(uint64(len(c.hosts))), Quarantine: h.quarantine})
 		c.hosts = append(c.hosts, h)
-		var list []*learned.Route
+		var list []*routestats.Route
 		for _, k := range requestKinds {
-			l := &learned.Route{}
+			l := &routestats.Route{}
 			for range 100 {
 				l.Replied(time.Now(), k.work)
 			}
@@ -246,7 +246,7 @@
 		c := newClientLoad(farm, 6, 2)
 		for _, list := range c.learned {
 			for i, k := range requestKinds {
-				*list[i] = learned.Route{}
+				*list[i] = routestats.Route{}
 				for range 100 {
 					list[i].Replied(time.Now(), k.work/4)
 				}
--- a/entry/internal/scatter/scatter.go
+++ b/entry/internal/scatter/scatter.go
@@ -10,9 +10,9 @@
 	"guavaspring.org/core/route"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/overload"
 	"guavaspring.org/entry/internal/quarantine"
+	"guavaspring.org/entry/internal/routestats"
 )
 
 const (
@@ -90,7 +90,7 @@
 	// Shards are the services that receive the request, one replica each.
 	Shards []*endpoints.Service
 	// Learned holds the statistics of the route's earlier requests.
-	Learned *learned.Route
+	Learned *routestats.Route
 	// Homes are the regions to which the request is restricted; none means any.
 	Homes             []string
 	Arrived, Deadline time.Time
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -19,10 +19,10 @@
 	"guavaspring.org/core/route"
 	"guavaspring.org/core/upstream"
 	"guavaspring.org/entry/internal/endpoints"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/replicatest"
 	"guavaspring.org/entry/internal/retrybudget"
+	"guavaspring.org/entry/internal/routestats"
 	"guavaspring.org/entry/internal/scatter"
 	"guavaspring.org/platform/platformtest"
 	"guavaspring.org/platform/wire"
@@ -33,7 +33,7 @@
 	farm    *replicatest.Farm
 	table   *endpoints.Table
 	runner  *scatter.Runner
-	learned *learned.Route
+	learned *routestats.Route
 	n       atomic.Int64
 	// quarantine holds the requests that crash replicas.
 	quarantine *quarantine.Quarantine
@@ -54,7 +54,7 @@
 
 // newHostInZone returns a host in an availability zone that sends subqueries to other hosts.
 func newHostInZone(zone string, farm *replicatest.Farm, slack, part float64, sub scatter.Subqueries) *testHost {
-	b := &testHost{farm: farm, learned: &learned.Route{}}
+	b := &testHost{farm: farm, learned: &routestats.Route{}}
 	b.evacuated.Store("")
 	codec := wire.Codec()
 	share := func() float64 { return part }
