--- a/entry/internal/crossing/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package crossing selects the shards of a query that are queried through a host in another availability zone.
-package crossing
--- a/entry/internal/crossing/bench_test.go
+++ b/entry/internal/crosszone/bench_test.go
@@ -1,9 +1,9 @@
-package crossing_test
+package crosszone_test
 
 import (
 	"testing"
 
-	"guavaspring.org/entry/internal/crossing"
+	"guavaspring.org/entry/internal/crosszone"
 )
 
 // BenchmarkGroups measures the grouping that runs for each request over shards: 10 µs for 90 shards in five zones on
@@ -12,6 +12,6 @@
 	zones := []string{"a", "b", "c", "d", "e"}
 	shards := spread(90, 3, zones, "a")
 	for b.Loop() {
-		crossing.Groups(shards, zones[1:], 0.3)
+		crosszone.Groups(shards, zones[1:], 0.3)
 	}
 }
--- a/entry/internal/crossing/crossing.go
+++ b/entry/internal/crosszone/crosszone.go
@@ -1,4 +1,4 @@
-package crossing
+package crosszone
 
 import "slices"
 
--- a/entry/internal/crossing/crossing_test.go
+++ b/entry/internal/crosszone/crosszone_test.go
@@ -1,4 +1,4 @@
-package crossing_test
+package crosszone_test
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"guavaspring.org/entry/internal/crossing"
+	"guavaspring.org/entry/internal/crosszone"
 )
 
 // spread returns shards with the given number of replicas each, placed round robin over the zones.
-func spread(n, replicas int, zones []string, own string) []crossing.Shard {
-	list := make([]crossing.Shard, n)
+func spread(n, replicas int, zones []string, own string) []crosszone.Shard {
+	list := make([]crosszone.Shard, n)
 	for i := range list {
 		for r := range replicas {
 			zone := zones[(i+r)%len(zones)]
@@ -44,7 +44,7 @@
 		{"one shard elsewhere", 1, 1, []string{"b"}, 0, 0},
 	}
 	for _, test := range tests {
-		groups := crossing.Groups(spread(test.shards, test.replicas, test.zones, "a"), zones[1:], 0.3)
+		groups := crosszone.Groups(spread(test.shards, test.replicas, test.zones, "a"), zones[1:], 0.3)
 		grouped := 0
 		for _, g := range groups {
 			grouped += len(g.Shards)
@@ -52,7 +52,7 @@
 		qt.Check(t, len(groups), qt.Equals, test.groups, qt.Commentf(test.name))
 		qt.Check(t, grouped, qt.Equals, test.grouped, qt.Commentf(test.name))
 	}
-	qt.Check(t, crossing.Groups(spread(90, 3, zones, "a"), nil, 0.3), qt.HasLen, 0)
+	qt.Check(t, crosszone.Groups(spread(90, 3, zones, "a"), nil, 0.3), qt.HasLen, 0)
 }
 
 // Guards against shards that are queried twice or through the wrong zone: each shard must be in at most one group,
@@ -60,14 +60,14 @@
 func TestEachShardIsQueriedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{"a", "b", "c", "d"})
-		shards := make([]crossing.Shard, rapid.IntRange(0, 120).Draw(t, "shards"))
+		shards := make([]crosszone.Shard, rapid.IntRange(0, 120).Draw(t, "shards"))
 		for i := range shards {
 			shards[i].Zones = rapid.SliceOfNDistinct(zone, 0, 3, rapid.ID).Draw(t, "zones")
 			shards[i].Near = slices.Contains(shards[i].Zones, "a")
 		}
 		hosts := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"b", "c", "d"}), 0, 3, rapid.ID).Draw(t, "hosts")
 		seen := map[int]bool{}
-		for _, g := range crossing.Groups(shards, hosts, rapid.Float64Range(0, 1).Draw(t, "draw")) {
+		for _, g := range crosszone.Groups(shards, hosts, rapid.Float64Range(0, 1).Draw(t, "draw")) {
 			if !slices.Contains(hosts, g.Zone) {
 				t.Fatalf("group in zone %s, where no host accepts subqueries", g.Zone)
 			}
@@ -92,7 +92,7 @@
 		others := slices.DeleteFunc(slices.Clone(zones), func(z string) bool { return z == own })
 		shards := spread(90, 3, zones, own)
 		for n := range draws {
-			for _, g := range crossing.Groups(shards, others, (float64(n)+0.5)/draws) {
+			for _, g := range crosszone.Groups(shards, others, (float64(n)+0.5)/draws) {
 				for _, i := range g.Shards {
 					load[fmt.Sprint(i, g.Zone)]++
 				}
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -11,7 +11,7 @@
 
 	"guavaspring.org/core/opaque"
 	"guavaspring.org/core/upstream"
-	"guavaspring.org/entry/internal/crossing"
+	"guavaspring.org/entry/internal/crosszone"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
 	"guavaspring.org/entry/internal/homes"
@@ -74,11 +74,11 @@
 		// Outside the request's home regions, only the host chosen by the client may receive it.
 		return
 	}
-	shards := make([]crossing.Shard, len(p.Shards))
+	shards := make([]crosszone.Shard, len(p.Shards))
 	for i, s := range p.Shards {
 		shards[i].Near, shards[i].Zones = s.Zones()
 	}
-	for _, g := range crossing.Groups(shards, opts.Zones(), p.runner.opts.Draw()) {
+	for _, g := range crosszone.Groups(shards, opts.Zones(), p.runner.opts.Draw()) {
 		if peer, ok := opts.Peer(g.Zone); ok {
 			p.sendSubquery(peer, g.Shards)
 		}
