--- a/entry/internal/guarded/guarded.go
+++ b/entry/internal/attempt/attempt.go
@@ -1,4 +1,4 @@
-package guarded
+package attempt
 
 import (
 	"context"
--- a/entry/internal/guarded/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package guarded sends request attempts through the quarantine, which blocks requests that crash replicas.
-package guarded
--- a/entry/internal/scatter/attempts.go
+++ b/entry/internal/scatter/attempts.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"guavaspring.org/core/upstream"
+	"guavaspring.org/entry/internal/attempt"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
-	"guavaspring.org/entry/internal/guarded"
 	"guavaspring.org/entry/internal/pick"
 )
 
@@ -150,7 +150,7 @@
 	}
 	call := endpoints.Call{Request: p.Request, Deadline: p.Deadline, Connections: p.Shards[i].Connections(), Usual: p.timing.medianLatency, Unloaded: p.unloaded, Once: !p.Route.Idempotent}
 	go func() {
-		res := guarded.Send(p.ctx, p.runner.opts.Quarantine, guarded.Try{Fingerprint: p.Fingerprint, Shard: i, Replica: r, Call: call})
+		res := attempt.Send(p.ctx, p.runner.opts.Quarantine, attempt.Try{Fingerprint: p.Fingerprint, Shard: i, Replica: r, Call: call})
 		if res.Kind == upstream.KindOK {
 			p.Learned.Replied(p.runner.opts.Clock.Now(), res.Took)
 		}
--- a/entry/internal/subquery/server.go
+++ b/entry/internal/subquery/server.go
@@ -8,9 +8,9 @@
 
 	"guavaspring.org/core/clock"
 	"guavaspring.org/core/upstream"
+	"guavaspring.org/entry/internal/attempt"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
-	"guavaspring.org/entry/internal/guarded"
 	"guavaspring.org/entry/internal/pick"
 	"guavaspring.org/entry/internal/quarantine"
 )
@@ -137,7 +137,7 @@
 	j.inFlight[i] = id
 	call := endpoints.Call{Request: &args.Request, Deadline: now.Add(args.Left), Connections: svc.Connections(), Usual: args.Usual, Unloaded: args.Unloaded, ForOther: true}
 	go func() {
-		res := guarded.Send(j.ctx, s.opts.Quarantine, guarded.Try{Fingerprint: args.Fingerprint, Shard: i, Replica: c.Replica, Call: call})
+		res := attempt.Send(j.ctx, s.opts.Quarantine, attempt.Try{Fingerprint: args.Fingerprint, Shard: i, Replica: c.Replica, Call: call})
 		j.results <- attemptResult{shard: i, replica: id, res: res}
 	}()
 }
