--- a/entry/internal/choice/choice.go
+++ b/entry/internal/choice/choice.go
@@ -62,7 +62,7 @@
 // Trial returns an ejected replica that is due for a probe, or nil.
 func Trial(now time.Time, replicas []*replica.Replica) *replica.Replica {
 	for _, r := range replicas {
-		if !r.Eject.In() && !r.Draining() && r.Running() == 0 && r.Eject.ClaimProbe(now) {
+		if !r.Eject.InRotation() && !r.Draining() && r.Running() == 0 && r.Eject.ClaimProbe(now) {
 			return r
 		}
 	}
@@ -82,7 +82,7 @@
 		if r.Draining() || contains(tried, r) {
 			continue
 		}
-		healthy := r.Eject.In()
+		healthy := r.Eject.InRotation()
 		if anyHealthy && !healthy {
 			continue
 		}
--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -47,8 +47,8 @@
 	return usual > 0 && took > slowFactor*usual && took > usual+minSlowExcess
 }
 
-// In reports whether the replica is in rotation, that is, gets regular attempts.
-func (s *State) In() bool { return s.nextProbe.Load() == 0 }
+// InRotation reports whether the replica is in rotation, that is, gets regular attempts.
+func (s *State) InRotation() bool { return s.nextProbe.Load() == 0 }
 
 // Hold takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
 func (s *State) Hold(now time.Time) {
--- a/entry/internal/eject/eject_test.go
+++ b/entry/internal/eject/eject_test.go
@@ -18,21 +18,21 @@
 	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
 	qt.Assert(t, s.RecordSuccess(), qt.IsFalse)
 	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
-	qt.Assert(t, s.In(), qt.IsTrue)
+	qt.Assert(t, s.InRotation(), qt.IsTrue)
 	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
-	qt.Assert(t, s.In(), qt.IsFalse)
+	qt.Assert(t, s.InRotation(), qt.IsFalse)
 
 	// The first probe is due at once and succeeds: the replica returns without having been ejected.
 	qt.Assert(t, s.ClaimProbe(now), qt.IsTrue)
 	qt.Assert(t, s.ClaimProbe(now), qt.IsFalse)
 	qt.Assert(t, s.RecordSuccess(), qt.IsFalse)
-	qt.Assert(t, s.In(), qt.IsTrue)
+	qt.Assert(t, s.InRotation(), qt.IsTrue)
 
 	s.RecordFailure(now)
 	s.RecordFailure(now)
 	qt.Assert(t, s.ClaimProbe(now), qt.IsTrue)
 	qt.Assert(t, s.RecordFailure(now), qt.IsTrue)
-	qt.Assert(t, s.In(), qt.IsFalse)
+	qt.Assert(t, s.InRotation(), qt.IsFalse)
 
 	var probes []int
 	for sec := range 60 {
@@ -43,7 +43,7 @@
 	}
 	qt.Assert(t, probes, qt.DeepEquals, []int{1, 3, 7, 15, 31, 47})
 	qt.Assert(t, s.RecordSuccess(), qt.IsTrue)
-	qt.Assert(t, s.In(), qt.IsTrue)
+	qt.Assert(t, s.InRotation(), qt.IsTrue)
 	qt.Assert(t, s.ClaimProbe(now.Add(time.Hour)), qt.IsFalse)
 }
 
--- a/entry/internal/fanout/attempts.go
+++ b/entry/internal/fanout/attempts.go
@@ -42,7 +42,7 @@
 	switch {
 	case s.failure.NotRun() || s.failure == upstream.KindVersionGone:
 		return true
-	case s.failure == upstream.KindBroken && s.n == 1 && r.Eject.In():
+	case s.failure == upstream.KindBroken && s.n == 1 && r.Eject.InRotation():
 		return true
 	default:
 		return p.run.retries.Take()
--- a/entry/internal/fanout/hedging.go
+++ b/entry/internal/fanout/hedging.go
@@ -41,7 +41,7 @@
 func (p *plan) sendHedge(i int, delay time.Duration) {
 	s := &p.shards[i]
 	r, verdict := choice.Pick(p.run.opts.IntN, p.now, p.vm.Holders[i], s.tried())
-	if verdict != choice.Found || !r.Eject.In() || !p.timeLeft() {
+	if verdict != choice.Found || !r.Eject.InRotation() || !p.timeLeft() {
 		return
 	}
 	if est, _ := r.Estimate(p.now); est > delay || !p.run.hedges.Take() {
--- a/entry/internal/fanout/results.go
+++ b/entry/internal/fanout/results.go
@@ -160,7 +160,7 @@
 		return false
 	}
 	for _, other := range holders {
-		if other == r || !other.Eject.In() || other.Draining() {
+		if other == r || !other.Eject.InRotation() || other.Draining() {
 			continue
 		}
 		if est, _ := other.Estimate(now); est > 0 && eject.Slow(took, est) {
