--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -108,7 +108,7 @@
 	hs := newReplicas(1)
 	now := time.Now()
 	for _, r := range hs[0] {
-		r.Eject.Hold(now)
+		r.Eject.RequireProbe(now)
 	}
 	r, verdict := choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Found)
--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -50,8 +50,8 @@
 // InRotation reports whether the replica is in rotation, that is, gets regular attempts.
 func (s *State) InRotation() bool { return s.nextProbe.Load() == 0 }
 
-// Hold takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
-func (s *State) Hold(now time.Time) {
+// RequireProbe takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
+func (s *State) RequireProbe(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probeInterval = minProbeInterval
--- a/entry/internal/replica/table.go
+++ b/entry/internal/replica/table.go
@@ -134,7 +134,7 @@
 			if !first {
 				// The replica has just started and its caches are cold. In the first list after the start of this
 				// host, replicas are of unknown age, and all are used.
-				r.Eject.Hold(now)
+				r.Eject.RequireProbe(now)
 			}
 			t.byAddr[addr] = r
 			added = append(added, r)
