--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -64,8 +64,8 @@
 	return g
 }
 
-// Place is a permit to run one request; Leave must be called exactly once.
-type Place struct {
+// Permit is a permit to run one request; Leave must be called exactly once.
+type Permit struct {
 	// Waited is the time that the request waited for the permit.
 	Waited time.Duration
 
@@ -75,20 +75,20 @@
 
 // Enter waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
 // Refusal is nil, the caller must call Leave.
-func (g *Gate) Enter(ctx context.Context, req Request) (Place, *Refusal) {
+func (g *Gate) Enter(ctx context.Context, req Request) (Permit, *Refusal) {
 	g.mu.Lock()
 	now := g.clock.Now()
 	a := g.queue.Arrive(now, req)
 	switch a.Verdict {
 	case queue.VerdictRun:
 		g.mu.Unlock()
-		return Place{gate: g, grant: a.Grant}, nil
+		return Permit{gate: g, grant: a.Grant}, nil
 	case queue.VerdictRefuse:
 		g.refused[a.Refusal.Reason]++
 		g.mu.Unlock()
 		// Taking the address of the field would move every arrival to the heap, so the refusal is copied.
 		refusal := a.Refusal
-		return Place{}, &refusal
+		return Permit{}, &refusal
 	}
 	decided := make(chan struct{})
 	g.waiting[a.Waiter] = decided
@@ -96,7 +96,7 @@
 	return g.wait(ctx, now, a.Waiter, decided)
 }
 
-func (g *Gate) wait(ctx context.Context, arrived time.Time, w *queue.Waiter, decided chan struct{}) (Place, *Refusal) {
+func (g *Gate) wait(ctx context.Context, arrived time.Time, w *queue.Waiter, decided chan struct{}) (Permit, *Refusal) {
 	expired := make(chan struct{})
 	stop := g.clock.AfterFunc(w.LatestStart.Sub(arrived), func() { close(expired) })
 	defer stop()
@@ -111,21 +111,21 @@
 	if w.Verdict == queue.VerdictRun {
 		return g.recordWait(w, arrived), nil
 	}
-	return Place{}, &w.Refusal
+	return Permit{}, &w.Refusal
 }
 
-func (g *Gate) recordWait(w *queue.Waiter, arrived time.Time) Place {
+func (g *Gate) recordWait(w *queue.Waiter, arrived time.Time) Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d := g.clock.Now().Sub(arrived)
 	g.waits++
 	g.waitTotal += d
-	return Place{gate: g, grant: w.Grant, Waited: d}
+	return Permit{gate: g, grant: w.Grant, Waited: d}
 }
 
 // cancelWait ends a wait. A permit that was granted at the same moment goes to the next waiter; otherwise it would be
 // lost for good.
-func (g *Gate) cancelWait(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
+func (g *Gate) cancelWait(w *queue.Waiter, reason queue.Reason) (Permit, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	granted := w.Verdict == queue.VerdictRun
@@ -133,7 +133,7 @@
 	if granted {
 		g.refused[reason]++
 	}
-	return Place{}, &refusal
+	return Permit{}, &refusal
 }
 
 // cancelReason returns the reason for a wait that ended with its context.
@@ -154,7 +154,7 @@
 }
 
 // Leave returns the permit; complete reports whether the request was answered in full rather than cut short.
-func (p Place) Leave(complete bool) {
+func (p Permit) Leave(complete bool) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -25,7 +25,7 @@
 }
 
 func raiseLimit(g *admission.Gate, running int) {
-	var places []admission.Place
+	var places []admission.Permit
 	for len(places) < running && g.Stats().Running < g.Stats().Limit {
 		place, refusal := g.Enter(context.Background(), request("warm", time.Second))
 		if refusal != nil {
@@ -48,7 +48,7 @@
 }
 
 type result struct {
-	place   admission.Place
+	place   admission.Permit
 	refusal *admission.Refusal
 	took    time.Duration
 }
@@ -92,7 +92,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(4)
-		var places []admission.Place
+		var places []admission.Permit
 		for range 4 {
 			place, refusal := g.Enter(context.Background(), request("a", 10*time.Second))
 			c.Assert(refusal, qt.IsNil)
--- a/entry/internal/service/admit.go
+++ b/entry/internal/service/admit.go
@@ -28,7 +28,7 @@
 }
 
 // waitDecision returns the decision that records how long a query waited for admission, or nil if it didn't wait.
-func waitDecision(place admission.Place) []explain.Decision {
+func waitDecision(place admission.Permit) []explain.Decision {
 	if place.Waited == 0 {
 		return nil
 	}
