--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -73,9 +73,9 @@
 	grant queue.Grant
 }
 
-// Enter waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
+// Acquire waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
 // Refusal is nil, the caller must call Leave.
-func (g *Gate) Enter(ctx context.Context, req Request) (Permit, *Refusal) {
+func (g *Gate) Acquire(ctx context.Context, req Request) (Permit, *Refusal) {
 	g.mu.Lock()
 	now := g.clock.Now()
 	a := g.queue.Arrive(now, req)
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -27,7 +27,7 @@
 func raiseLimit(g *admission.Gate, running int) {
 	var places []admission.Permit
 	for len(places) < running && g.Stats().Running < g.Stats().Limit {
-		place, refusal := g.Enter(context.Background(), request("warm", time.Second))
+		place, refusal := g.Acquire(context.Background(), request("warm", time.Second))
 		if refusal != nil {
 			panic(refusal.Reason)
 		}
@@ -58,7 +58,7 @@
 	ch := make(chan result, 1)
 	start := time.Now()
 	go func() {
-		place, refusal := g.Enter(ctx, req)
+		place, refusal := g.Acquire(ctx, req)
 		ch <- result{place, refusal, time.Since(start)}
 	}()
 	synctest.Wait()
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
-		_, refusal := g.Enter(context.Background(), request("a", time.Second))
+		_, refusal := g.Acquire(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
 		waiting := enter(context.Background(), g, request("b", time.Second))
 		g.SetLimits(admission.Limits{Running: 64, Waiting: 8, CallerShare: 1})
@@ -94,7 +94,7 @@
 		g := newGate(4)
 		var places []admission.Permit
 		for range 4 {
-			place, refusal := g.Enter(context.Background(), request("a", 10*time.Second))
+			place, refusal := g.Acquire(context.Background(), request("a", 10*time.Second))
 			c.Assert(refusal, qt.IsNil)
 			places = append(places, place)
 		}
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
-		first, _ := g.Enter(context.Background(), request("a", time.Second))
+		first, _ := g.Acquire(context.Background(), request("a", time.Second))
 		ctx, cancel := context.WithCancel(context.Background())
 		canceled := enter(ctx, g, request("b", time.Second))
 		next := enter(context.Background(), g, request("c", time.Second))
@@ -142,7 +142,7 @@
 		c := qt.New(t)
 		g := newGate(1)
 		for range 100 {
-			first, refusal := g.Enter(context.Background(), request("a", time.Second))
+			first, refusal := g.Acquire(context.Background(), request("a", time.Second))
 			c.Assert(refusal, qt.IsNil)
 			ctx, cancel := context.WithCancel(context.Background())
 			queued := enter(ctx, g, request("b", time.Second))
@@ -164,11 +164,11 @@
 		c := qt.New(t)
 		g := newGate(1)
 		for range 16 {
-			place, _ := g.Enter(context.Background(), request("a", time.Second))
+			place, _ := g.Acquire(context.Background(), request("a", time.Second))
 			time.Sleep(40 * ms)
 			place.Leave(true)
 		}
-		_, refusal := g.Enter(context.Background(), request("a", time.Second))
+		_, refusal := g.Acquire(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
 		// The running request and this one take 40 ms each, more than 50 ms: it is refused at once.
 		hopeless := <-enter(context.Background(), g, request("b", 50*ms))
@@ -193,7 +193,7 @@
 			ctx, deadline := context.Background(), time.Now().Add(time.Hour)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				place, refusal := g.Enter(ctx, admission.Request{Caller: names[i%callers], Key: "k", Deadline: deadline})
+				place, refusal := g.Acquire(ctx, admission.Request{Caller: names[i%callers], Key: "k", Deadline: deadline})
 				if refusal != nil {
 					b.Fatal(refusal.Reason)
 				}
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -168,7 +168,7 @@
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, reasonQuarantined, retryAfterMS(verdict.RetryAfter)
 		return ans
 	}
-	place, refusal := s.gate.Enter(ctx, admission.Request{Caller: req.Caller, Key: req.Query.Key, Deadline: req.Deadline})
+	place, refusal := s.gate.Acquire(ctx, admission.Request{Caller: req.Caller, Key: req.Query.Key, Deadline: req.Deadline})
 	if refusal != nil {
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, string(refusal.Reason), retryAfterMS(refusal.RetryAfter)
 		rec.Decisions = []explain.Decision{s.refusalDecision(req, refusal)}
--- a/entry/internal/service/sim_test.go
+++ b/entry/internal/service/sim_test.go
@@ -218,7 +218,7 @@
 	ids, host, intN := 0, f.services, seededIntN(f.seed+uint64(f.services))
 	gate := admission.New(admission.Options{Limits: admission.Limits{Running: doc.Admission.Concurrency, Waiting: doc.Admission.Queue, CallerShare: doc.Admission.CallerShare}})
 	return func(ctx context.Context, req service.QueryRequest) caller.Answer {
-		place, refusal := gate.Enter(ctx, admission.Request{Caller: req.Caller, Deadline: req.Deadline})
+		place, refusal := gate.Acquire(ctx, admission.Request{Caller: req.Caller, Deadline: req.Deadline})
 		if refusal != nil {
 			return caller.Answer{Outcome: caller.OutcomeRefused}
 		}
--- a/entry/internal/service/writes.go
+++ b/entry/internal/service/writes.go
@@ -33,7 +33,7 @@
 
 // enterWrite admits a write through the same gate as queries, since both use the same upstream slots.
 func (s *Service) enterWrite(ctx context.Context, req writes.Request) (func(done bool), ticket.Outcome) {
-	place, refusal := s.gate.Enter(ctx, admission.Request{Caller: req.Caller, Deadline: req.Deadline})
+	place, refusal := s.gate.Acquire(ctx, admission.Request{Caller: req.Caller, Deadline: req.Deadline})
 	if refusal != nil {
 		return nil, ticket.Outcome{Outcome: caller.WriteNotRun, Reason: string(refusal.Reason), RetryAfter: refusal.RetryAfter}
 	}
