--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -153,8 +153,8 @@
 	delete(g.waiting, w)
 }
 
-// Leave returns the permit; complete reports whether the request was answered in full rather than cut short.
-func (p Permit) Leave(complete bool) {
+// Release returns the permit; complete reports whether the request was answered in full rather than cut short.
+func (p Permit) Release(complete bool) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -39,7 +39,7 @@
 	time.Sleep(100 * ms)
 	g.Replied(10 * ms)
 	for _, place := range places {
-		place.Leave(false)
+		place.Release(false)
 	}
 }
 
@@ -100,16 +100,16 @@
 		}
 		waiting := enter(context.Background(), g, request("b", 10*time.Second))
 		g.SetLimits(admission.Limits{Running: 2, Waiting: 8, CallerShare: 1})
-		places[0].Leave(true)
-		places[1].Leave(true)
+		places[0].Release(true)
+		places[1].Release(true)
 		synctest.Wait()
 		c.Check(g.Stats().Running, qt.Equals, 2)
 		c.Check(g.Stats().Waiting, qt.Equals, 1)
-		places[2].Leave(true)
+		places[2].Release(true)
 		got := <-waiting
 		c.Check(got.refusal, qt.IsNil)
-		got.place.Leave(true)
-		places[3].Leave(true)
+		got.place.Release(true)
+		places[3].Release(true)
 		c.Check(g.Stats().Running, qt.Equals, 0)
 	})
 }
@@ -126,10 +126,10 @@
 		next := enter(context.Background(), g, request("c", time.Second))
 		cancel()
 		c.Check((<-canceled).refusal.Reason, qt.Equals, queue.ReasonCanceled)
-		first.Leave(true)
+		first.Release(true)
 		got := <-next
 		c.Assert(got.refusal, qt.IsNil)
-		got.place.Leave(true)
+		got.place.Release(true)
 		c.Check(g.Stats().Running, qt.Equals, 0)
 		c.Check(g.Stats().Waiting, qt.Equals, 0)
 	})
@@ -147,9 +147,9 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			queued := enter(ctx, g, request("b", time.Second))
 			cancel()
-			first.Leave(true)
+			first.Release(true)
 			if got := <-queued; got.refusal == nil {
-				got.place.Leave(true)
+				got.place.Release(true)
 			}
 			c.Assert(g.Stats().Running, qt.Equals, 0)
 		}
@@ -166,7 +166,7 @@
 		for range 16 {
 			place, _ := g.Acquire(context.Background(), request("a", time.Second))
 			time.Sleep(40 * ms)
-			place.Leave(true)
+			place.Release(true)
 		}
 		_, refusal := g.Acquire(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
@@ -197,7 +197,7 @@
 				if refusal != nil {
 					b.Fatal(refusal.Reason)
 				}
-				place.Leave(true)
+				place.Release(true)
 			}
 		})
 	}
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -174,7 +174,7 @@
 		rec.Decisions = []explain.Decision{s.refusalDecision(req, refusal)}
 		return ans
 	}
-	defer func() { place.Leave(ans.Outcome == caller.OutcomeComplete) }()
+	defer func() { place.Release(ans.Outcome == caller.OutcomeComplete) }()
 	vm, ok := s.pickVersion()
 	if !ok {
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryAfterMS(retryAfterNoVersion)
--- a/entry/internal/service/sim_test.go
+++ b/entry/internal/service/sim_test.go
@@ -222,7 +222,7 @@
 		if refusal != nil {
 			return caller.Answer{Outcome: caller.OutcomeRefused}
 		}
-		defer place.Leave(true)
+		defer place.Release(true)
 		mu.Lock()
 		ids++
 		id := ids
--- a/entry/internal/service/writes.go
+++ b/entry/internal/service/writes.go
@@ -37,5 +37,5 @@
 	if refusal != nil {
 		return nil, ticket.Outcome{Outcome: caller.WriteNotRun, Reason: string(refusal.Reason), RetryAfter: refusal.RetryAfter}
 	}
-	return place.Leave, ticket.Outcome{}
+	return place.Release, ticket.Outcome{}
 }
