--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -170,9 +170,9 @@
 	g.queue.SetLimits(g.clock.Now(), g.effectiveLimits())
 }
 
-// Replied records the time from the start of a query to the reply of a shard, or the time after which an attempt was
+// RecordReply records the time from the start of a query to the reply of a shard, or the time after which an attempt was
 // canceled.
-func (g *Gate) Replied(took time.Duration) {
+func (g *Gate) RecordReply(took time.Duration) {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
 
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -34,10 +34,10 @@
 		places = append(places, place)
 	}
 	for range 40 {
-		g.Replied(10 * ms)
+		g.RecordReply(10 * ms)
 	}
 	time.Sleep(100 * ms)
-	g.Replied(10 * ms)
+	g.RecordReply(10 * ms)
 	for _, place := range places {
 		place.Release(false)
 	}
@@ -76,10 +76,10 @@
 		waiting := enter(context.Background(), g, request("b", time.Second))
 		g.SetLimits(admission.Limits{Running: 64, Waiting: 8, CallerShare: 1})
 		for range 40 {
-			g.Replied(10 * ms)
+			g.RecordReply(10 * ms)
 		}
 		time.Sleep(100 * ms)
-		g.Replied(10 * ms)
+		g.RecordReply(10 * ms)
 		got := <-waiting
 		c.Check(got.refusal, qt.IsNil)
 		c.Check(got.took, qt.Equals, 100*ms)
--- a/entry/internal/service/admit.go
+++ b/entry/internal/service/admit.go
@@ -17,7 +17,7 @@
 func (s *Service) reportUpstreamLoad(res upstream.Result) {
 	switch res.Kind {
 	case upstream.KindCanceled:
-		s.gate.Replied(res.Took)
+		s.gate.RecordReply(res.Took)
 	case upstream.KindShed:
 		s.gate.Shed()
 	}
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -89,7 +89,7 @@
 	s.gen.Store(&gen)
 	s.table = replica.New(replica.Options{Clock: opts.Clock, Zone: opts.Zone, Draining: s.onDraining, Doubted: s.onImplausibleList})
 	s.picker = snapshot.New(snapshot.Options{Moved: s.onSnapshotChange})
-	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.sendQuery, Heard: s.onResult, Answered: s.gate.Replied, Judged: s.onEjectionChange, IntN: opts.IntN})
+	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.sendQuery, Heard: s.onResult, Answered: s.gate.RecordReply, Judged: s.onEjectionChange, IntN: opts.IntN})
 	return s, nil
 }
 
