--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -176,8 +176,8 @@
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
 
-// Shed records that a replica without free capacity rejected an attempt.
-func (g *Gate) Shed() {
+// RecordShed records that a replica without free capacity rejected an attempt.
+func (g *Gate) RecordShed() {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordShed(now, g.queue.Running()) })
 }
 
--- a/entry/internal/service/admit.go
+++ b/entry/internal/service/admit.go
@@ -19,7 +19,7 @@
 	case upstream.KindCanceled:
 		s.gate.RecordReply(res.Took)
 	case upstream.KindShed:
-		s.gate.Shed()
+		s.gate.RecordShed()
 	}
 }
 
