--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -116,7 +116,7 @@
 	hs[0][0].Eject.RecordSuccess()
 	r, _ = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, r, qt.Equals, hs[0][0])
-	for range r.Limit.Most() {
+	for range r.Limit.MaxInFlight() {
 		r.Begin(now)
 	}
 	_, verdict = choice.Pick(newIntN(), now, hs[0], nil)
--- a/entry/internal/limit/limit.go
+++ b/entry/internal/limit/limit.go
@@ -58,8 +58,8 @@
 	return until == 0 || now.UnixNano() >= until
 }
 
-// Most returns the maximum number of concurrent attempts.
-func (l *Limit) Most() int { return int(1 + l.extraUnits.Load()/unitsPerAttempt) }
+// MaxInFlight returns the maximum number of concurrent attempts.
+func (l *Limit) MaxInFlight() int { return int(1 + l.extraUnits.Load()/unitsPerAttempt) }
 
 // Answered records a reply: it narrows the gap or, without one, raises the limit if it was reached. running is the
 // number of attempts in flight including the answered one, slots the maximum of the limit, and spread a random number
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -77,11 +77,11 @@
 	qt.Assert(t, l.Free(now, 0), qt.IsTrue)
 	qt.Assert(t, l.Free(now, 1), qt.IsFalse)
 	l.Answered(now, 1, 5, 0)
-	qt.Assert(t, l.Most(), qt.Equals, 2)
+	qt.Assert(t, l.MaxInFlight(), qt.Equals, 2)
 	for range 10 {
-		l.Answered(now, l.Most(), 5, 0)
+		l.Answered(now, l.MaxInFlight(), 5, 0)
 	}
-	qt.Assert(t, l.Most(), qt.Equals, 5)
+	qt.Assert(t, l.MaxInFlight(), qt.Equals, 5)
 	l.Reset()
-	qt.Assert(t, l.Most(), qt.Equals, 1)
+	qt.Assert(t, l.MaxInFlight(), qt.Equals, 1)
 }
