--- a/entry/internal/choice/choice.go
+++ b/entry/internal/choice/choice.go
@@ -89,7 +89,7 @@
 		if healthy && !anyHealthy {
 			anyHealthy, n, busy = true, 0, false
 		}
-		if !r.Limit.Free(now, r.Running()) {
+		if !r.Limit.Allows(now, r.Running()) {
 			busy = true
 			continue
 		}
--- a/entry/internal/limit/limit.go
+++ b/entry/internal/limit/limit.go
@@ -49,8 +49,8 @@
 	hasShed bool
 }
 
-// Free reports whether another attempt may be sent to a replica that has running attempts of this host.
-func (l *Limit) Free(now time.Time, running int) bool {
+// Allows reports whether another attempt may be sent to a replica that has running attempts of this host.
+func (l *Limit) Allows(now time.Time, running int) bool {
 	if running > 0 && int64(running)*unitsPerAttempt >= unitsPerAttempt+l.extraUnits.Load() {
 		return false
 	}
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -45,7 +45,7 @@
 			total += len(left)
 		}
 		for _, h := range rnd.Perm(hosts) {
-			if !limits[h].Free(now, len(running[h])) {
+			if !limits[h].Allows(now, len(running[h])) {
 				continue
 			}
 			if total == slots {
@@ -74,8 +74,8 @@
 func TestStartsWithOneAttempt(t *testing.T) {
 	var l limit.Limit
 	now := time.Unix(0, 0)
-	qt.Assert(t, l.Free(now, 0), qt.IsTrue)
-	qt.Assert(t, l.Free(now, 1), qt.IsFalse)
+	qt.Assert(t, l.Allows(now, 0), qt.IsTrue)
+	qt.Assert(t, l.Allows(now, 1), qt.IsFalse)
 	l.Answered(now, 1, 5, 0)
 	qt.Assert(t, l.MaxInFlight(), qt.Equals, 2)
 	for range 10 {
