--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -26,8 +26,8 @@
 	for i, r := range added {
 		table.Heard(r, fmt.Sprintf("1=%d/%d", i/3, shards), false)
 		now := time.Now()
-		r.Limit.Answered(now, 1, 5, 0)
-		r.Limit.Answered(now, 2, 5, 0)
+		r.Limit.RecordReply(now, 1, 5, 0)
+		r.Limit.RecordReply(now, 2, 5, 0)
 	}
 	return table.View().Versions[0].Holders
 }
--- a/entry/internal/fanout/crash_test.go
+++ b/entry/internal/fanout/crash_test.go
@@ -31,7 +31,7 @@
 			tab := table(10)
 			for _, r := range holders(tab) {
 				for range 20 {
-					r.Limit.Answered(time.Now(), r.Limit.MaxInFlight(), 20, 0)
+					r.Limit.RecordReply(time.Now(), r.Limit.MaxInFlight(), 20, 0)
 				}
 			}
 			var wg sync.WaitGroup
--- a/entry/internal/fanout/record.go
+++ b/entry/internal/fanout/record.go
@@ -20,7 +20,7 @@
 	switch res.Kind {
 	case upstream.KindOK:
 		run.policy.Observe(now, took)
-		r.Limit.Answered(now, running, slots, run.randomFraction())
+		r.Limit.RecordReply(now, running, slots, run.randomFraction())
 	case upstream.KindShed:
 		run.policy.Refused(now)
 		r.Limit.Refused(now, run.policy.Median(), run.randomFraction())
--- a/entry/internal/limit/limit.go
+++ b/entry/internal/limit/limit.go
@@ -61,10 +61,10 @@
 // MaxInFlight returns the maximum number of concurrent attempts.
 func (l *Limit) MaxInFlight() int { return int(1 + l.extraUnits.Load()/unitsPerAttempt) }
 
-// Answered records a reply: it narrows the gap or, without one, raises the limit if it was reached. running is the
+// RecordReply records a reply: it narrows the gap or, without one, raises the limit if it was reached. running is the
 // number of attempts in flight including the answered one, slots the maximum of the limit, and spread a random number
 // between 0 and 1 for jitter.
-func (l *Limit) Answered(now time.Time, running, slots int, spread float64) {
+func (l *Limit) RecordReply(now time.Time, running, slots int, spread float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.gap > 0 {
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -38,7 +38,7 @@
 					left = append(left, ms-1)
 					continue
 				}
-				limits[h].Answered(now, n, slots, rnd.Float64())
+				limits[h].RecordReply(now, n, slots, rnd.Float64())
 				ran[h]++
 			}
 			running[h] = left
@@ -76,10 +76,10 @@
 	now := time.Unix(0, 0)
 	qt.Assert(t, l.Allows(now, 0), qt.IsTrue)
 	qt.Assert(t, l.Allows(now, 1), qt.IsFalse)
-	l.Answered(now, 1, 5, 0)
+	l.RecordReply(now, 1, 5, 0)
 	qt.Assert(t, l.MaxInFlight(), qt.Equals, 2)
 	for range 10 {
-		l.Answered(now, l.MaxInFlight(), 5, 0)
+		l.RecordReply(now, l.MaxInFlight(), 5, 0)
 	}
 	qt.Assert(t, l.MaxInFlight(), qt.Equals, 5)
 	l.Reset()
