--- a/entry/internal/fanout/record.go
+++ b/entry/internal/fanout/record.go
@@ -23,7 +23,7 @@
 		r.Limit.RecordReply(now, running, slots, run.randomFraction())
 	case upstream.KindShed:
 		run.policy.Refused(now)
-		r.Limit.Refused(now, run.policy.Median(), run.randomFraction())
+		r.Limit.RecordShed(now, run.policy.Median(), run.randomFraction())
 	case upstream.KindCanceled:
 		if delay := run.policy.Delay(); delay > 0 && took >= delay {
 			run.policy.Observe(now, took)
--- a/entry/internal/limit/limit.go
+++ b/entry/internal/limit/limit.go
@@ -83,9 +83,9 @@
 	l.extraUnits.Store(min(extra+step, int64(max(0, slots-1))*unitsPerAttempt))
 }
 
-// Refused records an attempt that the replica shed: it lowers the limit or, where the limit is one, widens the gap.
+// RecordShed records an attempt that the replica shed: it lowers the limit or, where the limit is one, widens the gap.
 // typical is the usual reply time and spread a random number between 0 and 1 for jitter.
-func (l *Limit) Refused(now time.Time, typical time.Duration, spread float64) {
+func (l *Limit) RecordShed(now time.Time, typical time.Duration, spread float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hasShed = true
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -49,7 +49,7 @@
 				continue
 			}
 			if total == slots {
-				limits[h].Refused(now, service*time.Millisecond, rnd.Float64())
+				limits[h].RecordShed(now, service*time.Millisecond, rnd.Float64())
 				shed++
 				continue
 			}
