--- a/entry/internal/budget/budget.go
+++ b/entry/internal/budget/budget.go
@@ -29,8 +29,8 @@
 	return b
 }
 
-// Earn adds the tokens for n first attempts, each percent hundredths of a token.
-func (b *Budget) Earn(n int, percent float64) {
+// Credit adds the tokens for n first attempts, each percent hundredths of a token.
+func (b *Budget) Credit(n int, percent float64) {
 	earned := int64(float64(n) * percent * unitsPerPercent)
 	if balance := b.tokens.Add(earned); balance > burstTokens*unitsPerToken {
 		// Concurrent calls may remove the surplus twice; the loss is less than the tokens of one query.
--- a/entry/internal/budget/budget_test.go
+++ b/entry/internal/budget/budget_test.go
@@ -23,7 +23,7 @@
 		b := budget.New()
 		taken := 0
 		for range test.queries {
-			b.Earn(69, test.percent)
+			b.Credit(69, test.percent)
 			for range 23 {
 				if b.Take() {
 					taken++
--- a/entry/internal/fanout/fanout.go
+++ b/entry/internal/fanout/fanout.go
@@ -120,8 +120,8 @@
 	body := upstream.Query{Query: req.Query.Query, Limit: req.Query.Limit}.Encode()
 	doc := &req.Document
 	run.policy.SetQuantile(doc.Hedge.Quantile, doc.Hedge.BudgetPercent)
-	run.hedges.Earn(len(req.Map.Holders), doc.Hedge.BudgetPercent)
-	run.retries.Earn(len(req.Map.Holders), doc.Retry.BudgetPercent)
+	run.hedges.Credit(len(req.Map.Holders), doc.Hedge.BudgetPercent)
+	run.retries.Credit(len(req.Map.Holders), doc.Retry.BudgetPercent)
 	q := &query{run: run, req: req, ctx: ctx, body: body, slots: doc.Upstream.Slots, now: run.opts.Clock.Now(), decisions: make([]explain.Decision, 0, len(req.Map.Holders)+extraDecisions)}
 	first := newPlan(q, req.Map, "")
 	first.collect()
