--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -64,7 +64,7 @@
 	return g
 }
 
-// Permit is a permit to run one request; Leave must be called exactly once.
+// Permit is a permit to run one request; Release must be called exactly once.
 type Permit struct {
 	// Waited is the time that the request waited for the permit.
 	Waited time.Duration
@@ -74,7 +74,7 @@
 }
 
 // Acquire waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
-// Refusal is nil, the caller must call Leave.
+// Refusal is nil, the caller must call Release.
 func (g *Gate) Acquire(ctx context.Context, req Request) (Permit, *Refusal) {
 	g.mu.Lock()
 	now := g.clock.Now()
@@ -170,8 +170,8 @@
 	g.queue.SetLimits(g.clock.Now(), g.effectiveLimits())
 }
 
-// RecordReply records the time from the start of a query to the reply of a shard, or the time after which an attempt was
-// canceled.
+// RecordReply records the time from the start of a query to the reply of a shard, or the time after which an attempt
+// was canceled.
 func (g *Gate) RecordReply(took time.Duration) {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -74,8 +74,8 @@
 	return true
 }
 
-// RecordFailure counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the attempt
-// only took the replica out of rotation until the next probe.
+// RecordFailure counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the
+// attempt only took the replica out of rotation until the next probe.
 func (s *State) RecordFailure(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -94,7 +94,7 @@
 // Forwarder is the HTTP handler for clients' requests.
 type Forwarder struct {
 	opts Options
-	// routes holds a *learned.Route per route, keyed by host name and prefix. The entries are kept when the
+	// routes holds a *routestats.Route per route, keyed by host name and prefix. The entries are kept when the
 	// configuration changes.
 	routes sync.Map
 }
--- a/entry/internal/frontmetrics/metrics.go
+++ b/entry/internal/frontmetrics/metrics.go
@@ -77,8 +77,8 @@
 	kindNonIdempotent = "non_idempotent"
 )
 
-// durationBuckets spans the latency objectives and deadlines of routes, in seconds. Near the usual ones they are a fifth
-// apart.
+// durationBuckets spans the latency objectives and deadlines of routes, in seconds. Near the usual ones they are a
+// fifth apart.
 var durationBuckets = []float64{.005, .01, .02, .03, .04, .05, .06, .08, .1, .12, .15, .2, .3, .5, .8, 1.2, 2, 5, 10}
 
 // New returns the metrics of a host in registries of their own.
--- a/entry/internal/service/scenarios_test.go
+++ b/entry/internal/service/scenarios_test.go
@@ -313,8 +313,8 @@
 }
 
 // A replica refuses every connection. It never has a request in flight, and so looks least loaded: a third of the
-// shard's attempts go there first, each costs a retry, and once the retry budget is spent shards go missing. After three
-// failures it must get only probes, until it answers again.
+// shard's attempts go there first, each costs a retry, and once the retry budget is spent shards go missing. After
+// three failures it must get only probes, until it answers again.
 func TestReplicaThatFailsFast(t *testing.T) {
 	t.Parallel()
 	sc := scenario{seed: 9, rate: 200, warmup: time.Second, duration: 3 * time.Second}
--- a/entry/restored_test.go
+++ b/entry/restored_test.go
@@ -52,8 +52,8 @@
 	s.until("version 9 is in force", func() bool { return inForce("i-3") })
 }
 
-// Guards against replicas and evacuated zones that the store's copy brings back on hosts that had seen them go, and on a
-// host that starts afterwards.
+// Guards against replicas and evacuated zones that the store's copy brings back on hosts that had seen them go, and on
+// a host that starts afterwards.
 func TestSessionWithRestoredStore(t *testing.T) {
 	s := &session{t: t, store: platformtest.NewStore(), runs: map[string]int{}}
 	srv := httptest.NewServer(s.store)
