--- a/entry/internal/retrybudget/retrybudget.go
+++ b/entry/internal/retrybudget/retrybudget.go
@@ -58,8 +58,8 @@
 // sent.
 func (b *Budget) Hedge(now time.Time, share float64) bool { return b.take(now, share, 1-retryReserve) }
 
-// Unsend refunds an extra attempt that was not sent.
-func (b *Budget) Unsend(now time.Time) {
+// Refund refunds an extra attempt that was not sent.
+func (b *Budget) Refund(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if i := b.advance(now); b.extraAttempts[i] > 0 {
--- a/entry/internal/retrybudget/retrybudget_test.go
+++ b/entry/internal/retrybudget/retrybudget_test.go
@@ -90,6 +90,6 @@
 	now := time.Unix(0, 0)
 	qt.Assert(t, b.Retry(now, 1), qt.IsTrue)
 	qt.Assert(t, b.Retry(now, 1), qt.IsFalse)
-	b.Unsend(now)
+	b.Refund(now)
 	qt.Assert(t, b.Retry(now, 1), qt.IsTrue)
 }
--- a/entry/internal/scatter/attempts.go
+++ b/entry/internal/scatter/attempts.go
@@ -204,7 +204,7 @@
 		// No byte was sent, so the attempt does not count.
 		s.sent--
 		if s.sent > 0 {
-			p.Shards[e.shard].Budget.Unsend(p.now)
+			p.Shards[e.shard].Budget.Refund(p.now)
 		}
 	case !e.res.Kind.NotRun():
 		p.report.Ran = true
