--- a/entry/internal/clienttimeout/tracker.go
+++ b/entry/internal/clienttimeout/tracker.go
@@ -24,9 +24,9 @@
 	median time.Duration
 }
 
-// Waited records the remaining time that a client states, zero if it states none, and returns how long the client has
+// Elapsed records the remaining time that a client states, zero if it states none, and returns how long the client has
 // waited already.
-func (t *Tracker) Waited(remaining time.Duration) time.Duration {
+func (t *Tracker) Elapsed(remaining time.Duration) time.Duration {
 	if remaining <= 0 {
 		return 0
 	}
--- a/entry/internal/clienttimeout/tracker_test.go
+++ b/entry/internal/clienttimeout/tracker_test.go
@@ -22,7 +22,7 @@
 		case i%10 >= 6:
 			left = 450 * time.Millisecond
 		}
-		waited := tracker.Waited(left)
+		waited := tracker.Elapsed(left)
 		if left == timeout {
 			qt.Assert(t, waited, qt.Equals, time.Duration(0))
 		}
@@ -30,5 +30,5 @@
 			qt.Assert(t, waited, qt.Equals, timeout-left)
 		}
 	}
-	qt.Assert(t, tracker.Waited(0), qt.Equals, time.Duration(0))
+	qt.Assert(t, tracker.Elapsed(0), qt.Equals, time.Duration(0))
 }
--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -208,7 +208,7 @@
 		}
 	}
 	q.Suspect = verdict.Suspect
-	isRetry := q.Learned.Arriving.Waited(q.Request.Patience) >= minRetryElapsed
+	isRetry := q.Learned.Arriving.Elapsed(q.Request.Patience) >= minRetryElapsed
 	d := f.opts.Allowance(ctx, allowance.Request{Customer: customer, Deadline: q.Deadline, Again: isRetry})
 	if d.Admitted {
 		return nil
--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -33,7 +33,7 @@
 	own := p.slack()
 	d := overload.Decide(overload.Load{
 		Delays: p.expectedDelays(), Least: p.minAnswered, Spare: own, LeastSpare: p.leastSlack(own),
-		Waited: p.Learned.Patience.Waited(p.Request.Patience), Draw: p.runner.opts.Draw(),
+		Waited: p.Learned.Patience.Elapsed(p.Request.Patience), Draw: p.runner.opts.Draw(),
 	})
 	p.report.Overload = d
 	if d.Crowded {
