--- a/entry/internal/endpoints/replica.go
+++ b/entry/internal/endpoints/replica.go
@@ -200,7 +200,7 @@
 }
 
 func (r *Replica) decay(now time.Time) float64 {
-	return math.Exp(-float64(now.Sub(r.estimatedAt)) / float64(pick.Forget))
+	return math.Exp(-float64(now.Sub(r.estimatedAt)) / float64(pick.DecayTime))
 }
 
 func (r *Replica) slownessAt(now time.Time) float64 { return 1 + (r.slowness-1)*r.decay(now) }
--- a/entry/internal/pick/pick.go
+++ b/entry/internal/pick/pick.go
@@ -19,9 +19,9 @@
 	nearMaxSlowdown  = 2.5
 	nearMaxTimeShare = 0.4
 	nearQueueLength  = 3
-	// Forget is the time after which measurements of a replica's speed have lost two thirds of their weight. A
+	// DecayTime is the time after which measurements of a replica's speed have lost two thirds of their weight. A
 	// disruption lasts for seconds; a replica that was slow is selected again about as long after it.
-	Forget = 3 * time.Second
+	DecayTime = 3 * time.Second
 	// jitter is the largest random addition to an estimate, as a share of it, so that hosts with the same measurements
 	// don't all select the same replica.
 	jitter = 0.2
