--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -223,7 +223,7 @@
 		}
 		estimate := pick.Estimate(v, need.Usual, draw())
 		switch {
-		case v.Running >= inflight.Most(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
+		case v.Running >= inflight.Limit(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
 			if busyEstimate < 0 || estimate < busyEstimate {
 				busyEstimate = estimate
 			}
--- a/entry/internal/inflight/inflight.go
+++ b/entry/internal/inflight/inflight.go
@@ -23,14 +23,14 @@
 	return reported
 }
 
-// Most returns the number of requests that a host may have in flight at a replica, given the number of slots that the
+// Limit returns the number of requests that a host may have in flight at a replica, given the number of slots that the
 // replica reports, the host's share of all requests, and the utilization of the slots of all replicas of the service.
 //
 // Under overload the hosts together must not fill the replicas' queues, so each is limited to its share. Under low load
 // a limit of one request is too strict: with 15 hosts, a limit of one each, and a replica of 7 slots that has 0.75
 // requests in flight on average, each host finds its limit reached for every fourth attempt. One more is allowed only
 // at low utilization: where the capacity is just sufficient, it would fill the queues.
-func Most(reported int, share, utilization float64) int {
+func Limit(reported int, share, utilization float64) int {
 	limit := max(1, math.Ceil(queueFactor*float64(Slots(reported))*share))
 	if utilization < lowUtilization {
 		limit++
--- a/entry/internal/inflight/inflight_test.go
+++ b/entry/internal/inflight/inflight_test.go
@@ -19,8 +19,8 @@
 		part := 1 / float64(test.hosts)
 		c := qt.Commentf("%d hosts, %d slots", test.hosts, test.slots)
 		for _, use := range []float64{0.85, 1.4, 3} {
-			qt.Check(t, inflight.Most(test.slots, part, use), qt.Equals, test.busy, c)
+			qt.Check(t, inflight.Limit(test.slots, part, use), qt.Equals, test.busy, c)
 		}
-		qt.Check(t, inflight.Most(test.slots, part, 0.1), qt.Equals, test.quiet, c)
+		qt.Check(t, inflight.Limit(test.slots, part, 0.1), qt.Equals, test.quiet, c)
 	}
 }
