--- a/entry/internal/forward/forwarder_test.go
+++ b/entry/internal/forward/forwarder_test.go
@@ -118,7 +118,7 @@
 		f := New(Options{Clock: clock.System{}, Log: logr.Discard(), Codec: &codec})
 		w := httptest.NewRecorder()
 		rt := &route.Route{Idempotent: true, Shards: []string{"s1"}}
-		status := f.writeResponse(w, rt, &scatter.Report{Ending: scatter.Gone, Ran: ran, Results: make([]exchange.Result, 1)})
+		status := f.writeResponse(w, rt, &scatter.Report{Ending: scatter.ClientGone, Ran: ran, Results: make([]exchange.Result, 1)})
 		qt.Check(t, w.Code, qt.Equals, status)
 		want := http.StatusServiceUnavailable
 		if ran {
--- a/entry/internal/scatter/scatter.go
+++ b/entry/internal/scatter/scatter.go
@@ -48,8 +48,8 @@
 	Lost Ending = "lost"
 	// Expired means that the deadline passed.
 	Expired Ending = "expired"
-	// Gone means that the client disconnected.
-	Gone Ending = "client_gone"
+	// ClientGone means that the client disconnected.
+	ClientGone Ending = "client_gone"
 	// Overload means that nothing was sent, because the queues of the shards are too long for an answer in time.
 	Overload Ending = "overload"
 )
@@ -228,7 +228,7 @@
 	switch {
 	case p.running() == 0:
 		p.cancel()
-	case end == Gone && p.Route.Idempotent:
+	case end == ClientGone && p.Route.Idempotent:
 		p.cancel()
 	case !p.Route.Idempotent:
 		p.runner.opts.Clock.AfterFunc(max(0, p.Deadline.Sub(p.now)), p.cancel)
@@ -266,7 +266,7 @@
 			p.tick()
 		case <-ctx.Done():
 			p.now = p.runner.opts.Clock.Now()
-			return p.finish(Gone)
+			return p.finish(ClientGone)
 		}
 	}
 }
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -446,7 +446,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			rep, took := b.ask(ctx, singleServiceRoute(idempotent))
-			qt.Check(t, rep.Ending, qt.Equals, scatter.Gone)
+			qt.Check(t, rep.Ending, qt.Equals, scatter.ClientGone)
 			qt.Check(t, took, qt.Equals, 100*time.Millisecond)
 			time.Sleep(time.Millisecond)
 			s := b.table.Service("s0")
--- a/entry/internal/scatter/subqueries_test.go
+++ b/entry/internal/scatter/subqueries_test.go
@@ -359,7 +359,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
 		rep, _ := p.ask(ctx, manyShardRoute())
-		qt.Assert(t, rep.Ending, qt.Equals, scatter.Gone)
+		qt.Assert(t, rep.Ending, qt.Equals, scatter.ClientGone)
 		time.Sleep(100 * time.Millisecond)
 		qt.Check(t, p.dropped.Load(), qt.Equals, int64(1))
 		qt.Check(t, p.server.Running(), qt.Equals, 0)
