--- a/entry/internal/frontmetrics/metrics_test.go
+++ b/entry/internal/frontmetrics/metrics_test.go
@@ -39,7 +39,7 @@
 	}{
 		{scatter.Report{Ending: scatter.Complete, Answered: 3, Through: 2}, http.StatusOK},
 		{scatter.Report{Ending: scatter.Partial, Answered: 2, Hedges: 1, Denied: 1}, http.StatusOK},
-		{scatter.Report{Ending: scatter.Lost, Answered: 1}, http.StatusBadGateway},
+		{scatter.Report{Ending: scatter.TooFewShards, Answered: 1}, http.StatusBadGateway},
 		{scatter.Report{Ending: scatter.Overload}, http.StatusServiceUnavailable},
 	} {
 		m.RecordForwarded(&requestlog.Entry{Query: page, Report: &e.rep, Status: e.status})
--- a/entry/internal/requestlog/log_test.go
+++ b/entry/internal/requestlog/log_test.go
@@ -34,7 +34,7 @@
 		for range 1000 {
 			l.Write(entry("fine", scatter.Complete))
 		}
-		l.Write(entry("bad", scatter.Lost))
+		l.Write(entry("bad", scatter.TooFewShards))
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		qt.Assert(t, len(lines) <= 11, qt.IsTrue)
 		last := lines[len(lines)-1]
--- a/entry/internal/scatter/scatter.go
+++ b/entry/internal/scatter/scatter.go
@@ -44,8 +44,8 @@
 	Complete Ending = "complete"
 	// Partial means that enough shards, but not all, answered by the time the answer was due.
 	Partial Ending = "partial"
-	// Lost means that too few shards can still answer.
-	Lost Ending = "lost"
+	// TooFewShards means that too few shards can still answer.
+	TooFewShards Ending = "lost"
 	// Expired means that the deadline passed.
 	Expired Ending = "expired"
 	// ClientGone means that the client disconnected.
@@ -131,7 +131,7 @@
 func (run *Runner) Run(ctx context.Context, q Query) Report {
 	p := newPlan(run, q)
 	if p.unservable() {
-		return p.finish(Lost)
+		return p.finish(TooFewShards)
 	}
 	if p.overloaded() {
 		return p.refuse()
@@ -291,7 +291,7 @@
 	case answered == len(p.shards):
 		return Complete, true
 	case len(p.shards)-p.failedShards < p.minAnswered:
-		return Lost, true
+		return TooFewShards, true
 	case p.pendingShards == 0:
 		return Partial, true
 	case answered >= p.minAnswered && !p.now.Before(p.cutoff()):
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -89,7 +89,7 @@
 	}
 	verdict := b.quarantine.Check(target)
 	if verdict.Refused {
-		return scatter.Report{Ending: scatter.Lost}, 0
+		return scatter.Report{Ending: scatter.TooFewShards}, 0
 	}
 	q.Suspect = verdict.Suspect
 	for _, name := range rt.Services() {
@@ -189,7 +189,7 @@
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Partial)
 		qt.Assert(t, took, qt.Equals, 30*time.Millisecond)
 		rep, took = b.ask(t.Context(), &route.Route{Idempotent: false, Timeout: time.Second, Attempts: 2, Split: []route.Share{{Service: "none"}}})
-		qt.Assert(t, rep.Ending, qt.Equals, scatter.Lost)
+		qt.Assert(t, rep.Ending, qt.Equals, scatter.TooFewShards)
 		qt.Assert(t, rep.Ran, qt.IsFalse)
 		qt.Assert(t, took, qt.Equals, time.Duration(0))
 		time.Sleep(time.Second)
@@ -203,7 +203,7 @@
 	tests := []struct {
 		evacuated, arrivals int
 		want                scatter.Ending
-	}{{evacuated: 4, arrivals: 0, want: scatter.Lost}, {evacuated: 1, arrivals: 9, want: scatter.Partial}}
+	}{{evacuated: 4, arrivals: 0, want: scatter.TooFewShards}, {evacuated: 1, arrivals: 9, want: scatter.Partial}}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			farm := replicatest.New()
@@ -654,7 +654,7 @@
 				case rep.Ending == scatter.Complete:
 				case asked > 4*time.Second:
 					late.Add(1)
-				case rep.Ending == scatter.Lost:
+				case rep.Ending == scatter.TooFewShards:
 					failed.Add(1)
 				}
 			})
