--- a/entry/internal/requestlog/log_test.go
+++ b/entry/internal/requestlog/log_test.go
@@ -21,7 +21,7 @@
 func entry(id string, ending scatter.Ending) *requestlog.Entry {
 	rt := &route.Route{Name: "bundles", Objective: 200 * time.Millisecond, Idempotent: true}
 	q := &scatter.Query{Request: &opaque.Request{ID: id}, Route: rt, Shards: []*endpoints.Service{{Name: "s1"}}}
-	rep := &scatter.Report{Ending: ending, Steps: []scatter.Step{{At: 12 * time.Millisecond, What: scatter.Miss, Why: "no try is left"}}}
+	rep := &scatter.Report{Ending: ending, Steps: []scatter.Step{{At: 12 * time.Millisecond, What: scatter.GiveUp, Why: "no try is left"}}}
 	return &requestlog.Entry{Query: q, Report: rep, Status: 502, Took: 30 * time.Millisecond}
 }
 
--- a/entry/internal/scatter/attempts.go
+++ b/entry/internal/scatter/attempts.go
@@ -27,8 +27,8 @@
 	Denied Action = "denied"
 	// Wait delays an attempt until a connection is free.
 	Wait Action = "wait"
-	// Miss gives up a shard.
-	Miss Action = "miss"
+	// GiveUp gives up a shard.
+	GiveUp Action = "miss"
 	// Skipped withholds a hedge whose reply is expected too late.
 	Skipped Action = "skipped"
 	// Failed reports how an attempt without a usable reply ended.
@@ -268,7 +268,7 @@
 	if s.result.Kind == "" {
 		s.result = exchange.Result{Kind: upstream.KindNotSent, Detail: joinReasons(why, then)}
 	}
-	p.recordStep(Miss, i, endpoints.Choice{}, then)
+	p.recordStep(GiveUp, i, endpoints.Choice{}, then)
 	p.stopWaiting(i)
 	s.failed = true
 	p.failedShards++
