--- a/entry/internal/forward/forwarder_test.go
+++ b/entry/internal/forward/forwarder_test.go
@@ -93,7 +93,7 @@
 		desk := route.Route{Host: "desk.example", Prefix: "/", Attempts: 2, Timeout: time.Second, Split: []route.Share{{Service: "desk", Weight: 1}}}
 		notified := newQuarantine(nil)
 		other := newForwarder(farm, true, notified, desk)
-		first := newForwarder(farm, true, newQuarantine(notified.Heard), desk)
+		first := newForwarder(farm, true, newQuarantine(notified.ApplyRumor), desk)
 		ask := func(f *Forwarder, body string) *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://desk.example/drop", strings.NewReader(body)))
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -175,7 +175,7 @@
 		Clock: opts.Clock, Self: func() string { return j.list.Self().ID }, Settled: f.settled,
 		Hosts: func() (all, serving []member.Host) { return j.list.Hosts(), j.currentView().serving },
 	})
-	j.rumors.Subscribe(rumor.KindQuarantine, f.quarantine.Heard)
+	j.rumors.Subscribe(rumor.KindQuarantine, f.quarantine.ApplyRumor)
 	f.log = requestlog.New(requestlog.Options{Clock: opts.Clock, Log: opts.Log, Dropped: opts.LinesLost})
 	f.metrics = f.newMetrics()
 	return f, nil
--- a/entry/internal/quarantine/model_test.go
+++ b/entry/internal/quarantine/model_test.go
@@ -57,7 +57,7 @@
 
 func (s *shardModel) publish(r rumor.Rumor) {
 	for _, q := range s.hosts {
-		time.AfterFunc(rumorDelay, func() { q.Heard(r) })
+		time.AfterFunc(rumorDelay, func() { q.ApplyRumor(r) })
 	}
 }
 
--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -298,8 +298,8 @@
 	t.q.endRetry(t)
 }
 
-// Heard applies a rumor about a quarantined or suspect request from another host.
-func (q *Quarantine) Heard(ru rumor.Rumor) {
+// ApplyRumor applies a rumor about a quarantined or suspect request from another host.
+func (q *Quarantine) ApplyRumor(ru rumor.Rumor) {
 	now := q.opts.Clock.Now()
 	if ru.Service != q.opts.Service || !now.Before(ru.Expires) {
 		return
