--- a/entry/internal/attempt/attempt.go
+++ b/entry/internal/attempt/attempt.go
@@ -40,5 +40,5 @@
 	case res.Died:
 		return quarantine.Broke
 	}
-	return quarantine.Left
+	return quarantine.Inconclusive
 }
--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -132,8 +132,8 @@
 	Broke Outcome = "broke"
 	// Answered means that the shard replied.
 	Answered Outcome = "answered"
-	// Left means that the attempt ended with neither, which proves nothing about the request.
-	Left Outcome = "left"
+	// Inconclusive means that the attempt ended with neither, which proves nothing about the request.
+	Inconclusive Outcome = "left"
 )
 
 // Guard calls send for an attempt of shard n on a replica, and records the outcome. It returns an error without calling
--- a/entry/internal/service/quarantine.go
+++ b/entry/internal/service/quarantine.go
@@ -57,6 +57,6 @@
 	case upstream.KindBroken:
 		return quarantine.Broke
 	default:
-		return quarantine.Left
+		return quarantine.Inconclusive
 	}
 }
