--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -149,7 +149,7 @@
 	case Answered:
 		attempt.Answered()
 	default:
-		attempt.Left()
+		attempt.Inconclusive()
 	}
 	return nil
 }
@@ -291,8 +291,8 @@
 	}
 }
 
-// Left records that the attempt ended with neither a reply nor a broken connection.
-func (t *Attempt) Left() {
+// Inconclusive records that the attempt ended with neither a reply nor a broken connection.
+func (t *Attempt) Inconclusive() {
 	t.q.mu.Lock()
 	defer t.q.mu.Unlock()
 	t.q.endRetry(t)
--- a/entry/internal/quarantine/shards_test.go
+++ b/entry/internal/quarantine/shards_test.go
@@ -81,7 +81,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, time.Since(began), qt.Equals, probeTimeout)
 		other.Answered()
-		silent.Left()
+		silent.Inconclusive()
 	})
 }
 
