--- a/entry/internal/front/membership.go
+++ b/entry/internal/front/membership.go
@@ -250,6 +250,6 @@
 	}
 	return memberView{
 		list: &hosts[0], self: self.ID, serving: serving, since: since, share: placement.Share(hosts, self.ID, minAssumedHosts),
-		zones: byZone(self, serving), watched: placement.Watched(hosts, self.ID),
+		zones: byZone(self, serving), watched: placement.Monitored(hosts, self.ID),
 	}
 }
--- a/entry/internal/placement/watched_test.go
+++ b/entry/internal/placement/watched_test.go
@@ -19,7 +19,7 @@
 		hosts[0].State = member.StateSuspect
 		monitors := map[string]int{}
 		for _, h := range hosts {
-			for _, w := range placement.Watched(hosts, h.ID) {
+			for _, w := range placement.Monitored(hosts, h.ID) {
 				monitors[w.ID]++
 			}
 		}
