--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -314,7 +314,7 @@
 	if t == nil {
 		return homes.Nearest(serving, c.Region, nil, false)
 	}
-	regions, bound := homes.Of(t.Of(c.Host))
+	regions, bound := homes.CommonToRoutes(t.Of(c.Host))
 	return homes.Nearest(serving, c.Region, regions, bound)
 }
 
--- a/entry/internal/homes/homes_test.go
+++ b/entry/internal/homes/homes_test.go
@@ -42,10 +42,10 @@
 	table := route.NewTable(route.Config{Routes: []route.Route{
 		{Host: "a", Homes: []string{"east", "west"}}, {Host: "a", Homes: []string{"west", "north"}}, {Host: "a"}, {Host: "b"},
 	}})
-	got, bound := homes.Of(table.Of("a"))
+	got, bound := homes.CommonToRoutes(table.Of("a"))
 	qt.Assert(t, got, qt.DeepEquals, []string{"west"})
 	qt.Assert(t, bound, qt.IsTrue)
-	_, bound = homes.Of(table.Of("b"))
+	_, bound = homes.CommonToRoutes(table.Of("b"))
 	qt.Assert(t, bound, qt.IsFalse)
 	qt.Assert(t, homes.Allow(nil, "east"), qt.IsTrue)
 	qt.Assert(t, homes.Allow([]string{"west"}, "east"), qt.IsFalse)
