--- a/entry/internal/host/host.go
+++ b/entry/internal/host/host.go
@@ -50,7 +50,7 @@
 	listing        *listing.Table
 	membership     *membership
 	writer         *writes.Writer
-	steerer        *steer.Steerer
+	steerer        *steer.Selector
 	drain          *drainer.Drainer
 	metrics        *metrics.Metrics
 	serviceMetrics *service.Metrics
--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -64,7 +64,7 @@
 	Float64 func() float64
 }
 
-// Steerer selects the hosts that callers use.
+// Selector selects the hosts that callers use.
 //
 // It evens out callers that arrive unevenly: many in one zone, or all at the first address of the answer. Without it
 // the hosts' loads differ, a caller's hosts change with each answer so that its warm connections are lost, and callers
@@ -73,7 +73,7 @@
 // Each service is placed on a few hosts and each caller gets a few of these, both by rendezvous hashing over the hosts'
 // addresses: every host computes the same answer without coordination, and a host that joins or leaves moves only the
 // callers that used it. Hosts that are leaving or suspect are not returned.
-type Steerer struct {
+type Selector struct {
 	opts Options
 
 	// cache holds the hosts of each service for the member list whose first element is cachedFor.
@@ -89,17 +89,17 @@
 }
 
 // New returns a Steerer with the given options.
-func New(opts Options) *Steerer {
+func New(opts Options) *Selector {
 	if opts.Float64 == nil {
 		opts.Float64 = rand.Float64
 	}
-	return &Steerer{opts: opts, cache: map[placementKey][]member.Host{}}
+	return &Selector{opts: opts, cache: map[placementKey][]member.Host{}}
 }
 
 // place returns the result of Place for self, cached until the member list changes: each request checks whether it
 // arrived at the right host, and scanning 5,600 hosts for each would take a tenth of a core. A changed member list is a
 // new slice, and a slice in use is never modified.
-func (s *Steerer) place(hosts []member.Host, self member.Host, service string, limit int) []member.Host {
+func (s *Selector) place(hosts []member.Host, self member.Host, service string, limit int) []member.Host {
 	if len(hosts) == 0 {
 		return Place(hosts, self, service, limit)
 	}
@@ -120,7 +120,7 @@
 
 // Pick answers an address request that self received; hosts contains self. It returns at least one choice, self if no
 // other host serves.
-func (s *Steerer) Pick(hosts []member.Host, self member.Host, req Request) Answer {
+func (s *Selector) Pick(hosts []member.Host, self member.Host, req Request) Answer {
 	candidates := s.place(hosts, self, req.Service, req.Hosts)
 	chosen := choose(candidates, req)
 	ans := Answer{Choices: make([]Choice, len(chosen)), Keep: s.keep(req.Keep)}
@@ -130,7 +130,7 @@
 	return ans
 }
 
-func (s *Steerer) keep(d time.Duration) time.Duration {
+func (s *Selector) keep(d time.Duration) time.Duration {
 	return d - time.Duration(s.opts.Float64()*keepJitter*float64(d))
 }
 
@@ -164,7 +164,7 @@
 
 // Serves reports whether callers of a service should use self. A host for which it returns false still serves requests
 // that arrive.
-func (s *Steerer) Serves(hosts []member.Host, self member.Host, service string, limit int) bool {
+func (s *Selector) Serves(hosts []member.Host, self member.Host, service string, limit int) bool {
 	if self.State == member.StateLeaving {
 		return false
 	}
