--- a/entry/internal/endpoints/replica.go
+++ b/entry/internal/endpoints/replica.go
@@ -264,7 +264,7 @@
 		r.service.End(now, now.Sub(began))
 	}
 	if res.Kind == upstream.KindOK {
-		r.service.Replied(now, res.Took, call.Unloaded)
+		r.service.RecordReply(now, res.Took, call.Unloaded)
 	}
 	r.service.Wake(now)
 	return res
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -72,8 +72,8 @@
 // End counts the end of an attempt that Begin counted, and how long it took.
 func (s *Service) End(now time.Time, took time.Duration) { s.load.end(now, took) }
 
-// Replied records the time of a reply, where unloaded is the time without queueing, zero if unknown.
-func (s *Service) Replied(now time.Time, took, unloaded time.Duration) {
+// RecordReply records the time of a reply, where unloaded is the time without queueing, zero if unknown.
+func (s *Service) RecordReply(now time.Time, took, unloaded time.Duration) {
 	s.queueDelay.Observe(now, took, unloaded)
 }
 
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -198,7 +198,7 @@
 		if !ok {
 			continue
 		}
-		p.Shards[i].Replied(p.now, part.Took, p.unloaded)
+		p.Shards[i].RecordReply(p.now, part.Took, p.unloaded)
 		if !r.first {
 			body = part.Body
 		}
