--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -104,9 +104,9 @@
 	return s.load.mean(now) / capacity
 }
 
-// Spare records how long a route lets its attempts wait for room, and returns the shortest time that any route to the
+// ShortestWait records how long a route lets its attempts wait for room, and returns the shortest time that any route to the
 // service recorded recently.
-func (s *Service) Spare(now time.Time, d time.Duration) time.Duration {
+func (s *Service) ShortestWait(now time.Time, d time.Duration) time.Duration {
 	return s.shortestWait.record(now, d)
 }
 
--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -86,7 +86,7 @@
 func (p *plan) leastSlack(own time.Duration) time.Duration {
 	least := own
 	for _, s := range p.Shards {
-		least = min(least, s.Spare(p.now, own))
+		least = min(least, s.ShortestWait(p.now, own))
 	}
 	return least
 }
