--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -77,8 +77,8 @@
 	s.queueDelay.Observe(now, took, unloaded)
 }
 
-// Newest returns the queueing delay of the newest reply, and whether it is recent.
-func (s *Service) Newest(now time.Time) (time.Duration, bool) { return s.queueDelay.Newest(now) }
+// NewestQueueDelay returns the queueing delay of the newest reply, and whether it is recent.
+func (s *Service) NewestQueueDelay(now time.Time) (time.Duration, bool) { return s.queueDelay.Newest(now) }
 
 // combinedDelayRatio is the part of the queueing delay over all services that counts for each of them. Of ten replies,
 // one or two often met a replica that paused, so it must not count whole. But it shows a burst ten times sooner than
--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -61,7 +61,7 @@
 func (p *plan) sharedDelay() time.Duration {
 	waits := make([]time.Duration, 0, len(p.Shards))
 	for _, s := range p.Shards {
-		if wait, ok := s.Newest(p.now); ok {
+		if wait, ok := s.NewestQueueDelay(p.now); ok {
 			waits = append(waits, wait)
 		}
 	}
