--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -53,10 +53,10 @@
 	shortestWait shortestWait
 }
 
-// Delay returns how long an attempt that comes now is expected to wait for room: the time until the attempts waiting at
+// ExpectedWait returns how long an attempt that comes now is expected to wait for room: the time until the attempts waiting at
 // this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. combined is the
 // queueing delay over all services of the query.
-func (s *Service) Delay(now time.Time, combined time.Duration) time.Duration {
+func (s *Service) ExpectedWait(now time.Time, combined time.Duration) time.Duration {
 	here := s.load.expectedWait(s.Waiting())
 	if !s.mayQueue(now) {
 		return here
--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -47,7 +47,7 @@
 	list := make([]time.Duration, len(p.Shards))
 	shared := p.sharedDelay()
 	for i, s := range p.Shards {
-		list[i] = s.Delay(p.now, shared)
+		list[i] = s.ExpectedWait(p.now, shared)
 	}
 	return list
 }
