--- a/entry/internal/endpoints/replica.go
+++ b/entry/internal/endpoints/replica.go
@@ -246,7 +246,7 @@
 	}
 	n := r.begin(began)
 	if !call.ForOther {
-		r.service.Begin(began)
+		r.service.BeginAttempt(began)
 	}
 	res := r.pool.Do(ctx, &exchange.Call{
 		Request: call.Request, Replica: r.ID(), Deadline: call.Deadline, Connections: call.Connections, Once: call.Once,
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -64,10 +64,10 @@
 	return here + max(time.Duration(combinedDelayRatio*float64(combined)), s.queueDelay.At(now))
 }
 
-// Begin counts an attempt for a request that this host received, whichever host sends it. The load of the replicas is
+// BeginAttempt counts an attempt for a request that this host received, whichever host sends it. The load of the replicas is
 // estimated from received requests, of which this host has a known share, and not from those that it sends for other
 // hosts.
-func (s *Service) Begin(now time.Time) { s.load.begin(now) }
+func (s *Service) BeginAttempt(now time.Time) { s.load.begin(now) }
 
 // End counts the end of an attempt that Begin counted, and how long it took.
 func (s *Service) End(now time.Time, took time.Duration) { s.load.end(now, took) }
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -104,7 +104,7 @@
 		s.running++
 		s.viaPeer = sub
 		sub.pending[i] = true
-		p.Shards[i].Begin(p.now)
+		p.Shards[i].BeginAttempt(p.now)
 		names[n] = p.Shards[i].Name
 		if s.sent < p.Route.Attempts {
 			s.hedgeAt = p.now.Add(p.timing.hedgeDelay + subqueryDelayAllowance)
