--- a/entry/internal/endpoints/replica.go
+++ b/entry/internal/endpoints/replica.go
@@ -261,7 +261,7 @@
 	now := r.clock.Now()
 	r.end(n, &res, call.Usual)
 	if !call.ForOther {
-		r.service.End(now, now.Sub(began))
+		r.service.EndAttempt(now, now.Sub(began))
 	}
 	if res.Kind == upstream.KindOK {
 		r.service.RecordReply(now, res.Took, call.Unloaded)
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -69,8 +69,8 @@
 // hosts.
 func (s *Service) BeginAttempt(now time.Time) { s.load.begin(now) }
 
-// End counts the end of an attempt that Begin counted, and how long it took.
-func (s *Service) End(now time.Time, took time.Duration) { s.load.end(now, took) }
+// EndAttempt counts the end of an attempt that Begin counted, and how long it took.
+func (s *Service) EndAttempt(now time.Time, took time.Duration) { s.load.end(now, took) }
 
 // RecordReply records the time of a reply, where unloaded is the time without queueing, zero if unknown.
 func (s *Service) RecordReply(now time.Time, took, unloaded time.Duration) {
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -241,7 +241,7 @@
 // endAttempt counts the shard's attempt at the other host as ended.
 func (p *plan) endAttempt(sub *peerSubquery, i int) {
 	delete(sub.pending, i)
-	p.Shards[i].End(p.now, p.now.Sub(sub.sentAt))
+	p.Shards[i].EndAttempt(p.now, p.now.Sub(sub.sentAt))
 }
 
 // handlePart processes one part of a reply. The records of a merged part are inseparable from those of the other parts
