--- a/entry/internal/endpoints/rows.go
+++ b/entry/internal/endpoints/rows.go
@@ -105,7 +105,7 @@
 	defer r.mu.Unlock()
 	t.detach(r)
 	events.ReplicaRestarted.Log(t.opts.Log, "replica", row.ID, "service", row.Service, "addr", row.Addr.String(), "started", row.Started, "running", len(r.running))
-	r.pool.End()
+	r.pool.Abort()
 }
 
 func (t *Table) add(row platform.Replica, now time.Time) {
