--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -249,7 +249,7 @@
 // hasRoom reports whether a replica takes one more request of this host now: a connection is free, and the limit of a
 // cold replica allows it.
 func (s *Service) hasRoom(r *Replica, seen pick.Replica, now time.Time) bool {
-	return r.pool.Free(s.Connections()) && (!seen.Cold || r.coldHasRoom(now))
+	return r.pool.HasFreeConn(s.Connections()) && (!seen.Cold || r.coldHasRoom(now))
 }
 
 func (c *Choice) consider(r *Replica, estimate time.Duration, seen pick.Replica, need Need) {
--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -138,8 +138,8 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Free reports whether a connection is idle or can be opened without exceeding connLimit.
-func (p *Pool) Free(connLimit int) bool {
+// HasFreeConn reports whether a connection is idle or can be opened without exceeding connLimit.
+func (p *Pool) HasFreeConn(connLimit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0 || p.openCount < connLimit
