--- a/entry/internal/front/subqueries.go
+++ b/entry/internal/front/subqueries.go
@@ -153,7 +153,7 @@
 func (j *membership) callSubquery(ctx context.Context, h member.Host, method string, args, reply any) error {
 	err := j.peers.Work(ctx, h.Peer, subqueryTimeout, subqueryService+"."+method, args, reply)
 	if errors.Is(err, peers.ErrUnreached) {
-		return fmt.Errorf("%w: %w", subquery.ErrUnreached, err)
+		return fmt.Errorf("%w: %w", subquery.ErrNotSent, err)
 	}
 	return err
 }
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -263,7 +263,7 @@
 	res := exchange.Result{Kind: upstream.KindNotSent, Detail: "the other host declined: " + r.reply.Declined}
 	if r.err != nil {
 		res.Detail = r.err.Error()
-		if !errors.Is(r.err, subquery.ErrUnreached) {
+		if !errors.Is(r.err, subquery.ErrNotSent) {
 			res.Kind = upstream.KindBroken
 		}
 	}
--- a/entry/internal/scatter/subqueries_test.go
+++ b/entry/internal/scatter/subqueries_test.go
@@ -270,7 +270,7 @@
 		failed int64
 	}{
 		{"gone", peerHooks{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
-			return subquery.Reply{}, fmt.Errorf("%w: refused", subquery.ErrUnreached)
+			return subquery.Reply{}, fmt.Errorf("%w: refused", subquery.ErrNotSent)
 		}}, 40 * time.Millisecond, 0, 1},
 		{"leaving", peerHooks{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
 			return subquery.Reply{Declined: "the host is leaving"}, nil
--- a/entry/internal/subquery/peer.go
+++ b/entry/internal/subquery/peer.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// ErrUnreached means that no connection to the peer was available and nothing of the subquery was sent.
-var ErrUnreached = errors.New("subquery: no connection to the peer")
+// ErrNotSent means that no connection to the peer was available and nothing of the subquery was sent.
+var ErrNotSent = errors.New("subquery: no connection to the peer")
 
 // Peer is the client side of a host that accepts subqueries.
 type Peer struct {
