--- a/entry/internal/peers/pool.go
+++ b/entry/internal/peers/pool.go
@@ -20,8 +20,8 @@
 	callTimeout = 2 * time.Second
 )
 
-// ErrUnreached means that no connection to a host could be opened, so that nothing of the call was sent.
-var ErrUnreached = errors.New("peers: no connection to the host")
+// ErrNotConnected means that no connection to a host could be opened, so that nothing of the call was sent.
+var ErrNotConnected = errors.New("peers: no connection to the host")
 
 // pool is a bounded cache of net/rpc clients by address; it evicts the least recently used one.
 type pool struct {
@@ -71,7 +71,7 @@
 	defer cancel()
 	c, err := p.get(ctx, addr)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnreached, err)
+		return fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
 	call := c.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
