--- a/entry/internal/front/allowances.go
+++ b/entry/internal/front/allowances.go
@@ -52,7 +52,7 @@
 // to the other one.
 func (j *membership) askAllowance(ctx context.Context, h member.Host, args allowance.Args) (allowance.Reply, error) {
 	var rep allowance.Reply
-	if err := j.peers.Work(ctx, h.Peer, allowanceTimeout, allowanceService+".Lend", &args, &rep); err != nil {
+	if err := j.peers.CallConcurrent(ctx, h.Peer, allowanceTimeout, allowanceService+".Lend", &args, &rep); err != nil {
 		return allowance.Reply{}, err
 	}
 	return rep, nil
--- a/entry/internal/front/subqueries.go
+++ b/entry/internal/front/subqueries.go
@@ -151,7 +151,7 @@
 
 // callSubquery calls a method of another host's subquery service.
 func (j *membership) callSubquery(ctx context.Context, h member.Host, method string, args, reply any) error {
-	err := j.peers.Work(ctx, h.Peer, subqueryTimeout, subqueryService+"."+method, args, reply)
+	err := j.peers.CallConcurrent(ctx, h.Peer, subqueryTimeout, subqueryService+"."+method, args, reply)
 	if errors.Is(err, peers.ErrNotConnected) {
 		return fmt.Errorf("%w: %w", subquery.ErrNotSent, err)
 	}
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -160,9 +160,9 @@
 	return p.longPollPool.invoke(ctx, addr, timeout, method, args, reply)
 }
 
-// Work calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the connection
+// CallConcurrent calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the connection
 // open for the other calls; a timeout closes it.
-func (p *Peers) Work(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
+func (p *Peers) CallConcurrent(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.concurrentPool.run(ctx, addr, callOptions{timeout: timeout, keepConn: true}, method, args, reply)
 }
 
--- a/entry/internal/peers/peers_test.go
+++ b/entry/internal/peers/peers_test.go
@@ -177,7 +177,7 @@
 		c := qt.New(t)
 		ctx := f.t.Context()
 		ask := func(h *testHost) error {
-			return h.peers.Work(ctx, hosts[0].addr, time.Second, "Peers.Number", &GenerationArgs{}, &NumberReply{})
+			return h.peers.CallConcurrent(ctx, hosts[0].addr, time.Second, "Peers.Number", &GenerationArgs{}, &NumberReply{})
 		}
 		early, busy := f.start(30), f.start(31)
 		c.Assert(ask(early), qt.IsNil)
