--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -37,8 +37,8 @@
 	Probes Use = "probes"
 	// Waits is used by Call, whose calls may be long polls.
 	Waits Use = "waits"
-	// Works is used by Work.
-	Works Use = "works"
+	// UseConcurrent is used by Work.
+	UseConcurrent Use = "works"
 )
 
 // Options configures Peers.
@@ -102,7 +102,7 @@
 	}
 	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, Probes))
 	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, Waits))
-	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, Works))
+	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseConcurrent))
 	srv, err := newServer(&Methods{p: p}, &p.traffic)
 	if err != nil {
 		return nil, err
