--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -35,8 +35,8 @@
 const (
 	// Probes is used for probes, news and repairs.
 	Probes Use = "probes"
-	// Waits is used by Call, whose calls may be long polls.
-	Waits Use = "waits"
+	// UseLongPoll is used by Call, whose calls may be long polls.
+	UseLongPoll Use = "waits"
 	// UseConcurrent is used by Work.
 	UseConcurrent Use = "works"
 )
@@ -101,7 +101,7 @@
 		opts.Opened = func(c net.Conn, _ netip.AddrPort, _ Use) net.Conn { return c }
 	}
 	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, Probes))
-	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, Waits))
+	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseLongPoll))
 	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseConcurrent))
 	srv, err := newServer(&Methods{p: p}, &p.traffic)
 	if err != nil {
