--- a/entry/internal/front/membership.go
+++ b/entry/internal/front/membership.go
@@ -101,7 +101,7 @@
 }
 
 // trafficCauses maps the uses of connections to other hosts to the causes that their bytes are counted under.
-var trafficCauses = map[peers.Use]traffic.Cause{peers.Probes: traffic.Members, peers.UseLongPoll: traffic.Relay, peers.UseConcurrent: traffic.Subqueries}
+var trafficCauses = map[peers.Use]traffic.Cause{peers.UseProbe: traffic.Members, peers.UseLongPoll: traffic.Relay, peers.UseConcurrent: traffic.Subqueries}
 
 // crossesZone reports whether a host is in another availability zone, which it also reports for an unknown host.
 func (j *membership) crossesZone(peer netip.AddrPort) bool {
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -33,8 +33,8 @@
 
 // The uses of connections.
 const (
-	// Probes is used for probes, news and repairs.
-	Probes Use = "probes"
+	// UseProbe is used for probes, news and repairs.
+	UseProbe Use = "probes"
 	// UseLongPoll is used by Call, whose calls may be long polls.
 	UseLongPoll Use = "waits"
 	// UseConcurrent is used by Work.
@@ -100,7 +100,7 @@
 	if opts.Opened == nil {
 		opts.Opened = func(c net.Conn, _ netip.AddrPort, _ Use) net.Conn { return c }
 	}
-	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, Probes))
+	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, UseProbe))
 	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseLongPoll))
 	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseConcurrent))
 	srv, err := newServer(&Methods{p: p}, &p.traffic)
