--- a/entry/internal/host/host.go
+++ b/entry/internal/host/host.go
@@ -117,7 +117,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	events.ConfigInForce.Log(h.opts.Log, "service", gen.Service, "number", gen.Number)
-	h.membership.peers.InForce(gen)
+	h.membership.peers.AnnounceGeneration(gen)
 	if s := h.services[gen.Service]; s != nil {
 		s.SetGeneration(gen)
 		return
--- a/entry/internal/peers/fleet_test.go
+++ b/entry/internal/peers/fleet_test.go
@@ -166,7 +166,7 @@
 	h.rows = listing.New(clock.System{})
 	h.store = accepted.New(func(gen accepted.Generation) {
 		if !f.dropNews {
-			h.peers.InForce(gen)
+			h.peers.AnnounceGeneration(gen)
 		}
 	})
 	p, err := New(Options{
--- a/entry/internal/peers/news.go
+++ b/entry/internal/peers/news.go
@@ -51,8 +51,8 @@
 	host  member.Host
 }
 
-// InForce announces to the other hosts that gen is in force here.
-func (p *Peers) InForce(gen accepted.Generation) {
+// AnnounceGeneration announces to the other hosts that gen is in force here.
+func (p *Peers) AnnounceGeneration(gen accepted.Generation) {
 	p.newsQueue.Push(newsItem{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
 }
 
