--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -53,9 +53,9 @@
 	shortestWait shortestWait
 }
 
-// ExpectedWait returns how long an attempt that comes now is expected to wait for room: the time until the attempts waiting at
-// this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. combined is the
-// queueing delay over all services of the query.
+// ExpectedWait returns how long an attempt that comes now is expected to wait for room: the time until the attempts
+// waiting at this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. combined
+// is the queueing delay over all services of the query.
 func (s *Service) ExpectedWait(now time.Time, combined time.Duration) time.Duration {
 	here := s.load.expectedWait(s.Waiting())
 	if !s.mayQueue(now) {
@@ -64,12 +64,12 @@
 	return here + max(time.Duration(combinedDelayRatio*float64(combined)), s.queueDelay.At(now))
 }
 
-// BeginAttempt counts an attempt for a request that this host received, whichever host sends it. The load of the replicas is
-// estimated from received requests, of which this host has a known share, and not from those that it sends for other
-// hosts.
+// BeginAttempt counts an attempt for a request that this host received, whichever host sends it. The load of the
+// replicas is estimated from received requests, of which this host has a known share, and not from those that it sends
+// for other hosts.
 func (s *Service) BeginAttempt(now time.Time) { s.load.begin(now) }
 
-// EndAttempt counts the end of an attempt that Begin counted, and how long it took.
+// EndAttempt counts the end of an attempt that BeginAttempt counted, and how long it took.
 func (s *Service) EndAttempt(now time.Time, took time.Duration) { s.load.end(now, took) }
 
 // RecordReply records the time of a reply, where unloaded is the time without queueing, zero if unknown.
@@ -104,8 +104,8 @@
 	return s.load.mean(now) / capacity
 }
 
-// ShortestWait records how long a route lets its attempts wait for room, and returns the shortest time that any route to the
-// service recorded recently.
+// ShortestWait records how long a route lets its attempts wait for room, and returns the shortest time that any route
+// to the service recorded recently.
 func (s *Service) ShortestWait(now time.Time, d time.Duration) time.Duration {
 	return s.shortestWait.record(now, d)
 }
--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -163,8 +163,9 @@
 	}
 }
 
-// Abort closes all connections, including those in use, because the replica's process has exited. Calls in flight fail at
-// once, and not only when the kernel breaks the connections, up to tcpUserTimeout later if the host does not respond.
+// Abort closes all connections, including those in use, because the replica's process has exited. Calls in flight fail
+// at once, and not only when the kernel breaks the connections, up to tcpUserTimeout later if the host does not
+// respond.
 func (p *Pool) Abort() {
 	p.mu.Lock()
 	conns := make([]*conn, 0, len(p.all))
--- a/entry/internal/homes/homes.go
+++ b/entry/internal/homes/homes.go
@@ -16,7 +16,8 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// CommonToRoutes returns the home regions that are common to all of the routes that have any, and false where no route has homes.
+// CommonToRoutes returns the home regions that are common to all of the routes that have any, and false where no route
+// has homes.
 func CommonToRoutes(routes []*route.Route) ([]string, bool) {
 	var common []string
 	found := false
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -37,7 +37,7 @@
 	UseProbe Use = "probes"
 	// UseLongPoll is used by Call, whose calls may be long polls.
 	UseLongPoll Use = "waits"
-	// UseConcurrent is used by Work.
+	// UseConcurrent is used by CallConcurrent.
 	UseConcurrent Use = "works"
 )
 
@@ -76,7 +76,7 @@
 	// longPollPool holds the connections of Call. They are separate because a call that times out closes its
 	// connection, which must not fail probes.
 	longPollPool *pool
-	// concurrentPool holds the connections of Work, which carry many calls at once that end with their callers.
+	// concurrentPool holds the connections of CallConcurrent, which carry many calls at once that end with their callers.
 	concurrentPool *pool
 	server         *server
 	newsQueue      *ring.Ring[newsItem]
@@ -160,8 +160,8 @@
 	return p.longPollPool.invoke(ctx, addr, timeout, method, args, reply)
 }
 
-// CallConcurrent calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the connection
-// open for the other calls; a timeout closes it.
+// CallConcurrent calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the
+// connection open for the other calls; a timeout closes it.
 func (p *Peers) CallConcurrent(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.concurrentPool.run(ctx, addr, callOptions{timeout: timeout, keepConn: true}, method, args, reply)
 }
--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// Attempt is an admitted attempt of a request; exactly one of Broke, Answered and Left must be called when it ends.
+// Attempt is an admitted attempt of a request; exactly one of Broke, Answered and Inconclusive must be called when it
+// ends.
 type Attempt struct {
 	q       *Quarantine
 	fp      string
--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -58,7 +58,7 @@
 	Keep    time.Duration
 }
 
-// Options configures a Steerer.
+// Options configures a Selector.
 type Options struct {
 	// Float64 returns a random number in [0, 1) for the jitter of Keep; nil means rand.Float64.
 	Float64 func() float64
@@ -88,7 +88,7 @@
 	limit   int
 }
 
-// New returns a Steerer with the given options.
+// New returns a Selector with the given options.
 func New(opts Options) *Selector {
 	if opts.Float64 == nil {
 		opts.Float64 = rand.Float64
--- a/entry/internal/subquery/peer.go
+++ b/entry/internal/subquery/peer.go
@@ -13,7 +13,7 @@
 	// ID identifies the host's process, Name is the host's address, for logs.
 	ID, Name string
 	Zone     string
-	// Gather and Rest call the host. An error that wraps ErrUnreached means that nothing was sent.
+	// Gather and Rest call the host. An error that wraps ErrNotSent means that nothing was sent.
 	Gather func(ctx context.Context, args *Args) (Reply, error)
 	Rest   func(ctx context.Context, args *RestArgs) (Reply, error)
 	// Drop cancels the subquery at the host, without waiting for a reply.
