--- a/entry/internal/peers/replicas.go
+++ b/entry/internal/peers/replicas.go
@@ -18,8 +18,8 @@
 	maxNewsRows = 32
 )
 
-// ReplicasRead announces to the other hosts the rows that a read of the platform's replica list changed here.
-func (p *Peers) ReplicasRead(rows []listing.Row) {
+// AnnounceReplicas announces to the other hosts the rows that a read of the platform's replica list changed here.
+func (p *Peers) AnnounceReplicas(rows []listing.Row) {
 	for _, r := range rows[:min(len(rows), replicaQueueSize)] {
 		p.replicaQueue.Push(r)
 	}
@@ -27,7 +27,7 @@
 
 // receiveReplicas merges rows of the replica list and passes on those that are new here.
 func (p *Peers) receiveReplicas(rows []listing.Row) {
-	p.ReplicasRead(p.opts.Listing.Merge(rows))
+	p.AnnounceReplicas(p.opts.Listing.Merge(rows))
 }
 
 // gossipReplicas sends the queued rows to every neighbour until ctx ends, a burst at once and then one message each
