--- a/entry/internal/host/membership.go
+++ b/entry/internal/host/membership.go
@@ -62,7 +62,7 @@
 		Clock: h.opts.Clock, Log: h.opts.Log, Platform: client, Store: h.store, Replicas: h.applyReplicaList,
 		Self: h.Self, Hosts: h.Hosts, Listing: h.listing,
 		ReplicasRead: func(rows []listing.Row) { h.membership.peers.AnnounceReplicas(rows) },
-		AskReplicas:  func(ctx context.Context) ([]platform.Replica, error) { return h.membership.peers.AskReplicas(ctx) },
+		AskReplicas:  func(ctx context.Context) ([]platform.Replica, error) { return h.membership.peers.FetchReplicas(ctx) },
 	})
 }
 
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -305,8 +305,8 @@
 	return reply.Number, err
 }
 
-// AskReplicas returns the replica list that a neighbour read last, from the first neighbour that sends one.
-func (p *Peers) AskReplicas(ctx context.Context) ([]platform.Replica, error) {
+// FetchReplicas returns the replica list that a neighbour read last, from the first neighbour that sends one.
+func (p *Peers) FetchReplicas(ctx context.Context) ([]platform.Replica, error) {
 	var reply ReplicasReply
 	err := errNoNeighbour
 	for _, h := range p.opts.List.Neighbours() {
--- a/entry/internal/peers/peers_test.go
+++ b/entry/internal/peers/peers_test.go
@@ -36,7 +36,7 @@
 		late := f.start(20)
 		time.Sleep(4 * time.Second)
 		c.Assert(numberAt(late), qt.Equals, int64(3))
-		list, err := late.peers.AskReplicas(f.t.Context())
+		list, err := late.peers.FetchReplicas(f.t.Context())
 		c.Assert(err, qt.IsNil)
 		c.Assert(list, qt.HasLen, 1)
 	})
