--- a/entry/internal/follow/replicas.go
+++ b/entry/internal/follow/replicas.go
@@ -47,7 +47,7 @@
 	defer cancel()
 	list, err := f.opts.ReadReplicas(callCtx)
 	if err == nil {
-		f.opts.ReplicasRead(f.opts.Listing.Read(started, changesBefore, list))
+		f.opts.ReplicasRead(f.opts.Listing.ApplyRead(started, changesBefore, list))
 		return
 	}
 	if len(f.Replicas()) > 0 {
--- a/entry/internal/listing/table.go
+++ b/entry/internal/listing/table.go
@@ -76,11 +76,11 @@
 	return t.changes
 }
 
-// Read applies a list that was read from the platform and returns the rows it changed. The read began at started, when
+// ApplyRead applies a list that was read from the platform and returns the rows it changed. The read began at started, when
 // Changes returned changesBefore.
 //
 // Rows that another host changed during the read stay as they are until the next read, since this list may be older.
-func (t *Table) Read(started time.Time, changesBefore uint64, list []platform.Replica) []Row {
+func (t *Table) ApplyRead(started time.Time, changesBefore uint64, list []platform.Replica) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	first := !t.hasRead
--- a/entry/internal/listing/table_test.go
+++ b/entry/internal/listing/table_test.go
@@ -84,7 +84,7 @@
 // endRead applies the read in flight at watcher w.
 func (m *model) endRead(w int) {
 	if r := m.inFlight[w]; r != nil {
-		m.tables[w].Read(r.started, r.changesBefore, r.list)
+		m.tables[w].ApplyRead(r.started, r.changesBefore, r.list)
 	}
 	m.inFlight[w] = nil
 }
@@ -171,16 +171,16 @@
 	paused, other := New(manualClock{now: &now}), New(manualClock{now: &now})
 	list := []platform.Replica{{ID: "r-1", Service: "s", State: "live"}, {ID: "r-2", Service: "s", State: "live"}}
 	for _, table := range []*Table{paused, other} {
-		c.Assert(table.Read(now, 0, list), qt.HasLen, 0)
+		c.Assert(table.ApplyRead(now, 0, list), qt.HasLen, 0)
 	}
 	started, begun := now.Add(time.Minute), paused.Changes()
-	removed := other.Read(now.Add(time.Second), other.Changes(), list[:1])
+	removed := other.ApplyRead(now.Add(time.Second), other.Changes(), list[:1])
 	c.Assert(removed, qt.HasLen, 1)
 	now = started
 	c.Assert(paused.Merge(removed), qt.HasLen, 1)
-	c.Assert(paused.Read(started, begun, list), qt.HasLen, 0)
+	c.Assert(paused.ApplyRead(started, begun, list), qt.HasLen, 0)
 	// The next read began after the removal and must restore the replica.
-	c.Assert(paused.Read(started, paused.Changes(), list), qt.HasLen, 1)
+	c.Assert(paused.ApplyRead(started, paused.Changes(), list), qt.HasLen, 1)
 	after, ok := paused.List()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(after, qt.HasLen, 2)
@@ -193,13 +193,13 @@
 	now := time.Unix(1e9, 0)
 	early, late := New(manualClock{now: &now}), New(manualClock{now: &now})
 	list := []platform.Replica{{ID: "r-1", Service: "s", State: "live"}, {ID: "r-2", Service: "s", State: "live"}}
-	early.Read(now, 0, list)
+	early.ApplyRead(now, 0, list)
 	begun := late.Changes()
 	late.Merge(early.Rows(digest.Prefix{}, 1))
-	c.Assert(late.Read(now, begun, list), qt.HasLen, 0)
+	c.Assert(late.ApplyRead(now, begun, list), qt.HasLen, 0)
 	c.Assert(late.Total(), qt.Equals, early.Total())
 	// A row that the list contradicts is a change, also in the first read.
 	third := New(manualClock{now: &now})
 	third.Merge(early.Rows(digest.Prefix{}, MaxRows))
-	c.Assert(third.Read(now, third.Changes(), list[:1]), qt.HasLen, 1)
+	c.Assert(third.ApplyRead(now, third.Changes(), list[:1]), qt.HasLen, 1)
 }
--- a/entry/internal/peers/replicas_test.go
+++ b/entry/internal/peers/replicas_test.go
@@ -20,7 +20,7 @@
 
 // readList makes h merge list as a read of the platform's replica list.
 func (h *testHost) readList(list []platform.Replica) {
-	h.peers.AnnounceReplicas(h.rows.Read(time.Now(), h.rows.Changes(), list))
+	h.peers.AnnounceReplicas(h.rows.ApplyRead(time.Now(), h.rows.Changes(), list))
 }
 
 func assertSameRows(c *qt.C, hosts []*testHost, want []platform.Replica) {
