--- a/entry/internal/front/follow.go
+++ b/entry/internal/front/follow.go
@@ -32,7 +32,7 @@
 	source.New(source.Options[T]{
 		Clock: f.opts.Clock, Log: f.opts.Log, Name: k.name, List: k.list, Watch: k.watch,
 		First:   func() []source.Parent[T] { return seedParents[T](f.membership, f.opts.Seeds(), k.method) },
-		Settled: f.settled, Wanted: f.startup.Wanted(),
+		Settled: f.settled, Wanted: f.startup.Requested(),
 		Parents: func() ([]source.Parent[T], bool) { return treeParents[T](f.membership, k.method) },
 		Others:  func() []source.Parent[T] { return otherParents[T](f.membership, k.method) },
 		Copy:    k.copy, Replace: k.replace, Change: k.change, Reconnect: f.opts.Store.Reconnect, Bound: k.bound,
--- a/entry/internal/startup/startup.go
+++ b/entry/internal/startup/startup.go
@@ -31,8 +31,8 @@
 	return &Startup{clock: c, wanted: make(chan struct{}), known: make(chan struct{})}
 }
 
-// Wanted returns a channel that is closed by the first call of Await.
-func (s *Startup) Wanted() <-chan struct{} { return s.wanted }
+// Requested returns a channel that is closed by the first call of Await.
+func (s *Startup) Requested() <-chan struct{} { return s.wanted }
 
 // Known marks all the data that requests need as loaded. It may be called repeatedly.
 func (s *Startup) Known() { s.markKnown.Do(func() { close(s.known) }) }
--- a/entry/internal/startup/startup_test.go
+++ b/entry/internal/startup/startup_test.go
@@ -32,13 +32,13 @@
 			time.AfterFunc(test.knownAfter, s.Known)
 			time.Sleep(test.requestAfter)
 			select {
-			case <-s.Wanted():
+			case <-s.Requested():
 				t.Error("Wanted is closed before the first request")
 			default:
 			}
 			qt.Check(t, s.Await(t.Context()), qt.Equals, test.served, qt.Commentf(test.name))
 			qt.Check(t, time.Since(began), qt.Equals, test.returnsAfter, qt.Commentf(test.name))
-			<-s.Wanted()
+			<-s.Requested()
 			// No later request waits.
 			time.Sleep(startup.HoldFor)
 			before := time.Now()
