--- a/entry/internal/front/follow.go
+++ b/entry/internal/front/follow.go
@@ -79,7 +79,7 @@
 // releaseWhenLoaded releases the requests that wait for the host to load its data, once it has.
 func (f *Front) releaseWhenLoaded() {
 	if f.loaded() {
-		f.startup.Known()
+		f.startup.MarkReady()
 	}
 }
 
--- a/entry/internal/startup/startup.go
+++ b/entry/internal/startup/startup.go
@@ -34,8 +34,8 @@
 // Requested returns a channel that is closed by the first call of Await.
 func (s *Startup) Requested() <-chan struct{} { return s.wanted }
 
-// Known marks all the data that requests need as loaded. It may be called repeatedly.
-func (s *Startup) Known() { s.markKnown.Do(func() { close(s.known) }) }
+// MarkReady marks all the data that requests need as loaded. It may be called repeatedly.
+func (s *Startup) MarkReady() { s.markKnown.Do(func() { close(s.known) }) }
 
 // Await waits for Known until HoldFor after the first call has passed or ctx ends, and reports whether it was called.
 func (s *Startup) Await(ctx context.Context) bool {
--- a/entry/internal/startup/startup_test.go
+++ b/entry/internal/startup/startup_test.go
@@ -29,7 +29,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			s := startup.New(clock.System{})
-			time.AfterFunc(test.knownAfter, s.Known)
+			time.AfterFunc(test.knownAfter, s.MarkReady)
 			time.Sleep(test.requestAfter)
 			select {
 			case <-s.Requested():
