--- a/entry/internal/accepted/store.go
+++ b/entry/internal/accepted/store.go
@@ -85,8 +85,8 @@
 	return entries
 }
 
-// Lacks reports whether the number of m is higher than that of the generation in force here.
-func (s *Store) Lacks(m Mark) bool {
+// IsNewer reports whether the number of m is higher than that of the generation in force here.
+func (s *Store) IsNewer(m Mark) bool {
 	gen, ok := s.Get(m.Service)
 	return !ok || gen.Number < m.Number
 }
--- a/entry/internal/peers/news.go
+++ b/entry/internal/peers/news.go
@@ -124,7 +124,7 @@
 		p.newsQueue.Push(newsItem{rumor: r})
 	}
 	for _, m := range marks {
-		if p.opts.Store.Lacks(m) && p.beginFetch(m) {
+		if p.opts.Store.IsNewer(m) && p.beginFetch(m) {
 			p.fetches.Go(func() {
 				defer p.endFetch(m)
 				p.fetchGeneration(from, m.Service)
