--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -195,7 +195,7 @@
 	n.deliver(from, to, func() {
 		to.list.Receive(n.now, msg)
 		reply := to.list.Message(msg.From)
-		reply.Rows = append(reply.Rows, to.list.Accuse(msg)...)
+		reply.Rows = append(reply.Rows, to.list.SuspicionOf(msg)...)
 		n.rows += len(reply.Rows)
 		n.runCheck(to)
 		n.deliver(to, from, func() {
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -101,11 +101,11 @@
 	return msg
 }
 
-// Accuse returns the row of msg's sender if it is suspect or dead in this list, so that the sender can refute it.
+// SuspicionOf returns the row of msg's sender if it is suspect or dead in this list, so that the sender can refute it.
 //
 // A host that was paused until its death had spread through the fleet would otherwise never receive that row, since
 // dead hosts aren't probed.
-func (l *List) Accuse(msg Message) []Host {
+func (l *List) SuspicionOf(msg Message) []Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.rows[msg.From]
--- a/entry/internal/peers/methods.go
+++ b/entry/internal/peers/methods.go
@@ -15,7 +15,7 @@
 func (m *Methods) Probe(args *Packet, reply *Packet) error {
 	m.p.receive(args)
 	*reply = m.p.newPacket(args.Member.From)
-	reply.Member.Rows = append(reply.Member.Rows, m.p.opts.List.Accuse(args.Member)...)
+	reply.Member.Rows = append(reply.Member.Rows, m.p.opts.List.SuspicionOf(args.Member)...)
 	return nil
 }
 
