--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -223,7 +223,7 @@
 	sent := n.now
 	ok := func(reply Message) {
 		if reply.From != target.ID {
-			from.list.Replaced(n.now, target)
+			from.list.MarkReplaced(n.now, target)
 		}
 	}
 	n.call(from, target.Peer, target.ID, ok, func() { n.probeIndirectly(from, target, sent) })
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -155,8 +155,8 @@
 	return h, h.State != was
 }
 
-// Replaced records that another incarnation answered at target's address, which proves that target has ended.
-func (l *List) Replaced(now time.Time, target Host) {
+// MarkReplaced records that another incarnation answered at target's address, which proves that target has ended.
+func (l *List) MarkReplaced(now time.Time, target Host) {
 	l.mu.Lock()
 	if r := l.rows[target.ID]; r != nil {
 		if r.State != StateDead {
--- a/entry/internal/peers/join.go
+++ b/entry/internal/peers/join.go
@@ -71,7 +71,7 @@
 	}
 	p.receive(&reply)
 	if id != "" && reply.Member.From != id {
-		p.opts.List.Replaced(p.opts.Clock.Now(), member.Host{ID: id})
+		p.opts.List.MarkReplaced(p.opts.Clock.Now(), member.Host{ID: id})
 	}
 	if alone {
 		p.repair(ctx, addr, TableMembers, joinWalk)
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -222,7 +222,7 @@
 	}
 	p.receive(&reply)
 	if reply.Member.From != target.ID {
-		p.opts.List.Replaced(p.opts.Clock.Now(), target)
+		p.opts.List.MarkReplaced(p.opts.Clock.Now(), target)
 		return Sums{}, fmt.Errorf("peer %s: %w: got ID %s, want %s", target.Peer, errReplaced, reply.Member.From, target.ID)
 	}
 	return reply.Sums, nil
