--- a/entry/internal/member/list_test.go
+++ b/entry/internal/member/list_test.go
@@ -36,12 +36,12 @@
 		wake func(l *List, now time.Time)
 	}{
 		{"probe fails before the first tick", func(l *List, now time.Time) {
-			l.Unreachable(now, hostRow("b", 2), now.Add(-30*time.Second))
+			l.MarkUnreachable(now, hostRow("b", 2), now.Add(-30*time.Second))
 			l.Tick(now)
 		}},
 		{"probe fails after the first tick", func(l *List, now time.Time) {
 			l.Tick(now)
-			l.Unreachable(now, hostRow("b", 2), now.Add(-30*time.Second))
+			l.MarkUnreachable(now, hostRow("b", 2), now.Add(-30*time.Second))
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			l := newList("a")
 			l.Merge(now, []Host{hostRow("b", 2), hostRow("d", 3)})
 			l.Tick(now)
-			l.Unreachable(now, hostRow("d", 3), now)
+			l.MarkUnreachable(now, hostRow("d", 3), now)
 			c.Assert(stateOf(l, "d"), qt.Equals, StateSuspect)
 			test.wake(l, now.Add(30*time.Second))
 			c.Assert(stateOf(l, "b"), qt.Equals, StateAlive)
--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -243,7 +243,7 @@
 	}
 	n.later(from, 1200*time.Millisecond, func() {
 		if !reached {
-			from.list.Unreachable(n.now, target, sent)
+			from.list.MarkUnreachable(n.now, target, sent)
 		}
 	})
 }
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -126,9 +126,9 @@
 	return fresh
 }
 
-// Unreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns the
+// MarkUnreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns the
 // row and true if target became suspect or dead by that.
-func (l *List) Unreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
+func (l *List) MarkUnreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
 	l.mu.Lock()
 	r := l.rows[target.ID]
 	if r == nil || r.Epoch != target.Epoch || sent.Before(l.resumed) || now.Sub(l.lastTick) > pauseThreshold {
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -196,7 +196,7 @@
 	if p.probeIndirectly(ctx, target, ask) || ctx.Err() != nil {
 		return member.Host{}, false
 	}
-	return p.opts.List.Unreachable(p.opts.Clock.Now(), target, sent)
+	return p.opts.List.MarkUnreachable(p.opts.Clock.Now(), target, sent)
 }
 
 var errNoNeighbour = errors.New("no neighbour in the member list")
