--- a/entry/internal/member/bench_test.go
+++ b/entry/internal/member/bench_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	l := New(Options{Self: rows[0], Rand: rand.New(rand.NewPCG(1, 1))})
-	l.Learn(time.Unix(1, 0), rows[1:])
+	l.MergeRepaired(time.Unix(1, 0), rows[1:])
 	return l, rows
 }
 
--- a/entry/internal/member/list_test.go
+++ b/entry/internal/member/list_test.go
@@ -92,7 +92,7 @@
 	for i := range 500 {
 		rows = append(rows, hostRow(fmt.Sprint("h-", i), uint16(10+i)))
 	}
-	l.Learn(now, rows)
+	l.MergeRepaired(now, rows)
 	c.Assert(l.Hosts(), qt.HasLen, 501)
 	dead := rows[77]
 	dead.State = StateDead
--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -258,7 +258,7 @@
 	root := digest.Prefix{}
 	for _, i := range digest.Differing(a.list.Sums(root), b.list.Sums(root)) {
 		rows := a.list.Rows(root.Child(i), 64)
-		a.list.Learn(n.now, b.list.Rows(root.Child(i), 64))
-		b.list.Learn(n.now, rows)
+		a.list.MergeRepaired(n.now, b.list.Rows(root.Child(i), 64))
+		b.list.MergeRepaired(n.now, rows)
 	}
 }
--- a/entry/internal/member/spread_test.go
+++ b/entry/internal/member/spread_test.go
@@ -44,7 +44,7 @@
 		rows[i] = nd.list.Self()
 	}
 	for _, nd := range n.nodes {
-		nd.list.Learn(n.now, rows)
+		nd.list.MergeRepaired(n.now, rows)
 		clear(nd.list.queuedRows)
 	}
 	return n
--- a/entry/internal/peers/repair.go
+++ b/entry/internal/peers/repair.go
@@ -139,7 +139,7 @@
 }
 
 func (p *Peers) mergeRows(from netip.AddrPort, rows Rows) {
-	if row, refuted := p.opts.List.Learn(p.opts.Clock.Now(), rows.Members); refuted {
+	if row, refuted := p.opts.List.MergeRepaired(p.opts.Clock.Now(), rows.Members); refuted {
 		p.newsQueue.Push(newsItem{host: row})
 	}
 	p.receiveNews(from, rows.Marks, rows.Rumors)
