--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -114,7 +114,7 @@
 			n.call(nd, listed.addr, "", func(Message) {}, func() {})
 		}
 	}
-	if lost, ok := nd.list.Lost(); ok {
+	if lost, ok := nd.list.LostHost(); ok {
 		n.call(nd, lost.Peer, lost.ID, func(Message) {}, func() {})
 	}
 }
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -70,8 +70,8 @@
 	return list
 }
 
-// Lost returns a random host that died without announcing its stop, to be contacted again: it may have been cut off.
-func (l *List) Lost() (Host, bool) {
+// LostHost returns a random host that died without announcing its stop, to be contacted again: it may have been cut off.
+func (l *List) LostHost() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Host
--- a/entry/internal/peers/join.go
+++ b/entry/internal/peers/join.go
@@ -21,7 +21,7 @@
 func (p *Peers) discover(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.contactUnknown(ctx)
-		if lost, ok := p.opts.List.Lost(); ok {
+		if lost, ok := p.opts.List.LostHost(); ok {
 			p.syncWith(ctx, lost.Peer, lost.ID)
 		}
 		clock.Sleep(ctx, p.opts.Clock, p.discoveryDelay())
