--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -95,7 +95,7 @@
 	mine := nd.list
 	n.repeat(nd, mine, 500*time.Millisecond, func() { mine.Tick(n.now) })
 	n.repeat(nd, mine, ProbeEvery, func() {
-		if target, ok := mine.Next(); ok {
+		if target, ok := mine.NextProbe(); ok {
 			n.probe(nd, target)
 		}
 	})
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -24,8 +24,8 @@
 	Percent uint8
 }
 
-// Next returns the neighbour to probe now, in round-robin order.
-func (l *List) Next() (Host, bool) {
+// NextProbe returns the neighbour to probe now, in round-robin order.
+func (l *List) NextProbe() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.neighbourIDs {
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -178,7 +178,7 @@
 func (p *Peers) probeNeighbours(ctx context.Context) {
 	var running sync.WaitGroup
 	p.every(ctx, member.ProbeEvery, func() {
-		if target, ok := p.opts.List.Next(); ok {
+		if target, ok := p.opts.List.NextProbe(); ok {
 			running.Go(func() { p.detectFailure(ctx, target, probeTimeout, indirectProbeTimeout) })
 		}
 	})
