--- a/entry/internal/follow/era_test.go
+++ b/entry/internal/follow/era_test.go
@@ -39,7 +39,7 @@
 			return gen.Number, len(p.puts)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go f.Judge(ctx)
+		go f.ProcessProposals(ctx)
 		f.applyAccepted(lost)
 		number, writes := held()
 		qt.Check(t, []any{number, writes}, qt.DeepEquals, []any{int64(5), 0})
@@ -60,7 +60,7 @@
 		p, store := newFake(1), accepted.New(nil)
 		f := follower(p, store)
 		ctx, cancel := context.WithCancel(t.Context())
-		go f.Judge(ctx)
+		go f.ProcessProposals(ctx)
 		inForce := func() int64 {
 			time.Sleep(settleTime)
 			gen, _ := store.Get(desk)
--- a/entry/internal/follow/follow.go
+++ b/entry/internal/follow/follow.go
@@ -255,9 +255,9 @@
 	}
 }
 
-// Judge validates proposals and records the valid ones until ctx ends. It retries one that could not be recorded, since
+// ProcessProposals validates proposals and records the valid ones until ctx ends. It retries one that could not be recorded, since
 // the watch that returned it doesn't return it a second time.
-func (f *Follower) Judge(ctx context.Context) {
+func (f *Follower) ProcessProposals(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, p := range f.due(f.proposals) {
 			err := f.judge(ctx, p.obj)
--- a/entry/internal/follow/judge_test.go
+++ b/entry/internal/follow/judge_test.go
@@ -99,7 +99,7 @@
 				c.Assert(err, qt.IsNil)
 				f := follower(p, store)
 				ctx, cancel := context.WithCancel(t.Context())
-				go f.Judge(ctx)
+				go f.ProcessProposals(ctx)
 				test.fault(p)
 				f.addProposals([]platform.Object{proposalOf(2, documentBody(7))})
 				time.Sleep(10 * time.Minute)
--- a/entry/internal/follow/model_test.go
+++ b/entry/internal/follow/model_test.go
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithCancel(m.t.Context())
 	n.cancel = cancel
 	f, store := n.follower, n.store
-	go f.Judge(ctx)
+	go f.ProcessProposals(ctx)
 	go m.read(ctx, f)
 	go m.gossip(ctx, store, rand.New(rand.NewPCG(m.rnd.Uint64(), 5)))
 }
--- a/entry/internal/host/membership.go
+++ b/entry/internal/host/membership.go
@@ -78,7 +78,7 @@
 	tasks.Go(func() { h.follower.ReadAccepted(ctx) })
 	tasks.Go(func() { h.follower.WatchAccepted(ctx) })
 	tasks.Go(func() { h.follower.WatchDocuments(ctx) })
-	tasks.Go(func() { h.follower.Judge(ctx) })
+	tasks.Go(func() { h.follower.ProcessProposals(ctx) })
 	tasks.Go(func() { h.follower.PollReplicas(ctx) })
 	tasks.Wait()
 }
