--- a/entry/internal/host/membership.go
+++ b/entry/internal/host/membership.go
@@ -87,7 +87,7 @@
 func (h *Host) status(client *platform.Client) *status.Writer {
 	return status.New(status.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Get: client.Get, Put: client.Put, Self: h.Self, Hosts: h.Hosts,
-		Era: client.Era, First: h.follower.First, Services: h.serviceNames, Report: h.report, Number: h.membership.peers.Number,
+		Era: client.Era, First: h.follower.IsFirstWatcher, Services: h.serviceNames, Report: h.report, Number: h.membership.peers.Number,
 	})
 }
 
