--- a/entry/internal/digest/tree.go
+++ b/entry/internal/digest/tree.go
@@ -1,7 +1,7 @@
 package digest
 
-// Fan is the number of children of each prefix: each level has four bits of the key.
-const Fan = 16
+// Fanout is the number of children of each prefix: each level has four bits of the key.
+const Fanout = 16
 
 // bitsPerLevel is the number of bits of the key in one level.
 const bitsPerLevel = 4
@@ -56,13 +56,13 @@
 
 // Sums returns the digest of each child of p; p must be Valid.
 func Sums(entries []Entry, p Prefix) []Sum {
-	sums := make([]Sum, Fan)
+	sums := make([]Sum, Fanout)
 	shift := 64 - bitsPerLevel*(p.Depth+1)
 	for _, e := range entries {
 		if !p.Holds(e.Key) {
 			continue
 		}
-		s := &sums[e.Key>>shift&(Fan-1)]
+		s := &sums[e.Key>>shift&(Fanout-1)]
 		s.Rows++
 		s.XOR ^= e.Sum
 	}
@@ -72,7 +72,7 @@
 // Differing returns the indexes of the children whose sums differ; both lists must have Fan sums.
 func Differing(a, b []Sum) []int {
 	var list []int
-	for i := range Fan {
+	for i := range Fanout {
 		if a[i] != b[i] {
 			list = append(list, i)
 		}
--- a/entry/internal/peers/repair.go
+++ b/entry/internal/peers/repair.go
@@ -69,7 +69,7 @@
 // split returns the children of a prefix that differ: those small enough to be exchanged whole and those to be divided
 // further.
 func (w walkLimits) split(prefix digest.Prefix, own, other []digest.Sum) (whole, divide []digest.Prefix) {
-	if len(other) != digest.Fan {
+	if len(other) != digest.Fanout {
 		return nil, nil
 	}
 	for _, i := range digest.Differing(own, other) {
