--- a/entry/internal/accepted/store.go
+++ b/entry/internal/accepted/store.go
@@ -67,7 +67,7 @@
 	defer s.mu.RUnlock()
 	list := make([]Mark, 0, len(s.byService))
 	for name, gen := range s.byService {
-		if m := (Mark{Service: name, Number: gen.Number}); p.Holds(m.Key()) {
+		if m := (Mark{Service: name, Number: gen.Number}); p.Contains(m.Key()) {
 			list = append(list, m)
 		}
 	}
--- a/entry/internal/digest/tree.go
+++ b/entry/internal/digest/tree.go
@@ -33,8 +33,8 @@
 	return Prefix{Bits: p.Bits | uint64(i)<<shift, Depth: p.Depth + 1}
 }
 
-// Holds reports whether key begins with p.
-func (p Prefix) Holds(key uint64) bool {
+// Contains reports whether key begins with p.
+func (p Prefix) Contains(key uint64) bool {
 	if p.Depth <= 0 {
 		return true
 	}
@@ -59,7 +59,7 @@
 	sums := make([]Sum, Fanout)
 	shift := 64 - bitsPerLevel*(p.Depth+1)
 	for _, e := range entries {
-		if !p.Holds(e.Key) {
+		if !p.Contains(e.Key) {
 			continue
 		}
 		s := &sums[e.Key>>shift&(Fanout-1)]
--- a/entry/internal/listing/table.go
+++ b/entry/internal/listing/table.go
@@ -202,7 +202,7 @@
 	defer t.mu.Unlock()
 	var list []Row
 	for _, have := range t.rows {
-		if len(list) < limit && p.Holds(have.digestEntry.Key) {
+		if len(list) < limit && p.Contains(have.digestEntry.Key) {
 			list = append(list, have.Row)
 		}
 	}
--- a/entry/internal/member/snapshot.go
+++ b/entry/internal/member/snapshot.go
@@ -62,14 +62,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Host
-	if p.Holds(l.self.Key()) {
+	if p.Contains(l.self.Key()) {
 		list = append(list, l.self)
 	}
 	for key, r := range l.byKey {
 		if len(list) >= limit {
 			break
 		}
-		if p.Holds(key) {
+		if p.Contains(key) {
 			list = append(list, r.Host)
 		}
 	}
--- a/entry/internal/rumor/store.go
+++ b/entry/internal/rumor/store.go
@@ -254,7 +254,7 @@
 		if len(list) == limit {
 			break
 		}
-		if p.Holds(e.digestEntry.Key) && s.alive(e.Rumor) {
+		if p.Contains(e.digestEntry.Key) && s.alive(e.Rumor) {
 			list = append(list, e.Rumor)
 		}
 	}
