--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -54,7 +54,7 @@
 	Excess float64
 }
 
-// Ledger enforces the limits of all customers on one host.
+// Limiter enforces the limits of all customers on one host.
 //
 // Requests of a customer may arrive at any host, while the limit applies to all hosts together. A limit is divided into
 // equal shares, one per serving host. Hosts that reach each other pool their shares in one token bucket, held by the
@@ -66,7 +66,7 @@
 //
 // Fixed shares alone fail small customers: with a limit of one request a second and clients spread over fifty hosts, no
 // host has a whole token.
-type Ledger struct {
+type Limiter struct {
 	opts Options
 
 	mu       sync.Mutex
@@ -78,15 +78,15 @@
 }
 
 // New returns a ledger without accounts.
-func New(opts Options) *Ledger {
+func New(opts Options) *Limiter {
 	if opts.Failed == nil {
 		opts.Failed = func(member.Host, error) {}
 	}
-	return &Ledger{opts: opts, fleet: newFleet(), accounts: map[string]*account{}, backoffUntil: map[string]time.Time{}}
+	return &Limiter{opts: opts, fleet: newFleet(), accounts: map[string]*account{}, backoffUntil: map[string]time.Time{}}
 }
 
 // Take decides whether one request is within its customer's limit.
-func (l *Ledger) Take(ctx context.Context, req Request) Decision {
+func (l *Limiter) Take(ctx context.Context, req Request) Decision {
 	c := req.Customer
 	if !c.Limited() {
 		return Decision{Admitted: true, Source: SourceUnlimited}
@@ -117,14 +117,14 @@
 }
 
 // Look records the serving hosts. Called regularly, it keeps the times since which each has served accurate.
-func (l *Ledger) Look() {
+func (l *Limiter) Look() {
 	now, v := l.opts.Clock.Now(), l.opts.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(now, v)
 }
 
-func (l *Ledger) ask(ctx context.Context, q *tokenRequest, left time.Duration) (Reply, error) {
+func (l *Limiter) ask(ctx context.Context, q *tokenRequest, left time.Duration) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, min(askTimeout, time.Duration(askDeadlineFraction*float64(left))))
 	defer cancel()
 	return l.opts.Ask(ctx, q.host, q.args)
@@ -139,14 +139,14 @@
 }
 
 // recordRequest adds a request to the customer's average request rate.
-func (l *Ledger) recordRequest(c *route.Customer) {
+func (l *Limiter) recordRequest(c *route.Customer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.account(c.Name).recordRequest(l.opts.Clock.Now())
 }
 
 // decide decides from local state, or returns the request to send to another host.
-func (l *Ledger) decide(now time.Time, req *Request, from referral) (Decision, *tokenRequest) {
+func (l *Limiter) decide(now time.Time, req *Request, from referral) (Decision, *tokenRequest) {
 	c, v := req.Customer, l.opts.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,11 +182,11 @@
 }
 
 // reachable reports whether the given ID is that of another host that is not in backoff.
-func (l *Ledger) reachable(now time.Time, v View, id string) bool {
+func (l *Limiter) reachable(now time.Time, v View, id string) bool {
 	return id != "" && id != v.Self && !now.Before(l.backoffUntil[id])
 }
 
-func (l *Ledger) newTokenRequest(now time.Time, v View, req *Request, a *account, host member.Host) *tokenRequest {
+func (l *Limiter) newTokenRequest(now time.Time, v View, req *Request, a *account, host member.Host) *tokenRequest {
 	q := &tokenRequest{host: host, source: SourceKeeper, args: Args{
 		Customer: req.Customer.Name, From: v.Self, Again: req.Again, Want: a.want(), Refused: a.takeUnreported(),
 		Serves: l.fleet.selfServes(), Free: a.shareFreeIn(now, host.ID),
@@ -216,7 +216,7 @@
 }
 
 // update applies a view of the member list and drops expired state.
-func (l *Ledger) update(now time.Time, v View) {
+func (l *Limiter) update(now time.Time, v View) {
 	if l.fleet.update(now, v) {
 		for name, a := range l.accounts {
 			a.setKeeper(now, l.fleet.isKeeper(name))
@@ -238,7 +238,7 @@
 	}
 }
 
-func (l *Ledger) account(name string) *account {
+func (l *Limiter) account(name string) *account {
 	a := l.accounts[name]
 	if a == nil {
 		a = &account{contributors: contributors{}}
@@ -256,13 +256,13 @@
 }
 
 // localRequester returns the requester for requests that arrive at this host.
-func (l *Ledger) localRequester(now time.Time, a *account) requester {
+func (l *Limiter) localRequester(now time.Time, a *account) requester {
 	return requester{id: l.fleet.self, serves: l.fleet.selfServes(), free: a.shareFreeIn(now, l.fleet.self)}
 }
 
 // updatePool records a request for tokens and returns the updated pool. On a host that is neither the keeper nor the
 // first deputy, the pool gets no slack.
-func (l *Ledger) updatePool(now time.Time, c *route.Customer, a *account, req requester) *bucket.Bucket {
+func (l *Limiter) updatePool(now time.Time, c *route.Customer, a *account, req requester) *bucket.Bucket {
 	if req.serves {
 		a.contributors.recordRequest(now, req.id, req.free)
 	}
@@ -282,14 +282,14 @@
 }
 
 // withExcess returns a copy of the customer with the rate at which its buckets are refilled.
-func (l *Ledger) withExcess(c *route.Customer) *route.Customer {
+func (l *Limiter) withExcess(c *route.Customer) *route.Customer {
 	more := *c
 	more.PerSecond *= 1 + refillFraction*l.opts.Excess
 	return &more
 }
 
 // decideUnreachable decides by this host's own share of the limit, once no other host could decide.
-func (l *Ledger) decideUnreachable(c *route.Customer) Decision {
+func (l *Limiter) decideUnreachable(c *route.Customer) Decision {
 	now, v := l.opts.Clock.Now(), l.opts.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -299,7 +299,7 @@
 
 // decideByOwnShare decides by this host's own share of the limit. A host that has just started can't compute its share
 // yet. It may use one token in advance once it has discovered other hosts and only a few of them rank before it.
-func (l *Ledger) decideByOwnShare(now time.Time, v View, c *route.Customer, a *account) Decision {
+func (l *Limiter) decideByOwnShare(now time.Time, v View, c *route.Customer, a *account) Decision {
 	share, tokens := 0.0, 0.0
 	place := l.fleet.rankingFor(c.Name).rank
 	serves := l.fleet.selfServes()
@@ -316,7 +316,7 @@
 }
 
 // handleReply decides by the reply of another host. It returns false if that host failed or doesn't decide.
-func (l *Ledger) handleReply(c *route.Customer, q *tokenRequest, rep Reply, err error) (Decision, bool) {
+func (l *Limiter) handleReply(c *route.Customer, q *tokenRequest, rep Reply, err error) (Decision, bool) {
 	if err != nil {
 		l.opts.Failed(q.host, err)
 	}
@@ -347,7 +347,7 @@
 }
 
 // Lend grants tokens to another host. If this host isn't the customer's keeper, it declines and refers to the keeper.
-func (l *Ledger) Lend(args *Args, rep *Reply) error {
+func (l *Limiter) Lend(args *Args, rep *Reply) error {
 	now, v, c := l.opts.Clock.Now(), l.opts.View(), l.opts.Customer(args.Customer)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/internal/allowance/model_test.go
+++ b/entry/internal/allowance/model_test.go
@@ -44,7 +44,7 @@
 	m      *model
 	n      int
 	row    member.Host
-	ledger *allowance.Ledger
+	ledger *allowance.Limiter
 	// weak marks a host that doesn't serve but still receives some requests.
 	weak bool
 	// down marks a host that doesn't run, and partitioned one that is cut off from all others.
--- a/entry/internal/front/allowances.go
+++ b/entry/internal/front/allowances.go
@@ -21,7 +21,7 @@
 )
 
 // newAllowances returns the limiter of the customers' request rates.
-func (f *Front) newAllowances() *allowance.Ledger {
+func (f *Front) newAllowances() *allowance.Limiter {
 	return allowance.New(allowance.Options{
 		Clock: f.opts.Clock, Slack: f.opts.QuotaSlack, Excess: f.opts.QuotaExcess, View: f.allowanceView, Customer: f.customer,
 		Ask: func(ctx context.Context, keeper member.Host, args allowance.Args) (allowance.Reply, error) {
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -148,7 +148,7 @@
 	// subqueryServer serves other hosts' subqueries.
 	subqueryServer *subquery.Server
 	// allowances limits the customers' request rates.
-	allowances *allowance.Ledger
+	allowances *allowance.Limiter
 }
 
 // New returns a host that does nothing until Run.
