--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -116,8 +116,8 @@
 	to member.Host
 }
 
-// Look records the serving hosts. Called regularly, it keeps the times since which each has served accurate.
-func (l *Limiter) Look() {
+// ObserveHosts records the serving hosts. Called regularly, it keeps the times since which each has served accurate.
+func (l *Limiter) ObserveHosts() {
 	now, v := l.opts.Clock.Now(), l.opts.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/internal/allowance/model_test.go
+++ b/entry/internal/allowance/model_test.go
@@ -173,7 +173,7 @@
 	}
 	for _, h := range m.up {
 		h.updateView()
-		h.ledger.Look()
+		h.ledger.ObserveHosts()
 	}
 }
 
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -260,7 +260,7 @@
 		if t := f.config.Load(); t != nil {
 			f.table.SetLimits(t.Config().Services)
 		}
-		f.allowances.Look()
+		f.allowances.ObserveHosts()
 		clock.Sleep(ctx, f.opts.Clock, shareInterval)
 	}
 }
