--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -309,7 +309,7 @@
 	if serves && (v.Settled || len(l.fleet.serving) > 1) && float64(place) < advanceFraction*float64(l.opts.Slack) {
 		tokens = 1
 	}
-	d := decideFromBucket(now, a.updateOwnBucket(now, c, share, tokens), false, SourcePart)
+	d := decideFromBucket(now, a.updateOwnBucket(now, c, share, tokens), false, SourceOwnShare)
 	// The backoff of another host is over by then.
 	d.RetryAfter = min(d.RetryAfter, failureBackoff)
 	return d
--- a/entry/internal/allowance/messages.go
+++ b/entry/internal/allowance/messages.go
@@ -69,8 +69,8 @@
 	SourceDeputy Source = "deputy"
 	// SourceRefused means that a recent refusal by another host still applies.
 	SourceRefused Source = "refused_before"
-	// SourcePart means that no other host could decide, and this host decided by its own share of the limit.
-	SourcePart Source = "own_part"
+	// SourceOwnShare means that no other host could decide, and this host decided by its own share of the limit.
+	SourceOwnShare Source = "own_part"
 )
 
 // Decision is the result of checking a request against its customer's limit.
@@ -84,5 +84,5 @@
 // Over reports whether the customer is known to be over its limit. A request may be refused without that, by a host
 // that can't reach the keeper.
 func (d Decision) Over() bool {
-	return !d.Admitted && d.Source != SourcePart && d.Source != SourceDeputy
+	return !d.Admitted && d.Source != SourceOwnShare && d.Source != SourceDeputy
 }
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -127,7 +127,7 @@
 	}{
 		{allowance.Decision{Admitted: true, Source: allowance.SourceKept}, http.StatusOK, ""},
 		{allowance.Decision{Source: allowance.SourceKeeper, RetryAfter: 250 * time.Millisecond}, http.StatusTooManyRequests, requestlog.CauseAllowance},
-		{allowance.Decision{Source: allowance.SourcePart, RetryAfter: 250 * time.Millisecond}, http.StatusServiceUnavailable, requestlog.CauseNoKeeper},
+		{allowance.Decision{Source: allowance.SourceOwnShare, RetryAfter: 250 * time.Millisecond}, http.StatusServiceUnavailable, requestlog.CauseNoKeeper},
 	}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
