--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -155,7 +155,7 @@
 	r := l.fleet.rankingFor(c.Name)
 	switch {
 	case r.keeper == v.Self && v.Settled:
-		return decideFromBucket(now, l.updatePool(now, c, a, l.localRequester(now, a)), req.Again, SourceKept), nil
+		return decideFromBucket(now, l.updatePool(now, c, a, l.localRequester(now, a)), req.Again, SourceLocalKeeper), nil
 	case !req.Again && a.takePrefetched(now):
 		return Decision{Admitted: true, Source: SourcePrefetched}, nil
 	case now.Before(a.refusedUntil):
--- a/entry/internal/allowance/messages.go
+++ b/entry/internal/allowance/messages.go
@@ -59,8 +59,8 @@
 const (
 	// SourceUnlimited means that the customer has no limit.
 	SourceUnlimited Source = "unlimited"
-	// SourceKept means that this host is the customer's keeper.
-	SourceKept Source = "kept"
+	// SourceLocalKeeper means that this host is the customer's keeper.
+	SourceLocalKeeper Source = "kept"
 	// SourcePrefetched means that a token was used that had been granted in advance.
 	SourcePrefetched Source = "loan"
 	// SourceKeeper means that the keeper decided.
--- a/entry/internal/forward/customers_test.go
+++ b/entry/internal/forward/customers_test.go
@@ -125,7 +125,7 @@
 		status   int
 		cause    requestlog.Cause
 	}{
-		{allowance.Decision{Admitted: true, Source: allowance.SourceKept}, http.StatusOK, ""},
+		{allowance.Decision{Admitted: true, Source: allowance.SourceLocalKeeper}, http.StatusOK, ""},
 		{allowance.Decision{Source: allowance.SourceKeeper, RetryAfter: 250 * time.Millisecond}, http.StatusTooManyRequests, requestlog.CauseAllowance},
 		{allowance.Decision{Source: allowance.SourceOwnShare, RetryAfter: 250 * time.Millisecond}, http.StatusServiceUnavailable, requestlog.CauseNoKeeper},
 	}
@@ -155,7 +155,7 @@
 		taken := 0
 		s := newCustomerFixture(farm, func() allowance.Decision {
 			taken++
-			return allowance.Decision{Admitted: true, Source: allowance.SourceKept}
+			return allowance.Decision{Admitted: true, Source: allowance.SourceLocalKeeper}
 		})
 		qt.Check(t, s.post(t, "/none/1", quiltsKey, "").Code, qt.Equals, http.StatusNotFound)
 		qt.Check(t, s.post(t, "/desk/1", "stolen", "").Code, qt.Equals, http.StatusUnauthorized)
