--- a/entry/internal/relay/retained.go
+++ b/entry/internal/relay/retained.go
@@ -234,8 +234,8 @@
 	return changes
 }
 
-// Kept returns the entries retained from earlier eras, and their checksum.
-func (c *Copy[T]) Kept() ([]feed.Entry[T], uint64) {
+// Retained returns the entries retained from earlier eras, and their checksum.
+func (c *Copy[T]) Retained() ([]feed.Entry[T], uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]feed.Entry[T], 0, len(c.retained.kept))
--- a/entry/internal/relay/retained_test.go
+++ b/entry/internal/relay/retained_test.go
@@ -76,7 +76,7 @@
 	}
 	c.Change(batchOf(2, 15, replicaRow("new", 13, 2, platform.StateLive), deleted[platform.Replica]("gone", 14), replicaRow("drains", 15, 10, platform.StateLeaving)), now, false)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 10", "new live 2", "stays live 9"})
-	kept, _ := c.Kept()
+	kept, _ := c.Retained()
 	qt.Check(t, kept, qt.HasLen, 0)
 	c.Change(batchOf(2, 17, deleted[platform.Replica]("drains", 16), replicaRow("gone", 17, 20, platform.StateLive)), now, false)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "gone live 20", "new live 2", "stays live 9"})
@@ -154,13 +154,13 @@
 	old.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
 	started := evacuationsCopy()
 	started.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
-	kept, sum := old.Kept()
+	kept, sum := old.Retained()
 	news := started.Merge(kept, now)
 	qt.Check(t, news.Entries, qt.HasLen, 2)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
 	started.Replace(batchOf(2, 11, evacuation("released", 5)), now, false)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
-	_, same := started.Kept()
+	_, same := started.Retained()
 	qt.Check(t, same, qt.Equals, sum)
 	// A second restore makes no difference.
 	started.Replace(batchOf(3, 10, evacuation("released", 5)), now, false)
@@ -274,7 +274,7 @@
 	} else {
 		m.hosts[to].Change(batch, m.now(), false)
 	}
-	kept, _ := m.hosts[from].Kept()
+	kept, _ := m.hosts[from].Retained()
 	m.hosts[to].Merge(kept, m.now())
 }
 
@@ -371,7 +371,7 @@
 		}
 		all, _, _ := parent.Since(feed.Position{})
 		child.Replace(all, now, false)
-		kept, _ := parent.Kept()
+		kept, _ := parent.Retained()
 		child.Merge(kept, now)
 		held, _, _ := child.Since(feed.Position{})
 		qt.Check(t, held.Entries[0].Value, qt.Equals, int64(81), qt.Commentf("child entered the era first: %v", crossed))
--- a/entry/internal/relay/server.go
+++ b/entry/internal/relay/server.go
@@ -99,7 +99,7 @@
 		reply.Age = clk.Now().Sub(st.Confirmed)
 	}
 	if args.Era <= batch.Era {
-		reply.Kept, reply.KeptSum = c.Kept()
+		reply.Kept, reply.KeptSum = c.Retained()
 	}
 	if reply.KeptSum == args.Kept {
 		reply.Kept = nil
--- a/entry/internal/source/era.go
+++ b/entry/internal/source/era.go
@@ -49,7 +49,7 @@
 	}
 	f.opts.Outage.enterEra(after.Era)
 	f.rejects.forget()
-	kept, _ := f.opts.Copy.Kept()
+	kept, _ := f.opts.Copy.Retained()
 	events.StoreEra.Log(f.opts.Log, "kind", f.opts.Name, "from", from, "era", after.Era, "revision", after.Revision, "known_era", before.Era, "known", before.Revision, "kept", len(kept))
 	return before.Revision > 0
 }
