--- a/entry/internal/relay/retained.go
+++ b/entry/internal/relay/retained.go
@@ -245,9 +245,9 @@
 	return list, c.retained.sum
 }
 
-// Merge applies the entries that another host in the same era retains from earlier ones, and returns the resulting
+// MergeRetained applies the entries that another host in the same era retains from earlier ones, and returns the resulting
 // changes. A host that started after the store was restored has only the objects of the backup.
-func (c *Copy[T]) Merge(kept []feed.Entry[T], at time.Time) feed.Batch[T] {
+func (c *Copy[T]) MergeRetained(kept []feed.Entry[T], at time.Time) feed.Batch[T] {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	changes := feed.Batch[T]{Era: c.reached.Era, Revision: c.reached.Revision}
--- a/entry/internal/relay/retained_test.go
+++ b/entry/internal/relay/retained_test.go
@@ -155,7 +155,7 @@
 	started := evacuationsCopy()
 	started.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
 	kept, sum := old.Retained()
-	news := started.Merge(kept, now)
+	news := started.MergeRetained(kept, now)
 	qt.Check(t, news.Entries, qt.HasLen, 2)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
 	started.Replace(batchOf(2, 11, evacuation("released", 5)), now, false)
@@ -168,7 +168,7 @@
 	started.Replace(batchOf(3, 11, evacuation("released", 5)), now, false)
 	// Later writes take precedence over entries that a lagging host still retains.
 	started.Change(batchOf(3, 13, evacuation("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
-	started.Merge(kept, now)
+	started.MergeRetained(kept, now)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{})
 }
 
@@ -275,7 +275,7 @@
 		m.hosts[to].Change(batch, m.now(), false)
 	}
 	kept, _ := m.hosts[from].Retained()
-	m.hosts[to].Merge(kept, m.now())
+	m.hosts[to].MergeRetained(kept, m.now())
 }
 
 // check fails if a version went back on a host.
@@ -372,7 +372,7 @@
 		all, _, _ := parent.Since(feed.Position{})
 		child.Replace(all, now, false)
 		kept, _ := parent.Retained()
-		child.Merge(kept, now)
+		child.MergeRetained(kept, now)
 		held, _, _ := child.Since(feed.Position{})
 		qt.Check(t, held.Entries[0].Value, qt.Equals, int64(81), qt.Commentf("child entered the era first: %v", crossed))
 	}
