--- a/entry/internal/relay/copy.go
+++ b/entry/internal/relay/copy.go
@@ -79,13 +79,13 @@
 	return State{Position: c.reached, Confirmed: c.confirmed, Kept: c.retained.sum}, c.changed
 }
 
-// Replace replaces the objects by a list of all of them read at time at, and reports whether that list is at least as
+// ApplyList replaces the objects by a list of all of them read at time at, and reports whether that list is at least as
 // new as the copy. A list of a new era doesn't override newer versions known from the previous era.
 //
 // Hosts that are up to date with the copy get only the differences. A watching host has to list all objects whenever
 // the store drops its history, and sending thousands of replicas to each of a thousand hosts takes longer than their
 // copies stay fresh.
-func (c *Copy[T]) Replace(batch feed.Batch[T], at time.Time, returned bool) bool {
+func (c *Copy[T]) ApplyList(batch feed.Batch[T], at time.Time, returned bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	to, ok := c.positionOf(batch)
--- a/entry/internal/relay/copy_test.go
+++ b/entry/internal/relay/copy_test.go
@@ -21,9 +21,9 @@
 	broken := feed.Entry[int64]{Name: "main", Revision: 9, Unreadable: true}
 	for _, list := range []bool{false, true} {
 		c := relay.NewCopy(relay.Options[int64]{LastGood: true})
-		c.Replace(oneEntry(5, feed.Entry[int64]{Name: "main", Revision: 5, Value: 7}), now, false)
+		c.ApplyList(oneEntry(5, feed.Entry[int64]{Name: "main", Revision: 5, Value: 7}), now, false)
 		if list {
-			c.Replace(oneEntry(9, broken), now, false)
+			c.ApplyList(oneEntry(9, broken), now, false)
 		} else {
 			news, ok := c.Change(oneEntry(9, broken), now, false)
 			qt.Assert(t, ok, qt.IsTrue)
@@ -41,7 +41,7 @@
 func TestOlderChangeAfterANewerPage(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := relay.NewCopy(relay.Options[int64]{})
-	c.Replace(oneEntry(5, feed.Entry[int64]{Name: "i-1", Revision: 8, Value: 2}), now, false)
+	c.ApplyList(oneEntry(5, feed.Entry[int64]{Name: "i-1", Revision: 8, Value: 2}), now, false)
 	news, ok := c.Change(oneEntry(7, feed.Entry[int64]{Name: "i-1", Revision: 7, Value: 1}), now, false)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, news.Entries, qt.HasLen, 0)
--- a/entry/internal/relay/empty_test.go
+++ b/entry/internal/relay/empty_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := relay.NewCopy(relay.Options[platform.Evacuation]{})
 		m := &relay.Methods{Clock: clock.System{}, EvacuationCopy: c}
-		c.Replace(feed.Batch[platform.Evacuation]{Revision: 7}, time.Now(), false)
+		c.ApplyList(feed.Batch[platform.Evacuation]{Revision: 7}, time.Now(), false)
 		var rep relay.Reply[platform.Evacuation]
 		qt.Assert(t, m.Evacuations(&relay.Args{Wait: time.Second}, &rep), qt.IsNil)
 		qt.Assert(t, rep.Full, qt.IsTrue)
--- a/entry/internal/relay/era_bench_test.go
+++ b/entry/internal/relay/era_bench_test.go
@@ -22,7 +22,7 @@
 				c := relay.NewCopy(relay.Options[platform.Replica]{Older: platform.Replica.OlderThan})
 				old := replicaList(n)
 				old.Era = 1
-				c.Replace(old, now, false)
+				c.ApplyList(old, now, false)
 				before, _ := c.State()
 				list := replicaList(n)
 				list.Era = 2
@@ -30,7 +30,7 @@
 					list.Entries[i].Value.Sequence++
 				}
 				b.StartTimer()
-				c.Replace(list, now, false)
+				c.ApplyList(list, now, false)
 				news, _, _ := c.Since(feed.Position{Era: before.Era, Revision: before.Revision})
 				sent = len(news.Entries)
 			}
--- a/entry/internal/relay/pack_test.go
+++ b/entry/internal/relay/pack_test.go
@@ -32,7 +32,7 @@
 func TestAllObjectsTravelPacked(t *testing.T) {
 	c := relay.NewCopy(relay.Options[platform.Replica]{})
 	all := replicaList(282)
-	c.Replace(all, time.Now(), false)
+	c.ApplyList(all, time.Now(), false)
 	m := &relay.Methods{Clock: clock.System{}, ConfigCopy: nil, ReplicaCopy: c}
 	for range 2 {
 		var rep relay.Reply[platform.Replica]
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -37,7 +37,7 @@
 				for name, v := range truth {
 					all.Entries = append(all.Entries, feed.Entry[int64]{Name: name, Revision: v, Value: v})
 				}
-				from.Replace(all, time.Unix(revision, 0), false)
+				from.ApplyList(all, time.Unix(revision, 0), false)
 			case 3:
 				b, full, _ := from.Since(feed.Position{Revision: reached})
 				if full {
@@ -63,8 +63,8 @@
 func TestOldListIsRefused(t *testing.T) {
 	c := relay.NewCopy(relay.Options[int64]{})
 	now := time.Unix(100, 0)
-	qt.Assert(t, c.Replace(feed.Batch[int64]{Revision: 9}, now, false), qt.IsTrue)
-	qt.Assert(t, c.Replace(feed.Batch[int64]{Revision: 8}, now, false), qt.IsFalse)
+	qt.Assert(t, c.ApplyList(feed.Batch[int64]{Revision: 9}, now, false), qt.IsTrue)
+	qt.Assert(t, c.ApplyList(feed.Batch[int64]{Revision: 8}, now, false), qt.IsFalse)
 	_, ok := c.Change(feed.Batch[int64]{Revision: 8}, now, false)
 	qt.Assert(t, ok, qt.IsFalse)
 	st, _ := c.State()
@@ -178,11 +178,11 @@
 		return b
 	}
 	c := relay.NewCopy(relay.Options[int64]{})
-	c.Replace(list(9, 1, 2, 3, 0), now, false)
+	c.ApplyList(list(9, 1, 2, 3, 0), now, false)
 	_, full, _ := c.Since(feed.Position{})
 	qt.Assert(t, full, qt.IsTrue)
 	// The second has changed, the third is gone, the fourth is new.
-	c.Replace(list(15, 1, 12, 0, 14), now, false)
+	c.ApplyList(list(15, 1, 12, 0, 14), now, false)
 	news, full, _ := c.Since(feed.Position{Revision: 9})
 	qt.Assert(t, full, qt.IsFalse)
 	got := map[string]feed.Entry[int64]{}
--- a/entry/internal/relay/retained_test.go
+++ b/entry/internal/relay/retained_test.go
@@ -65,12 +65,12 @@
 func TestCopyBringsNoReplicaBack(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := replicasCopy()
-	c.Replace(batchOf(1, 10, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 5, 4, platform.StateLive), replicaRow("again", 6, 4, platform.StateLive)), now, false)
+	c.ApplyList(batchOf(1, 10, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 5, 4, platform.StateLive), replicaRow("again", 6, 4, platform.StateLive)), now, false)
 	c.Change(batchOf(1, 14,
 		deleted[platform.Replica]("gone", 11), replicaRow("drains", 12, 9, platform.StateLeaving), replicaRow("new", 13, 1, platform.StateLive), deleted[platform.Replica]("again", 14)), now, false)
 	list := batchOf(2, 12, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 11, 9, platform.StateLive), replicaRow("again", 12, 5, platform.StateLive))
 	for range 2 {
-		qt.Assert(t, c.Replace(list, now, false), qt.IsTrue)
+		qt.Assert(t, c.ApplyList(list, now, false), qt.IsTrue)
 		// The new replica is missing until it writes again, and the deleted one that has written again is present.
 		qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 9", "stays live 9"})
 	}
@@ -87,9 +87,9 @@
 func TestLivingReplicaIsLeftOutForAWhile(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := replicasCopy()
-	c.Replace(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
+	c.ApplyList(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	c.Change(batchOf(1, 11, deleted[platform.Replica]("a", 11)), now, false)
-	c.Replace(batchOf(2, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
+	c.ApplyList(batchOf(2, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{})
 	news, _ := c.Change(batchOf[platform.Replica](2, 10), now.Add(keepFor), false)
 	qt.Check(t, news.Entries, qt.HasLen, 1)
@@ -101,9 +101,9 @@
 	now := time.Unix(100, 0)
 	newCopy := func() *relay.Copy[platform.Evacuation] {
 		c := evacuationsCopy()
-		c.Replace(batchOf(1, 10, evacuation("released", 5)), now, false)
+		c.ApplyList(batchOf(1, 10, evacuation("released", 5)), now, false)
 		c.Change(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
-		c.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
+		c.ApplyList(batchOf(2, 10, evacuation("released", 5)), now, false)
 		return c
 	}
 	for _, tc := range []struct {
@@ -113,7 +113,7 @@
 	}{
 		{"no write after the restore", func(*relay.Copy[platform.Evacuation]) {}, []string{"ordered"}},
 		{"objects listed again", func(c *relay.Copy[platform.Evacuation]) {
-			c.Replace(batchOf(2, 11, evacuation("released", 5)), now, false)
+			c.ApplyList(batchOf(2, 11, evacuation("released", 5)), now, false)
 		}, []string{"ordered"}},
 		{"order and release written again", func(c *relay.Copy[platform.Evacuation]) {
 			c.Change(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
@@ -125,16 +125,16 @@
 			c.Change(batchOf(2, 12, evacuation("released", 12)), now, false)
 		}, []string{"ordered", "released"}},
 		{"zone evacuated again in a list", func(c *relay.Copy[platform.Evacuation]) {
-			c.Replace(batchOf(2, 12, evacuation("released", 12)), now, false)
+			c.ApplyList(batchOf(2, 12, evacuation("released", 12)), now, false)
 		}, []string{"ordered", "released"}},
 		{"no write until expiry", func(c *relay.Copy[platform.Evacuation]) {
 			c.Change(batchOf[platform.Evacuation](2, 12), now.Add(keepFor), false)
 		}, []string{"released"}},
 		{"second restore", func(c *relay.Copy[platform.Evacuation]) {
-			c.Replace(batchOf(3, 10, evacuation("released", 5)), now, false)
+			c.ApplyList(batchOf(3, 10, evacuation("released", 5)), now, false)
 		}, []string{"ordered"}},
 		{"reply of the old era", func(c *relay.Copy[platform.Evacuation]) {
-			qt.Check(t, c.Replace(batchOf(1, 99, evacuation("released", 5)), now, false), qt.IsFalse)
+			qt.Check(t, c.ApplyList(batchOf(1, 99, evacuation("released", 5)), now, false), qt.IsFalse)
 			_, ok := c.Change(batchOf(1, 99, deleted[platform.Evacuation]("ordered", 98)), now, false)
 			qt.Check(t, ok, qt.IsFalse)
 		}, []string{"ordered"}},
@@ -149,23 +149,23 @@
 func TestKeptIsPassedOn(t *testing.T) {
 	now := time.Unix(100, 0)
 	old := evacuationsCopy()
-	old.Replace(batchOf(1, 10, evacuation("released", 5)), now, false)
+	old.ApplyList(batchOf(1, 10, evacuation("released", 5)), now, false)
 	old.Change(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
-	old.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
+	old.ApplyList(batchOf(2, 10, evacuation("released", 5)), now, false)
 	started := evacuationsCopy()
-	started.Replace(batchOf(2, 10, evacuation("released", 5)), now, false)
+	started.ApplyList(batchOf(2, 10, evacuation("released", 5)), now, false)
 	kept, sum := old.Retained()
 	news := started.MergeRetained(kept, now)
 	qt.Check(t, news.Entries, qt.HasLen, 2)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
-	started.Replace(batchOf(2, 11, evacuation("released", 5)), now, false)
+	started.ApplyList(batchOf(2, 11, evacuation("released", 5)), now, false)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
 	_, same := started.Retained()
 	qt.Check(t, same, qt.Equals, sum)
 	// A second restore makes no difference.
-	started.Replace(batchOf(3, 10, evacuation("released", 5)), now, false)
+	started.ApplyList(batchOf(3, 10, evacuation("released", 5)), now, false)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
-	started.Replace(batchOf(3, 11, evacuation("released", 5)), now, false)
+	started.ApplyList(batchOf(3, 11, evacuation("released", 5)), now, false)
 	// Later writes take precedence over entries that a lagging host still retains.
 	started.Change(batchOf(3, 13, evacuation("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
 	started.MergeRetained(kept, now)
@@ -177,8 +177,8 @@
 func TestHostAheadOfItsParentGetsAll(t *testing.T) {
 	now := time.Unix(100, 0)
 	parent := replicasCopy()
-	parent.Replace(batchOf(1, 10, replicaRow("a", 9, 1, platform.StateLive)), now, false)
-	parent.Replace(batchOf(2, 8, replicaRow("a", 8, 1, platform.StateLive)), now, false)
+	parent.ApplyList(batchOf(1, 10, replicaRow("a", 9, 1, platform.StateLive)), now, false)
+	parent.ApplyList(batchOf(2, 8, replicaRow("a", 8, 1, platform.StateLive)), now, false)
 	for _, tc := range []struct {
 		reached feed.Position
 		full    bool
@@ -257,7 +257,7 @@
 	for _, name := range slices.Sorted(maps.Keys(m.store)) {
 		list.Entries = append(list.Entries, m.store[name])
 	}
-	if !m.hosts[i].Replace(list, m.now(), false) {
+	if !m.hosts[i].ApplyList(list, m.now(), false) {
 		t.Fatal("a list of the store was refused")
 	}
 }
@@ -270,7 +270,7 @@
 		return
 	}
 	if full {
-		m.hosts[to].Replace(batch, m.now(), false)
+		m.hosts[to].ApplyList(batch, m.now(), false)
 	} else {
 		m.hosts[to].Change(batch, m.now(), false)
 	}
@@ -340,7 +340,7 @@
 func TestAskerWithoutAnEraWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := replicasCopy()
-		c.Replace(batchOf(3, 10, replicaRow("a", 9, 1, platform.StateLive)), time.Now(), false)
+		c.ApplyList(batchOf(3, 10, replicaRow("a", 9, 1, platform.StateLive)), time.Now(), false)
 		m := &relay.Methods{Clock: clock.System{}, ReplicaCopy: c}
 		began := time.Now()
 		var rep relay.Reply[platform.Replica]
@@ -361,16 +361,16 @@
 		var copies [2]*relay.Copy[int64]
 		for i := range copies {
 			copies[i] = relay.NewCopy(relay.Options[int64]{KeepAbsent: true, Older: func(got, held int64) bool { return got < held }})
-			copies[i].Replace(batchOf(1, 18, version(18, 79)), now, false)
+			copies[i].ApplyList(batchOf(1, 18, version(18, 79)), now, false)
 		}
 		parent, child := copies[0], copies[1]
 		child.Change(batchOf(1, 20, version(20, 81)), now, false)
-		parent.Replace(batchOf(2, 12, version(9, 77)), now, false)
+		parent.ApplyList(batchOf(2, 12, version(9, 77)), now, false)
 		if crossed {
-			child.Replace(batchOf(2, 12, version(9, 77)), now, false)
+			child.ApplyList(batchOf(2, 12, version(9, 77)), now, false)
 		}
 		all, _, _ := parent.Since(feed.Position{})
-		child.Replace(all, now, false)
+		child.ApplyList(all, now, false)
 		kept, _ := parent.Retained()
 		child.MergeRetained(kept, now)
 		held, _, _ := child.Since(feed.Position{})
@@ -384,13 +384,13 @@
 	now := time.Unix(100, 0)
 	parent, child := replicasCopy(), replicasCopy()
 	for _, c := range []*relay.Copy[platform.Replica]{parent, child} {
-		c.Replace(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
+		c.ApplyList(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	}
 	parent.Change(batchOf(1, 11, replicaRow("a", 11, 5, platform.StateLive)), now, false)
 	child.Change(batchOf(1, 12, replicaRow("a", 12, 6, platform.StateLeaving)), now, false)
-	parent.Replace(batchOf(2, 9, replicaRow("a", 3, 4, platform.StateLive)), now, false)
+	parent.ApplyList(batchOf(2, 9, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	all, _, _ := parent.Since(feed.Position{})
-	child.Replace(all, now, false)
+	child.ApplyList(all, now, false)
 	child.Change(batchOf[platform.Replica](2, 9), now.Add(keepFor), false)
 	qt.Check(t, describe(child, showRow), qt.DeepEquals, []string{"a leaving 6"})
 }
--- a/entry/internal/source/follower_test.go
+++ b/entry/internal/source/follower_test.go
@@ -286,7 +286,7 @@
 			if clientWaits {
 				close(clientWaiting)
 			} else {
-				seed.copy.Replace(batch(1), time.Now(), false)
+				seed.copy.ApplyList(batch(1), time.Now(), false)
 			}
 			time.Sleep(50 * time.Millisecond)
 			qt.Check(t, started.value(), qt.Equals, int64(1))
@@ -301,7 +301,7 @@
 	runInBubble(t, func(ctx context.Context) {
 		w := newTestStore()
 		seed := &host{name: "named", copy: relay.NewCopy(relay.Options[int64]{}), watches: true, down: true}
-		seed.copy.Replace(batch(1), time.Now(), false)
+		seed.copy.ApplyList(batch(1), time.Now(), false)
 		started := w.start(ctx, "new", nil, seed)
 		time.Sleep(150 * time.Millisecond)
 		seed.mu.Lock()
--- a/entry/internal/source/parents.go
+++ b/entry/internal/source/parents.go
@@ -64,7 +64,7 @@
 // replace applies a list of all objects, and reports whether it was new enough.
 func (f *Follower[T]) replace(from string, batch feed.Batch[T], at time.Time, returned bool) bool {
 	before, _ := f.opts.Copy.State()
-	if !f.opts.Copy.Replace(batch, at, returned) {
+	if !f.opts.Copy.ApplyList(batch, at, returned) {
 		f.reportOlder(from, batch)
 		return false
 	}
