--- a/entry/internal/relay/copy.go
+++ b/entry/internal/relay/copy.go
@@ -219,12 +219,12 @@
 	}
 }
 
-// Change applies the changes up to the batch's revision, read at time at. It returns those that took effect, and
+// ApplyChanges applies the changes up to the batch's revision, read at time at. It returns those that took effect, and
 // reports whether the batch is at least as new as the copy.
 //
 // A list is read in pages and followed by the changes since its first page. A change that is older than the version on
 // a later page has no effect.
-func (c *Copy[T]) Change(batch feed.Batch[T], at time.Time, returned bool) (feed.Batch[T], bool) {
+func (c *Copy[T]) ApplyChanges(batch feed.Batch[T], at time.Time, returned bool) (feed.Batch[T], bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	to, ok := c.positionOf(batch)
--- a/entry/internal/relay/copy_test.go
+++ b/entry/internal/relay/copy_test.go
@@ -25,7 +25,7 @@
 		if list {
 			c.ApplyList(oneEntry(9, broken), now, false)
 		} else {
-			news, ok := c.Change(oneEntry(9, broken), now, false)
+			news, ok := c.ApplyChanges(oneEntry(9, broken), now, false)
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, news.Entries, qt.HasLen, 0)
 		}
@@ -42,11 +42,11 @@
 	now := time.Unix(100, 0)
 	c := relay.NewCopy(relay.Options[int64]{})
 	c.ApplyList(oneEntry(5, feed.Entry[int64]{Name: "i-1", Revision: 8, Value: 2}), now, false)
-	news, ok := c.Change(oneEntry(7, feed.Entry[int64]{Name: "i-1", Revision: 7, Value: 1}), now, false)
+	news, ok := c.ApplyChanges(oneEntry(7, feed.Entry[int64]{Name: "i-1", Revision: 7, Value: 1}), now, false)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, news.Entries, qt.HasLen, 0)
 	heard, _, _ := c.Since(feed.Position{Revision: 5})
 	qt.Assert(t, heard.Entries, qt.HasLen, 0)
-	news, _ = c.Change(oneEntry(9, feed.Entry[int64]{Name: "i-1", Revision: 9, Deleted: true}), now, false)
+	news, _ = c.ApplyChanges(oneEntry(9, feed.Entry[int64]{Name: "i-1", Revision: 9, Deleted: true}), now, false)
 	qt.Assert(t, news.Entries, qt.HasLen, 1)
 }
--- a/entry/internal/relay/pack_test.go
+++ b/entry/internal/relay/pack_test.go
@@ -52,7 +52,7 @@
 	}
 	// Later changes must be in the next list.
 	gone := feed.Batch[platform.Replica]{Revision: 283, Entries: []feed.Entry[platform.Replica]{{Name: all.Entries[0].Name, Revision: 283, Deleted: true}}}
-	c.Change(gone, time.Now(), false)
+	c.ApplyChanges(gone, time.Now(), false)
 	var rep relay.Reply[platform.Replica]
 	qt.Assert(t, m.Replicas(&relay.Args{}, &rep), qt.IsNil)
 	qt.Assert(t, rep.Unpack(), qt.IsNil)
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -31,7 +31,7 @@
 				} else {
 					truth[name] = revision
 				}
-				from.Change(feed.Batch[int64]{Revision: revision, Entries: []feed.Entry[int64]{e}}, time.Unix(revision, 0), false)
+				from.ApplyChanges(feed.Batch[int64]{Revision: revision, Entries: []feed.Entry[int64]{e}}, time.Unix(revision, 0), false)
 			case 2:
 				all := feed.Batch[int64]{Revision: revision}
 				for name, v := range truth {
@@ -65,7 +65,7 @@
 	now := time.Unix(100, 0)
 	qt.Assert(t, c.ApplyList(feed.Batch[int64]{Revision: 9}, now, false), qt.IsTrue)
 	qt.Assert(t, c.ApplyList(feed.Batch[int64]{Revision: 8}, now, false), qt.IsFalse)
-	_, ok := c.Change(feed.Batch[int64]{Revision: 8}, now, false)
+	_, ok := c.ApplyChanges(feed.Batch[int64]{Revision: 8}, now, false)
 	qt.Assert(t, ok, qt.IsFalse)
 	st, _ := c.State()
 	qt.Assert(t, st.Revision, qt.Equals, int64(9))
--- a/entry/internal/relay/retained_test.go
+++ b/entry/internal/relay/retained_test.go
@@ -66,7 +66,7 @@
 	now := time.Unix(100, 0)
 	c := replicasCopy()
 	c.ApplyList(batchOf(1, 10, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 5, 4, platform.StateLive), replicaRow("again", 6, 4, platform.StateLive)), now, false)
-	c.Change(batchOf(1, 14,
+	c.ApplyChanges(batchOf(1, 14,
 		deleted[platform.Replica]("gone", 11), replicaRow("drains", 12, 9, platform.StateLeaving), replicaRow("new", 13, 1, platform.StateLive), deleted[platform.Replica]("again", 14)), now, false)
 	list := batchOf(2, 12, replicaRow("gone", 3, 4, platform.StateLive), replicaRow("drains", 4, 4, platform.StateLive), replicaRow("stays", 11, 9, platform.StateLive), replicaRow("again", 12, 5, platform.StateLive))
 	for range 2 {
@@ -74,11 +74,11 @@
 		// The new replica is missing until it writes again, and the deleted one that has written again is present.
 		qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 9", "stays live 9"})
 	}
-	c.Change(batchOf(2, 15, replicaRow("new", 13, 2, platform.StateLive), deleted[platform.Replica]("gone", 14), replicaRow("drains", 15, 10, platform.StateLeaving)), now, false)
+	c.ApplyChanges(batchOf(2, 15, replicaRow("new", 13, 2, platform.StateLive), deleted[platform.Replica]("gone", 14), replicaRow("drains", 15, 10, platform.StateLeaving)), now, false)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "drains leaving 10", "new live 2", "stays live 9"})
 	kept, _ := c.Retained()
 	qt.Check(t, kept, qt.HasLen, 0)
-	c.Change(batchOf(2, 17, deleted[platform.Replica]("drains", 16), replicaRow("gone", 17, 20, platform.StateLive)), now, false)
+	c.ApplyChanges(batchOf(2, 17, deleted[platform.Replica]("drains", 16), replicaRow("gone", 17, 20, platform.StateLive)), now, false)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"again live 5", "gone live 20", "new live 2", "stays live 9"})
 }
 
@@ -88,10 +88,10 @@
 	now := time.Unix(100, 0)
 	c := replicasCopy()
 	c.ApplyList(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
-	c.Change(batchOf(1, 11, deleted[platform.Replica]("a", 11)), now, false)
+	c.ApplyChanges(batchOf(1, 11, deleted[platform.Replica]("a", 11)), now, false)
 	c.ApplyList(batchOf(2, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{})
-	news, _ := c.Change(batchOf[platform.Replica](2, 10), now.Add(keepFor), false)
+	news, _ := c.ApplyChanges(batchOf[platform.Replica](2, 10), now.Add(keepFor), false)
 	qt.Check(t, news.Entries, qt.HasLen, 1)
 	qt.Check(t, describe(c, showRow), qt.DeepEquals, []string{"a live 4"})
 }
@@ -102,7 +102,7 @@
 	newCopy := func() *relay.Copy[platform.Evacuation] {
 		c := evacuationsCopy()
 		c.ApplyList(batchOf(1, 10, evacuation("released", 5)), now, false)
-		c.Change(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
+		c.ApplyChanges(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
 		c.ApplyList(batchOf(2, 10, evacuation("released", 5)), now, false)
 		return c
 	}
@@ -116,26 +116,26 @@
 			c.ApplyList(batchOf(2, 11, evacuation("released", 5)), now, false)
 		}, []string{"ordered"}},
 		{"order and release written again", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
+			c.ApplyChanges(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
 		}, []string{"ordered"}},
 		{"order written again, then released", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("ordered", 12)), now, false)
+			c.ApplyChanges(batchOf(2, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("ordered", 12)), now, false)
 		}, []string{}},
 		{"zone evacuated again by a change", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(batchOf(2, 12, evacuation("released", 12)), now, false)
+			c.ApplyChanges(batchOf(2, 12, evacuation("released", 12)), now, false)
 		}, []string{"ordered", "released"}},
 		{"zone evacuated again in a list", func(c *relay.Copy[platform.Evacuation]) {
 			c.ApplyList(batchOf(2, 12, evacuation("released", 12)), now, false)
 		}, []string{"ordered", "released"}},
 		{"no write until expiry", func(c *relay.Copy[platform.Evacuation]) {
-			c.Change(batchOf[platform.Evacuation](2, 12), now.Add(keepFor), false)
+			c.ApplyChanges(batchOf[platform.Evacuation](2, 12), now.Add(keepFor), false)
 		}, []string{"released"}},
 		{"second restore", func(c *relay.Copy[platform.Evacuation]) {
 			c.ApplyList(batchOf(3, 10, evacuation("released", 5)), now, false)
 		}, []string{"ordered"}},
 		{"reply of the old era", func(c *relay.Copy[platform.Evacuation]) {
 			qt.Check(t, c.ApplyList(batchOf(1, 99, evacuation("released", 5)), now, false), qt.IsFalse)
-			_, ok := c.Change(batchOf(1, 99, deleted[platform.Evacuation]("ordered", 98)), now, false)
+			_, ok := c.ApplyChanges(batchOf(1, 99, deleted[platform.Evacuation]("ordered", 98)), now, false)
 			qt.Check(t, ok, qt.IsFalse)
 		}, []string{"ordered"}},
 	} {
@@ -150,7 +150,7 @@
 	now := time.Unix(100, 0)
 	old := evacuationsCopy()
 	old.ApplyList(batchOf(1, 10, evacuation("released", 5)), now, false)
-	old.Change(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
+	old.ApplyChanges(batchOf(1, 12, evacuation("ordered", 11), deleted[platform.Evacuation]("released", 12)), now, false)
 	old.ApplyList(batchOf(2, 10, evacuation("released", 5)), now, false)
 	started := evacuationsCopy()
 	started.ApplyList(batchOf(2, 10, evacuation("released", 5)), now, false)
@@ -167,7 +167,7 @@
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{"ordered"})
 	started.ApplyList(batchOf(3, 11, evacuation("released", 5)), now, false)
 	// Later writes take precedence over entries that a lagging host still retains.
-	started.Change(batchOf(3, 13, evacuation("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
+	started.ApplyChanges(batchOf(3, 13, evacuation("ordered", 12), deleted[platform.Evacuation]("ordered", 13)), now, false)
 	started.MergeRetained(kept, now)
 	qt.Check(t, describe(started, showName), qt.DeepEquals, []string{})
 }
@@ -272,7 +272,7 @@
 	if full {
 		m.hosts[to].ApplyList(batch, m.now(), false)
 	} else {
-		m.hosts[to].Change(batch, m.now(), false)
+		m.hosts[to].ApplyChanges(batch, m.now(), false)
 	}
 	kept, _ := m.hosts[from].Retained()
 	m.hosts[to].MergeRetained(kept, m.now())
@@ -364,7 +364,7 @@
 			copies[i].ApplyList(batchOf(1, 18, version(18, 79)), now, false)
 		}
 		parent, child := copies[0], copies[1]
-		child.Change(batchOf(1, 20, version(20, 81)), now, false)
+		child.ApplyChanges(batchOf(1, 20, version(20, 81)), now, false)
 		parent.ApplyList(batchOf(2, 12, version(9, 77)), now, false)
 		if crossed {
 			child.ApplyList(batchOf(2, 12, version(9, 77)), now, false)
@@ -386,11 +386,11 @@
 	for _, c := range []*relay.Copy[platform.Replica]{parent, child} {
 		c.ApplyList(batchOf(1, 10, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	}
-	parent.Change(batchOf(1, 11, replicaRow("a", 11, 5, platform.StateLive)), now, false)
-	child.Change(batchOf(1, 12, replicaRow("a", 12, 6, platform.StateLeaving)), now, false)
+	parent.ApplyChanges(batchOf(1, 11, replicaRow("a", 11, 5, platform.StateLive)), now, false)
+	child.ApplyChanges(batchOf(1, 12, replicaRow("a", 12, 6, platform.StateLeaving)), now, false)
 	parent.ApplyList(batchOf(2, 9, replicaRow("a", 3, 4, platform.StateLive)), now, false)
 	all, _, _ := parent.Since(feed.Position{})
 	child.ApplyList(all, now, false)
-	child.Change(batchOf[platform.Replica](2, 9), now.Add(keepFor), false)
+	child.ApplyChanges(batchOf[platform.Replica](2, 9), now.Add(keepFor), false)
 	qt.Check(t, describe(child, showRow), qt.DeepEquals, []string{"a leaving 6"})
 }
--- a/entry/internal/source/parents.go
+++ b/entry/internal/source/parents.go
@@ -77,7 +77,7 @@
 // change applies changes, and reports whether they were new enough.
 func (f *Follower[T]) change(from string, batch feed.Batch[T], at time.Time, returned bool) bool {
 	before, _ := f.opts.Copy.State()
-	changes, ok := f.opts.Copy.Change(batch, at, returned)
+	changes, ok := f.opts.Copy.ApplyChanges(batch, at, returned)
 	if !ok {
 		f.reportOlder(from, batch)
 		return false
