--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -140,7 +140,7 @@
 	log        *requestlog.Log
 	metrics    *frontmetrics.Metrics
 	// storeState signals the followers of the store's objects that the store is reachable again.
-	storeState *source.Outage
+	storeState *source.StoreState
 	// startup holds requests until the configuration, the replicas and the evacuations are loaded.
 	startup *startup.Startup
 	// quarantine refuses requests that crash replicas.
--- a/entry/internal/source/era_test.go
+++ b/entry/internal/source/era_test.go
@@ -148,7 +148,7 @@
 	delay time.Duration
 	asked int
 	// outage is shared with the fleet of another kind on the same hosts; it may be nil.
-	outage *source.Outage
+	outage *source.StoreState
 }
 
 func (f *eraFleet) setDelay(d time.Duration) { f.store.set(func() { f.delay = d }) }
--- a/entry/internal/source/follower.go
+++ b/entry/internal/source/follower.go
@@ -92,7 +92,7 @@
 	// Reconnect closes the unused connections to the store.
 	Reconnect func()
 	// Outage is shared by the followers of one host; nil means a separate one.
-	Outage *Outage
+	Outage *StoreState
 	// Rejected is called with the number of unreadable objects found, each counted once; it may be nil.
 	Rejected func(n int)
 	// Older is called for each reply that is older than the copy; it may be nil.
--- a/entry/internal/source/follower_test.go
+++ b/entry/internal/source/follower_test.go
@@ -135,7 +135,7 @@
 }
 
 // followWithOutage starts a host that shares the outage state with another kind of objects.
-func (w *testStore) followWithOutage(ctx context.Context, name string, outage *source.Outage, parents ...*host) *host {
+func (w *testStore) followWithOutage(ctx context.Context, name string, outage *source.StoreState, parents ...*host) *host {
 	h := &host{name: name, copy: relay.NewCopy(relay.Options[int64]{}), parents: parents, watches: len(parents) == 0}
 	go source.New(w.options(h, outage)).Run(ctx)
 	return h
@@ -155,7 +155,7 @@
 }
 
 // options returns the options with which h follows the store.
-func (w *testStore) options(h *host, outage *source.Outage) source.Options[int64] {
+func (w *testStore) options(h *host, outage *source.StoreState) source.Options[int64] {
 	name := h.name
 	return source.Options[int64]{
 		Outage: outage,
