--- a/entry/internal/source/era.go
+++ b/entry/internal/source/era.go
@@ -59,7 +59,7 @@
 func (f *Follower[T]) checkEraMissing(era int64) {
 	if era == 0 && !f.eraMissing {
 		st, _ := f.opts.Copy.State()
-		events.EraUnsaid.Log(f.opts.Log, "kind", f.opts.Name, "known_era", st.Era)
+		events.StoreEraMissing.Log(f.opts.Log, "kind", f.opts.Name, "known_era", st.Era)
 	}
 	f.eraMissing = era == 0
 }
