--- a/entry/internal/source/era.go
+++ b/entry/internal/source/era.go
@@ -97,7 +97,7 @@
 		return
 	}
 	changes := f.opts.Copy.MergeRetained(rep.Kept, f.opts.Clock.Now())
-	events.KeptTaken.Log(f.opts.Log, "kind", f.opts.Name, "from", from, "era", rep.Era, "kept", len(rep.Kept), "news", len(changes.Entries))
+	events.RetainedApplied.Log(f.opts.Log, "kind", f.opts.Name, "from", from, "era", rep.Era, "kept", len(rep.Kept), "news", len(changes.Entries))
 	if len(changes.Entries) > 0 {
 		f.opts.Change(changes, true)
 	}
