--- a/entry/internal/front/quarantine.go
+++ b/entry/internal/front/quarantine.go
@@ -23,6 +23,6 @@
 // publishQuarantine sends the other hosts a request that crashes replicas, as its client may retry at any of them.
 func (f *Front) publishQuarantine(r rumor.Rumor) {
 	if err := f.membership.peers.Publish(r); err != nil {
-		events.QuarantineUntold.Log(f.opts.Log, "fingerprint", r.Key, "reason", err.Error())
+		events.QuarantineNotSent.Log(f.opts.Log, "fingerprint", r.Key, "reason", err.Error())
 	}
 }
