--- a/entry/internal/events/routing.go
+++ b/entry/internal/events/routing.go
@@ -12,5 +12,5 @@
 	ReplicaRestored = event.New(1705, "replica_restored", "An ejected replica is in rotation again.")
 	ReplicaTried    = event.New(1706, "replica_tried", "An ejected replica got a probe beside an ordinary attempt.")
 	ShardWaited     = event.New(1707, "shard_waited", "A shard of a query waited, since each of its replicas had as many requests of this host in flight as allowed.")
-	ListDoubted     = event.New(1708, "replica_list_doubted", "The platform's list omitted more than half of a service's live replicas; those that still answer are kept.")
+	PartialListIgnored     = event.New(1708, "replica_list_doubted", "The platform's list omitted more than half of a service's live replicas; those that still answer are kept.")
 )
--- a/entry/internal/service/log.go
+++ b/entry/internal/service/log.go
@@ -84,5 +84,5 @@
 }
 
 func (s *Service) onImplausibleList(omitted, live int) {
-	events.ListDoubted.Log(s.opts.Log, "service", s.name, "omitted", omitted, "live", live)
+	events.PartialListIgnored.Log(s.opts.Log, "service", s.name, "omitted", omitted, "live", live)
 }
