--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -64,7 +64,7 @@
 	return g
 }
 
-// Permit is a permit to run one request; Release must be called exactly once.
+// Permit allows one request to run; Release must be called exactly once.
 type Permit struct {
 	// Waited is the time that the request waited for the permit.
 	Waited time.Duration
--- a/entry/internal/allowance/ledger.go
+++ b/entry/internal/allowance/ledger.go
@@ -37,7 +37,7 @@
 	pruneInterval = 10 * time.Second
 )
 
-// Options configures a Ledger.
+// Options configures a Limiter.
 type Options struct {
 	Clock clock.Clock
 	// View returns the host's current view of the member list.
@@ -77,7 +77,7 @@
 	prunedAt     time.Time
 }
 
-// New returns a ledger without accounts.
+// New returns a limiter without accounts.
 func New(opts Options) *Limiter {
 	if opts.Failed == nil {
 		opts.Failed = func(member.Host, error) {}
--- a/entry/internal/digest/tree.go
+++ b/entry/internal/digest/tree.go
@@ -69,7 +69,7 @@
 	return sums
 }
 
-// Differing returns the indexes of the children whose sums differ; both lists must have Fan sums.
+// Differing returns the indexes of the children whose sums differ; both lists must have Fanout sums.
 func Differing(a, b []Sum) []int {
 	var list []int
 	for i := range Fanout {
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -78,7 +78,9 @@
 }
 
 // NewestQueueDelay returns the queueing delay of the newest reply, and whether it is recent.
-func (s *Service) NewestQueueDelay(now time.Time) (time.Duration, bool) { return s.queueDelay.Newest(now) }
+func (s *Service) NewestQueueDelay(now time.Time) (time.Duration, bool) {
+	return s.queueDelay.Newest(now)
+}
 
 // combinedDelayRatio is the part of the queueing delay over all services that counts for each of them. Of ten replies,
 // one or two often met a replica that paused, so it must not count whole. But it shows a burst ten times sooner than
--- a/entry/internal/events/events.go
+++ b/entry/internal/events/events.go
@@ -39,10 +39,10 @@
 	ZoneEvacuated = event.New(1210, "zone_evacuated", "An operator's evacuation of an availability zone reached this host, which sends no more requests to the zone's replicas.")
 	ZoneReleased  = event.New(1211, "zone_released", "The evacuation of an availability zone was revoked; after is the time for which it was in force on this host.")
 
-	AnswerOlder = event.New(1212, "answer_older", "A reply of the platform or of another host is older than the data of this host and was ignored. Logged for the first of several in a row.")
-	StoreEra    = event.New(1213, "store_era", "Objects of a kind were read in another restart era of the platform's store than before: the store was restored from a backup, or this host has just started. Kept is the number of objects that keep their value because the backup is older.")
-	StoreEraMissing   = event.New(1215, "era_unsaid", "A reply of the platform's store has no era, or one that is not a number; its revisions are compared as if they were of the known era. Logged once until a reply has an era again.")
-	RetainedApplied   = event.New(1214, "kept_taken", "Objects that another host keeps from an earlier restart era of the platform's store were applied; the store has older versions of them or none. News is the number of those that were new to this host.")
+	AnswerOlder     = event.New(1212, "answer_older", "A reply of the platform or of another host is older than the data of this host and was ignored. Logged for the first of several in a row.")
+	StoreEra        = event.New(1213, "store_era", "Objects of a kind were read in another restart era of the platform's store than before: the store was restored from a backup, or this host has just started. Kept is the number of objects that keep their value because the backup is older.")
+	StoreEraMissing = event.New(1215, "era_unsaid", "A reply of the platform's store has no era, or one that is not a number; its revisions are compared as if they were of the known era. Logged once until a reply has an era again.")
+	RetainedApplied = event.New(1214, "kept_taken", "Objects that another host keeps from an earlier restart era of the platform's store were applied; the store has older versions of them or none. News is the number of those that were new to this host.")
 )
 
 // Events of requests, 1300 to 1399.
--- a/entry/internal/follow/follow.go
+++ b/entry/internal/follow/follow.go
@@ -77,7 +77,7 @@
 	done bool
 }
 
-// New returns a follower that does nothing until Judge and the Read, Watch and Poll methods are run.
+// New returns a follower that does nothing until ProcessProposals and the Read, Watch and Poll methods are run.
 func New(opts Options) *Follower {
 	if opts.Get == nil {
 		opts.Get = opts.Platform.Get
@@ -255,8 +255,8 @@
 	}
 }
 
-// ProcessProposals validates proposals and records the valid ones until ctx ends. It retries one that could not be recorded, since
-// the watch that returned it doesn't return it a second time.
+// ProcessProposals validates proposals and records the valid ones until ctx ends. It retries one that could not be
+// recorded, since the watch that returned it doesn't return it a second time.
 func (f *Follower) ProcessProposals(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, p := range f.due(f.proposals) {
--- a/entry/internal/follow/watchers.go
+++ b/entry/internal/follow/watchers.go
@@ -54,8 +54,8 @@
 	return slices.ContainsFunc(f.Watchers(), func(h member.Host) bool { return h.ID == self })
 }
 
-// IsFirstWatcher reports whether this host is the first watcher in the ranking for a purpose; with different member lists this
-// can be true on several hosts.
+// IsFirstWatcher reports whether this host is the first watcher in the ranking for a purpose; with different member
+// lists this can be true on several hosts.
 func (f *Follower) IsFirstWatcher(purpose string) bool {
 	order := member.Ranked(f.Watchers(), purpose)
 	return len(order) > 0 && order[0].ID == f.opts.Self().ID
--- a/entry/internal/listing/table.go
+++ b/entry/internal/listing/table.go
@@ -69,15 +69,15 @@
 // New returns an empty table.
 func New(c clock.Clock) *Table { return &Table{clock: c, rows: map[key]storedRow{}} }
 
-// Changes returns the number of changes so far. Take it before a read of the platform's list and pass it to Read.
+// Changes returns the number of changes so far. Take it before a read of the platform's list and pass it to ApplyRead.
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
 }
 
-// ApplyRead applies a list that was read from the platform and returns the rows it changed. The read began at started, when
-// Changes returned changesBefore.
+// ApplyRead applies a list that was read from the platform and returns the rows it changed. The read began at started,
+// when Changes returned changesBefore.
 //
 // Rows that another host changed during the read stay as they are until the next read, since this list may be older.
 func (t *Table) ApplyRead(started time.Time, changesBefore uint64, list []platform.Replica) []Row {
--- a/entry/internal/member/list.go
+++ b/entry/internal/member/list.go
@@ -196,9 +196,9 @@
 // them. If a row contradicts this host's own state, the result has the row that refutes it.
 func (l *List) Merge(now time.Time, rows []Host) []Host { return l.merge(now, rows, true) }
 
-// MergeRepaired applies rows that were found by anti-entropy, and doesn't queue them: the other hosts have had them for long,
-// and a host that joins a large fleet would send old rows for hours, with recent changes queued among them. If a row
-// contradicts this host's own state, it returns the row that refutes it, which has to reach all hosts.
+// MergeRepaired applies rows that were found by anti-entropy, and doesn't queue them: the other hosts have had them for
+// long, and a host that joins a large fleet would send old rows for hours, with recent changes queued among them. If a
+// row contradicts this host's own state, it returns the row that refutes it, which has to reach all hosts.
 func (l *List) MergeRepaired(now time.Time, rows []Host) (refutation Host, refuted bool) {
 	self := l.Self().ID
 	for _, h := range l.merge(now, rows, false) {
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -70,7 +70,8 @@
 	return list
 }
 
-// LostHost returns a random host that died without announcing its stop, to be contacted again: it may have been cut off.
+// LostHost returns a random host that died without announcing its stop, to be contacted again: it may have been cut
+// off.
 func (l *List) LostHost() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,8 +127,8 @@
 	return fresh
 }
 
-// MarkUnreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns the
-// row and true if target became suspect or dead by that.
+// MarkUnreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns
+// the row and true if target became suspect or dead by that.
 func (l *List) MarkUnreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
 	l.mu.Lock()
 	r := l.rows[target.ID]
--- a/entry/internal/relay/retained.go
+++ b/entry/internal/relay/retained.go
@@ -245,8 +245,8 @@
 	return list, c.retained.sum
 }
 
-// MergeRetained applies the entries that another host in the same era retains from earlier ones, and returns the resulting
-// changes. A host that started after the store was restored has only the objects of the backup.
+// MergeRetained applies the entries that another host in the same era retains from earlier ones, and returns the
+// resulting changes. A host that started after the store was restored has only the objects of the backup.
 func (c *Copy[T]) MergeRetained(kept []feed.Entry[T], at time.Time) feed.Batch[T] {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/internal/startup/startup.go
+++ b/entry/internal/startup/startup.go
@@ -37,7 +37,8 @@
 // MarkReady marks all the data that requests need as loaded. It may be called repeatedly.
 func (s *Startup) MarkReady() { s.markKnown.Do(func() { close(s.known) }) }
 
-// Await waits for Known until HoldFor after the first call has passed or ctx ends, and reports whether it was called.
+// Await waits for MarkReady until HoldFor after the first call has passed or ctx ends, and reports whether it was
+// called.
 func (s *Startup) Await(ctx context.Context) bool {
 	s.startWait.Do(func() {
 		s.deadline = s.clock.Now().Add(HoldFor)
