--- a/entry/internal/service/log.go
+++ b/entry/internal/service/log.go
@@ -18,7 +18,7 @@
 	fanout.WhatHedge:  events.Hedged,
 	fanout.WhatMiss:   events.Missed,
 	fanout.WhatReplan: events.Replanned,
-	fanout.WhatTrial:  events.ReplicaTried,
+	fanout.WhatTrial:  events.ReplicaProbed,
 	fanout.WhatWait:   events.ShardWaited,
 }
 
