--- a/entry/internal/host/quarantine.go
+++ b/entry/internal/host/quarantine.go
@@ -11,6 +11,6 @@
 // applyQuarantineRumor applies a quarantine rumor of another host.
 func (h *Host) applyQuarantineRumor(r rumor.Rumor) {
 	if s := h.service(r.Service); s != nil {
-		s.HearQuarantine(r)
+		s.ApplyQuarantine(r)
 	}
 }
--- a/entry/internal/service/quarantine.go
+++ b/entry/internal/service/quarantine.go
@@ -23,8 +23,8 @@
 	}})
 }
 
-// HearQuarantine applies another host's rumor that a request crashes upstreams.
-func (s *Service) HearQuarantine(r rumor.Rumor) { s.quarantine.ApplyRumor(r) }
+// ApplyQuarantine applies another host's rumor that a request crashes upstreams.
+func (s *Service) ApplyQuarantine(r rumor.Rumor) { s.quarantine.ApplyRumor(r) }
 
 // fingerprint returns the quarantine fingerprint of a query, computed from the body that is sent to replicas.
 func (s *Service) fingerprint(q caller.Query) string {
