--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -24,7 +24,7 @@
 	}
 	added, _ := table.Update(list)
 	for i, r := range added {
-		table.Heard(r, fmt.Sprintf("1=%d/%d", i/3, shards), false)
+		table.ApplyReply(r, fmt.Sprintf("1=%d/%d", i/3, shards), false)
 		now := time.Now()
 		r.Limit.RecordReply(now, 1, 5, 0)
 		r.Limit.RecordReply(now, 2, 5, 0)
--- a/entry/internal/fanout/fanout_test.go
+++ b/entry/internal/fanout/fanout_test.go
@@ -36,7 +36,7 @@
 	}
 	added, _ := t.Update(list)
 	for _, r := range added {
-		t.Heard(r, "1="+strings.Split(r.ID, ".")[0]+fmt.Sprintf("/%d", shards), false)
+		t.ApplyReply(r, "1="+strings.Split(r.ID, ".")[0]+fmt.Sprintf("/%d", shards), false)
 	}
 	return t
 }
--- a/entry/internal/replica/table.go
+++ b/entry/internal/replica/table.go
@@ -226,8 +226,8 @@
 	return false
 }
 
-// Heard applies the headers of a reply of r: the holdings, unparsed, and whether r is draining.
-func (t *Table) Heard(r *Replica, holdings string, draining bool) {
+// ApplyReply applies the headers of a reply of r: the holdings, unparsed, and whether r is draining.
+func (t *Table) ApplyReply(r *Replica, holdings string, draining bool) {
 	if holdings != "" {
 		now := t.opts.Clock.Now().UnixNano()
 		r.holdingsAt.Store(now)
--- a/entry/internal/replica/table_test.go
+++ b/entry/internal/replica/table_test.go
@@ -35,7 +35,7 @@
 		said := []string{"7=0/11", "7=0/10", "7=1/10", "7=0/10", "7=1/10"}
 		for i := range added {
 			k := (i + first*4) % 5
-			table.Heard(added[k], said[k], false)
+			table.ApplyReply(added[k], said[k], false)
 		}
 		versions := table.View().Versions
 		qt.Assert(t, versions, qt.HasLen, 2)
@@ -52,11 +52,11 @@
 		table := replica.New(replica.Options{})
 		added, _ := table.Update(rows(1))
 		r := added[0]
-		table.Heard(r, "7=0/1,8=0/1", false)
-		table.Heard(r, "7=0/1,8=0/1", false)
+		table.ApplyReply(r, "7=0/1,8=0/1", false)
+		table.ApplyReply(r, "7=0/1,8=0/1", false)
 		table.Gone(r, 7)
 		qt.Assert(t, versionsOf(table), qt.DeepEquals, []int64{8})
-		table.Heard(r, "8=0/1", false)
+		table.ApplyReply(r, "8=0/1", false)
 		table.Claimed(r, "7=0/1,8=0/1", false)
 		qt.Assert(t, versionsOf(table), qt.DeepEquals, []int64{8})
 		time.Sleep(6 * time.Second)
@@ -72,7 +72,7 @@
 		name string
 		sign func(table *replica.Table, r *replica.Replica)
 	}{
-		{"a reply's header", func(table *replica.Table, r *replica.Replica) { table.Heard(r, "", true) }},
+		{"a reply's header", func(table *replica.Table, r *replica.Replica) { table.ApplyReply(r, "", true) }},
 		{"another host", func(table *replica.Table, r *replica.Replica) { table.MarkDraining(r.ID, "another host") }},
 		{"the platform's list", func(table *replica.Table, _ *replica.Replica) {
 			list := rows(1)
@@ -84,7 +84,7 @@
 			signs := []string{}
 			table := replica.New(replica.Options{Draining: func(_ *replica.Replica, sign string) { signs = append(signs, sign) }})
 			added, _ := table.Update(rows(1))
-			table.Heard(added[0], "7=0/1", false)
+			table.ApplyReply(added[0], "7=0/1", false)
 			test.sign(table, added[0])
 			test.sign(table, added[0])
 			qt.Assert(t, table.View().Versions, qt.HasLen, 0)
@@ -97,7 +97,7 @@
 			again := rows(1)
 			again[0].ID = "r-new"
 			fresh, gone := table.Update(again)
-			table.Heard(fresh[0], "7=0/1", false)
+			table.ApplyReply(fresh[0], "7=0/1", false)
 			qt.Assert(t, gone, qt.HasLen, 1)
 			qt.Assert(t, table.View().Versions, qt.HasLen, 1)
 		})
@@ -111,7 +111,7 @@
 		table := replica.New(replica.Options{})
 		added, _ := table.Update(rows(1))
 		r := added[0]
-		table.Heard(r, "7=0/1", false)
+		table.ApplyReply(r, "7=0/1", false)
 		table.Claimed(r, "7=0/1", true)
 		qt.Assert(t, table.View().Replicas, qt.HasLen, 1)
 		time.Sleep(6 * time.Second)
@@ -133,7 +133,7 @@
 		added, _ := table.Update(rows(6))
 		answer := func(n int) {
 			for _, r := range added[:n] {
-				table.Heard(r, "7=0/1", false)
+				table.ApplyReply(r, "7=0/1", false)
 			}
 		}
 		answer(6)
@@ -164,7 +164,7 @@
 			both[turn].ID, both[1-turn].State = "new", state
 			added, _ := table.Update(both)
 			for _, r := range added {
-				table.Heard(r, "7=0/1", false)
+				table.ApplyReply(r, "7=0/1", false)
 			}
 			table.Update(both)
 			added, _ = table.Update(both)
--- a/entry/internal/service/log.go
+++ b/entry/internal/service/log.go
@@ -58,7 +58,7 @@
 	if res.Kind == upstream.KindVersionGone {
 		s.table.Gone(r, version)
 	}
-	s.table.Heard(r, res.Holdings, res.Draining || res.Kind == upstream.KindDraining)
+	s.table.ApplyReply(r, res.Holdings, res.Draining || res.Kind == upstream.KindDraining)
 	s.reportUpstreamLoad(res)
 }
 
