--- a/entry/internal/replica/table.go
+++ b/entry/internal/replica/table.go
@@ -249,11 +249,11 @@
 	}
 }
 
-// Claimed applies the data of r's health endpoint, unless there is a recent reply of r.
+// ApplyHealthCheck applies the data of r's health endpoint, unless there is a recent reply of r.
 //
 // The endpoint may be outdated or wrong: it may name index versions that the replica rejects, or report a serving
 // replica as draining. A replica therefore counts as draining by its endpoint only as long as the endpoint repeats it.
-func (t *Table) Claimed(r *Replica, holdings string, draining bool) {
+func (t *Table) ApplyHealthCheck(r *Replica, holdings string, draining bool) {
 	r.answeredAt.Store(t.opts.Clock.Now().UnixNano())
 	if t.repliedRecently(r) {
 		return
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -137,7 +137,7 @@
 			defer cancel()
 			health, res := s.opts.Health(ctx, r)
 			if res.Kind == upstream.KindOK {
-				s.table.Claimed(r, upstream.FormatHoldings(health.Holdings), health.Draining)
+				s.table.ApplyHealthCheck(r, upstream.FormatHoldings(health.Holdings), health.Draining)
 			}
 		})
 	}
