--- a/entry/internal/accepted/store.go
+++ b/entry/internal/accepted/store.go
@@ -67,7 +67,7 @@
 	defer s.mu.RUnlock()
 	list := make([]Mark, 0, len(s.byService))
 	for name, gen := range s.byService {
-		if m := (Mark{Service: name, Number: gen.Number}); p.Holds(m.Key()) {
+		if m := (Mark{Service: name, Number: gen.Number}); p.Contains(m.Key()) {
 			list = append(list, m)
 		}
 	}
@@ -85,8 +85,8 @@
 	return entries
 }
 
-// Lacks reports whether the number of m is higher than that of the generation in force here.
-func (s *Store) Lacks(m Mark) bool {
+// IsNewer reports whether the number of m is higher than that of the generation in force here.
+func (s *Store) IsNewer(m Mark) bool {
 	gen, ok := s.Get(m.Service)
 	return !ok || gen.Number < m.Number
 }
--- a/entry/internal/admission/gate.go
+++ b/entry/internal/admission/gate.go
@@ -64,8 +64,8 @@
 	return g
 }
 
-// Place is a permit to run one request; Leave must be called exactly once.
-type Place struct {
+// Permit allows one request to run; Release must be called exactly once.
+type Permit struct {
 	// Waited is the time that the request waited for the permit.
 	Waited time.Duration
 
@@ -73,22 +73,22 @@
 	grant queue.Grant
 }
 
-// Enter waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
-// Refusal is nil, the caller must call Leave.
-func (g *Gate) Enter(ctx context.Context, req Request) (Place, *Refusal) {
+// Acquire waits for a permit, at most until the request can no longer be answered before its deadline. If the returned
+// Refusal is nil, the caller must call Release.
+func (g *Gate) Acquire(ctx context.Context, req Request) (Permit, *Refusal) {
 	g.mu.Lock()
 	now := g.clock.Now()
 	a := g.queue.Arrive(now, req)
 	switch a.Verdict {
 	case queue.VerdictRun:
 		g.mu.Unlock()
-		return Place{gate: g, grant: a.Grant}, nil
+		return Permit{gate: g, grant: a.Grant}, nil
 	case queue.VerdictRefuse:
 		g.refused[a.Refusal.Reason]++
 		g.mu.Unlock()
 		// Taking the address of the field would move every arrival to the heap, so the refusal is copied.
 		refusal := a.Refusal
-		return Place{}, &refusal
+		return Permit{}, &refusal
 	}
 	decided := make(chan struct{})
 	g.waiting[a.Waiter] = decided
@@ -96,7 +96,7 @@
 	return g.wait(ctx, now, a.Waiter, decided)
 }
 
-func (g *Gate) wait(ctx context.Context, arrived time.Time, w *queue.Waiter, decided chan struct{}) (Place, *Refusal) {
+func (g *Gate) wait(ctx context.Context, arrived time.Time, w *queue.Waiter, decided chan struct{}) (Permit, *Refusal) {
 	expired := make(chan struct{})
 	stop := g.clock.AfterFunc(w.LatestStart.Sub(arrived), func() { close(expired) })
 	defer stop()
@@ -111,21 +111,21 @@
 	if w.Verdict == queue.VerdictRun {
 		return g.recordWait(w, arrived), nil
 	}
-	return Place{}, &w.Refusal
+	return Permit{}, &w.Refusal
 }
 
-func (g *Gate) recordWait(w *queue.Waiter, arrived time.Time) Place {
+func (g *Gate) recordWait(w *queue.Waiter, arrived time.Time) Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d := g.clock.Now().Sub(arrived)
 	g.waits++
 	g.waitTotal += d
-	return Place{gate: g, grant: w.Grant, Waited: d}
+	return Permit{gate: g, grant: w.Grant, Waited: d}
 }
 
 // cancelWait ends a wait. A permit that was granted at the same moment goes to the next waiter; otherwise it would be
 // lost for good.
-func (g *Gate) cancelWait(w *queue.Waiter, reason queue.Reason) (Place, *Refusal) {
+func (g *Gate) cancelWait(w *queue.Waiter, reason queue.Reason) (Permit, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	granted := w.Verdict == queue.VerdictRun
@@ -133,7 +133,7 @@
 	if granted {
 		g.refused[reason]++
 	}
-	return Place{}, &refusal
+	return Permit{}, &refusal
 }
 
 // cancelReason returns the reason for a wait that ended with its context.
@@ -153,8 +153,8 @@
 	delete(g.waiting, w)
 }
 
-// Leave returns the permit; complete reports whether the request was answered in full rather than cut short.
-func (p Place) Leave(complete bool) {
+// Release returns the permit; complete reports whether the request was answered in full rather than cut short.
+func (p Permit) Release(complete bool) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,14 +170,14 @@
 	g.queue.SetLimits(g.clock.Now(), g.effectiveLimits())
 }
 
-// Replied records the time from the start of a query to the reply of a shard, or the time after which an attempt was
-// canceled.
-func (g *Gate) Replied(took time.Duration) {
+// RecordReply records the time from the start of a query to the reply of a shard, or the time after which an attempt
+// was canceled.
+func (g *Gate) RecordReply(took time.Duration) {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordReply(now, took, g.queue.Running()) })
 }
 
-// Shed records that a replica without free capacity rejected an attempt.
-func (g *Gate) Shed() {
+// RecordShed records that a replica without free capacity rejected an attempt.
+func (g *Gate) RecordShed() {
 	g.updateLimit(func(now time.Time) bool { return g.adaptive.RecordShed(now, g.queue.Running()) })
 }
 
--- a/entry/internal/admission/gate_test.go
+++ b/entry/internal/admission/gate_test.go
@@ -25,21 +25,21 @@
 }
 
 func raiseLimit(g *admission.Gate, running int) {
-	var places []admission.Place
+	var places []admission.Permit
 	for len(places) < running && g.Stats().Running < g.Stats().Limit {
-		place, refusal := g.Enter(context.Background(), request("warm", time.Second))
+		place, refusal := g.Acquire(context.Background(), request("warm", time.Second))
 		if refusal != nil {
 			panic(refusal.Reason)
 		}
 		places = append(places, place)
 	}
 	for range 40 {
-		g.Replied(10 * ms)
+		g.RecordReply(10 * ms)
 	}
 	time.Sleep(100 * ms)
-	g.Replied(10 * ms)
+	g.RecordReply(10 * ms)
 	for _, place := range places {
-		place.Leave(false)
+		place.Release(false)
 	}
 }
 
@@ -48,7 +48,7 @@
 }
 
 type result struct {
-	place   admission.Place
+	place   admission.Permit
 	refusal *admission.Refusal
 	took    time.Duration
 }
@@ -58,7 +58,7 @@
 	ch := make(chan result, 1)
 	start := time.Now()
 	go func() {
-		place, refusal := g.Enter(ctx, req)
+		place, refusal := g.Acquire(ctx, req)
 		ch <- result{place, refusal, time.Since(start)}
 	}()
 	synctest.Wait()
@@ -71,15 +71,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
-		_, refusal := g.Enter(context.Background(), request("a", time.Second))
+		_, refusal := g.Acquire(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
 		waiting := enter(context.Background(), g, request("b", time.Second))
 		g.SetLimits(admission.Limits{Running: 64, Waiting: 8, CallerShare: 1})
 		for range 40 {
-			g.Replied(10 * ms)
+			g.RecordReply(10 * ms)
 		}
 		time.Sleep(100 * ms)
-		g.Replied(10 * ms)
+		g.RecordReply(10 * ms)
 		got := <-waiting
 		c.Check(got.refusal, qt.IsNil)
 		c.Check(got.took, qt.Equals, 100*ms)
@@ -92,24 +92,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(4)
-		var places []admission.Place
+		var places []admission.Permit
 		for range 4 {
-			place, refusal := g.Enter(context.Background(), request("a", 10*time.Second))
+			place, refusal := g.Acquire(context.Background(), request("a", 10*time.Second))
 			c.Assert(refusal, qt.IsNil)
 			places = append(places, place)
 		}
 		waiting := enter(context.Background(), g, request("b", 10*time.Second))
 		g.SetLimits(admission.Limits{Running: 2, Waiting: 8, CallerShare: 1})
-		places[0].Leave(true)
-		places[1].Leave(true)
+		places[0].Release(true)
+		places[1].Release(true)
 		synctest.Wait()
 		c.Check(g.Stats().Running, qt.Equals, 2)
 		c.Check(g.Stats().Waiting, qt.Equals, 1)
-		places[2].Leave(true)
+		places[2].Release(true)
 		got := <-waiting
 		c.Check(got.refusal, qt.IsNil)
-		got.place.Leave(true)
-		places[3].Leave(true)
+		got.place.Release(true)
+		places[3].Release(true)
 		c.Check(g.Stats().Running, qt.Equals, 0)
 	})
 }
@@ -120,16 +120,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := newGate(1)
-		first, _ := g.Enter(context.Background(), request("a", time.Second))
+		first, _ := g.Acquire(context.Background(), request("a", time.Second))
 		ctx, cancel := context.WithCancel(context.Background())
 		canceled := enter(ctx, g, request("b", time.Second))
 		next := enter(context.Background(), g, request("c", time.Second))
 		cancel()
 		c.Check((<-canceled).refusal.Reason, qt.Equals, queue.ReasonCanceled)
-		first.Leave(true)
+		first.Release(true)
 		got := <-next
 		c.Assert(got.refusal, qt.IsNil)
-		got.place.Leave(true)
+		got.place.Release(true)
 		c.Check(g.Stats().Running, qt.Equals, 0)
 		c.Check(g.Stats().Waiting, qt.Equals, 0)
 	})
@@ -142,14 +142,14 @@
 		c := qt.New(t)
 		g := newGate(1)
 		for range 100 {
-			first, refusal := g.Enter(context.Background(), request("a", time.Second))
+			first, refusal := g.Acquire(context.Background(), request("a", time.Second))
 			c.Assert(refusal, qt.IsNil)
 			ctx, cancel := context.WithCancel(context.Background())
 			queued := enter(ctx, g, request("b", time.Second))
 			cancel()
-			first.Leave(true)
+			first.Release(true)
 			if got := <-queued; got.refusal == nil {
-				got.place.Leave(true)
+				got.place.Release(true)
 			}
 			c.Assert(g.Stats().Running, qt.Equals, 0)
 		}
@@ -164,11 +164,11 @@
 		c := qt.New(t)
 		g := newGate(1)
 		for range 16 {
-			place, _ := g.Enter(context.Background(), request("a", time.Second))
+			place, _ := g.Acquire(context.Background(), request("a", time.Second))
 			time.Sleep(40 * ms)
-			place.Leave(true)
+			place.Release(true)
 		}
-		_, refusal := g.Enter(context.Background(), request("a", time.Second))
+		_, refusal := g.Acquire(context.Background(), request("a", time.Second))
 		c.Assert(refusal, qt.IsNil)
 		// The running request and this one take 40 ms each, more than 50 ms: it is refused at once.
 		hopeless := <-enter(context.Background(), g, request("b", 50*ms))
@@ -193,11 +193,11 @@
 			ctx, deadline := context.Background(), time.Now().Add(time.Hour)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				place, refusal := g.Enter(ctx, admission.Request{Caller: names[i%callers], Key: "k", Deadline: deadline})
+				place, refusal := g.Acquire(ctx, admission.Request{Caller: names[i%callers], Key: "k", Deadline: deadline})
 				if refusal != nil {
 					b.Fatal(refusal.Reason)
 				}
-				place.Leave(true)
+				place.Release(true)
 			}
 		})
 	}
--- a/entry/internal/choice/choice_test.go
+++ b/entry/internal/choice/choice_test.go
@@ -24,10 +24,10 @@
 	}
 	added, _ := table.Update(list)
 	for i, r := range added {
-		table.Heard(r, fmt.Sprintf("1=%d/%d", i/3, shards), false)
+		table.ApplyReply(r, fmt.Sprintf("1=%d/%d", i/3, shards), false)
 		now := time.Now()
-		r.Limit.Answered(now, 1, 5, 0)
-		r.Limit.Answered(now, 2, 5, 0)
+		r.Limit.RecordReply(now, 1, 5, 0)
+		r.Limit.RecordReply(now, 2, 5, 0)
 	}
 	return table.View().Versions[0].Holders
 }
@@ -108,15 +108,15 @@
 	hs := newReplicas(1)
 	now := time.Now()
 	for _, r := range hs[0] {
-		r.Eject.Hold(now)
+		r.Eject.RequireProbe(now)
 	}
 	r, verdict := choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, verdict, qt.Equals, choice.Found)
 	qt.Assert(t, r, qt.IsNotNil)
-	hs[0][0].Eject.Good()
+	hs[0][0].Eject.RecordSuccess()
 	r, _ = choice.Pick(newIntN(), now, hs[0], nil)
 	qt.Assert(t, r, qt.Equals, hs[0][0])
-	for range r.Limit.Most() {
+	for range r.Limit.MaxInFlight() {
 		r.Begin(now)
 	}
 	_, verdict = choice.Pick(newIntN(), now, hs[0], nil)
--- a/entry/internal/patience/tracker_test.go
+++ b/entry/internal/clienttimeout/tracker_test.go
@@ -1,4 +1,4 @@
-package patience_test
+package clienttimeout_test
 
 import (
 	"testing"
@@ -6,14 +6,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"guavaspring.org/entry/internal/patience"
+	"guavaspring.org/entry/internal/clienttimeout"
 )
 
 // Guards against first attempts being taken for retries, which are all refused under load. Four clients in ten retry
 // with less time left, and one in a hundred states minutes.
 func TestFirstAttemptsAreNotTakenForRetries(t *testing.T) {
 	const timeout = 600 * time.Millisecond
-	var tracker patience.Tracker
+	var tracker clienttimeout.Tracker
 	for i := range 500 {
 		left := timeout
 		switch {
@@ -22,7 +22,7 @@
 		case i%10 >= 6:
 			left = 450 * time.Millisecond
 		}
-		waited := tracker.Waited(left)
+		waited := tracker.Elapsed(left)
 		if left == timeout {
 			qt.Assert(t, waited, qt.Equals, time.Duration(0))
 		}
@@ -30,5 +30,5 @@
 			qt.Assert(t, waited, qt.Equals, timeout-left)
 		}
 	}
-	qt.Assert(t, tracker.Waited(0), qt.Equals, time.Duration(0))
+	qt.Assert(t, tracker.Elapsed(0), qt.Equals, time.Duration(0))
 }
--- a/entry/internal/digest/tree.go
+++ b/entry/internal/digest/tree.go
@@ -1,7 +1,7 @@
 package digest
 
-// Fan is the number of children of each prefix: each level has four bits of the key.
-const Fan = 16
+// Fanout is the number of children of each prefix: each level has four bits of the key.
+const Fanout = 16
 
 // bitsPerLevel is the number of bits of the key in one level.
 const bitsPerLevel = 4
@@ -33,8 +33,8 @@
 	return Prefix{Bits: p.Bits | uint64(i)<<shift, Depth: p.Depth + 1}
 }
 
-// Holds reports whether key begins with p.
-func (p Prefix) Holds(key uint64) bool {
+// Contains reports whether key begins with p.
+func (p Prefix) Contains(key uint64) bool {
 	if p.Depth <= 0 {
 		return true
 	}
@@ -56,23 +56,23 @@
 
 // Sums returns the digest of each child of p; p must be Valid.
 func Sums(entries []Entry, p Prefix) []Sum {
-	sums := make([]Sum, Fan)
+	sums := make([]Sum, Fanout)
 	shift := 64 - bitsPerLevel*(p.Depth+1)
 	for _, e := range entries {
-		if !p.Holds(e.Key) {
+		if !p.Contains(e.Key) {
 			continue
 		}
-		s := &sums[e.Key>>shift&(Fan-1)]
+		s := &sums[e.Key>>shift&(Fanout-1)]
 		s.Rows++
 		s.XOR ^= e.Sum
 	}
 	return sums
 }
 
-// Differing returns the indexes of the children whose sums differ; both lists must have Fan sums.
+// Differing returns the indexes of the children whose sums differ; both lists must have Fanout sums.
 func Differing(a, b []Sum) []int {
 	var list []int
-	for i := range Fan {
+	for i := range Fanout {
 		if a[i] != b[i] {
 			list = append(list, i)
 		}
--- a/entry/internal/eject/eject.go
+++ b/entry/internal/eject/eject.go
@@ -47,19 +47,19 @@
 	return usual > 0 && took > slowFactor*usual && took > usual+minSlowExcess
 }
 
-// In reports whether the replica is in rotation, that is, gets regular attempts.
-func (s *State) In() bool { return s.nextProbe.Load() == 0 }
+// InRotation reports whether the replica is in rotation, that is, gets regular attempts.
+func (s *State) InRotation() bool { return s.nextProbe.Load() == 0 }
 
-// Hold takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
-func (s *State) Hold(now time.Time) {
+// RequireProbe takes a new replica, of which no attempt has ended yet, out of rotation; its first probe is due at once.
+func (s *State) RequireProbe(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probeInterval = minProbeInterval
 	s.nextProbe.Store(now.UnixNano())
 }
 
-// Trial reports whether a probe is due. It returns true to one caller only, which has to send the probe.
-func (s *State) Trial(now time.Time) bool {
+// ClaimProbe reports whether a probe is due. It returns true to one caller only, which has to send the probe.
+func (s *State) ClaimProbe(now time.Time) bool {
 	at := s.nextProbe.Load()
 	if at == 0 || now.UnixNano() < at {
 		return false
@@ -74,9 +74,9 @@
 	return true
 }
 
-// Strike counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the attempt
-// only took the replica out of rotation until the next probe.
-func (s *State) Strike(now time.Time) bool {
+// RecordFailure counts a slow or failed attempt and reports whether it ejected the replica. It returns false where the
+// attempt only took the replica out of rotation until the next probe.
+func (s *State) RecordFailure(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures++
@@ -94,8 +94,8 @@
 	return true
 }
 
-// Good counts a successful attempt and reports whether it restored an ejected replica.
-func (s *State) Good() bool {
+// RecordSuccess counts a successful attempt and reports whether it restored an ejected replica.
+func (s *State) RecordSuccess() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasEjected := s.ejected
--- a/entry/internal/eject/eject_test.go
+++ b/entry/internal/eject/eject_test.go
@@ -15,36 +15,36 @@
 func TestSlowReplicaIsEjectedUntilProbeSucceeds(t *testing.T) {
 	var s eject.State
 	now := time.Unix(100, 0)
-	qt.Assert(t, s.Strike(now), qt.IsFalse)
-	qt.Assert(t, s.Good(), qt.IsFalse)
-	qt.Assert(t, s.Strike(now), qt.IsFalse)
-	qt.Assert(t, s.In(), qt.IsTrue)
-	qt.Assert(t, s.Strike(now), qt.IsFalse)
-	qt.Assert(t, s.In(), qt.IsFalse)
+	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
+	qt.Assert(t, s.RecordSuccess(), qt.IsFalse)
+	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
+	qt.Assert(t, s.InRotation(), qt.IsTrue)
+	qt.Assert(t, s.RecordFailure(now), qt.IsFalse)
+	qt.Assert(t, s.InRotation(), qt.IsFalse)
 
 	// The first probe is due at once and succeeds: the replica returns without having been ejected.
-	qt.Assert(t, s.Trial(now), qt.IsTrue)
-	qt.Assert(t, s.Trial(now), qt.IsFalse)
-	qt.Assert(t, s.Good(), qt.IsFalse)
-	qt.Assert(t, s.In(), qt.IsTrue)
+	qt.Assert(t, s.ClaimProbe(now), qt.IsTrue)
+	qt.Assert(t, s.ClaimProbe(now), qt.IsFalse)
+	qt.Assert(t, s.RecordSuccess(), qt.IsFalse)
+	qt.Assert(t, s.InRotation(), qt.IsTrue)
 
-	s.Strike(now)
-	s.Strike(now)
-	qt.Assert(t, s.Trial(now), qt.IsTrue)
-	qt.Assert(t, s.Strike(now), qt.IsTrue)
-	qt.Assert(t, s.In(), qt.IsFalse)
+	s.RecordFailure(now)
+	s.RecordFailure(now)
+	qt.Assert(t, s.ClaimProbe(now), qt.IsTrue)
+	qt.Assert(t, s.RecordFailure(now), qt.IsTrue)
+	qt.Assert(t, s.InRotation(), qt.IsFalse)
 
 	var probes []int
 	for sec := range 60 {
-		if s.Trial(now.Add(time.Duration(sec) * time.Second)) {
+		if s.ClaimProbe(now.Add(time.Duration(sec) * time.Second)) {
 			probes = append(probes, sec)
-			s.Strike(now)
+			s.RecordFailure(now)
 		}
 	}
 	qt.Assert(t, probes, qt.DeepEquals, []int{1, 3, 7, 15, 31, 47})
-	qt.Assert(t, s.Good(), qt.IsTrue)
-	qt.Assert(t, s.In(), qt.IsTrue)
-	qt.Assert(t, s.Trial(now.Add(time.Hour)), qt.IsFalse)
+	qt.Assert(t, s.RecordSuccess(), qt.IsTrue)
+	qt.Assert(t, s.InRotation(), qt.IsTrue)
+	qt.Assert(t, s.ClaimProbe(now.Add(time.Hour)), qt.IsFalse)
 }
 
 func TestSlow(t *testing.T) {
--- a/entry/internal/endpoints/replica.go
+++ b/entry/internal/endpoints/replica.go
@@ -200,7 +200,7 @@
 }
 
 func (r *Replica) decay(now time.Time) float64 {
-	return math.Exp(-float64(now.Sub(r.estimatedAt)) / float64(pick.Forget))
+	return math.Exp(-float64(now.Sub(r.estimatedAt)) / float64(pick.DecayTime))
 }
 
 func (r *Replica) slownessAt(now time.Time) float64 { return 1 + (r.slowness-1)*r.decay(now) }
@@ -246,7 +246,7 @@
 	}
 	n := r.begin(began)
 	if !call.ForOther {
-		r.service.Begin(began)
+		r.service.BeginAttempt(began)
 	}
 	res := r.pool.Do(ctx, &exchange.Call{
 		Request: call.Request, Replica: r.ID(), Deadline: call.Deadline, Connections: call.Connections, Once: call.Once,
@@ -261,10 +261,10 @@
 	now := r.clock.Now()
 	r.end(n, &res, call.Usual)
 	if !call.ForOther {
-		r.service.End(now, now.Sub(began))
+		r.service.EndAttempt(now, now.Sub(began))
 	}
 	if res.Kind == upstream.KindOK {
-		r.service.Replied(now, res.Took, call.Unloaded)
+		r.service.RecordReply(now, res.Took, call.Unloaded)
 	}
 	r.service.Wake(now)
 	return res
--- a/entry/internal/endpoints/service.go
+++ b/entry/internal/endpoints/service.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"guavaspring.org/entry/internal/homes"
+	"guavaspring.org/entry/internal/inflight"
 	"guavaspring.org/entry/internal/member"
 	"guavaspring.org/entry/internal/pick"
 	"guavaspring.org/entry/internal/queueing"
-	"guavaspring.org/entry/internal/room"
-	"guavaspring.org/entry/internal/spend"
+	"guavaspring.org/entry/internal/retrybudget"
 )
 
 // Verdict is the outcome of a choice.
@@ -29,7 +29,7 @@
 // Service holds one service's replicas and its retry and hedge budget.
 type Service struct {
 	Name   string
-	Budget *spend.Budget
+	Budget *retrybudget.Budget
 	queue
 	list atomic.Pointer[[]*Replica]
 	// zones holds the availability zones and regions with a serving replica.
@@ -53,10 +53,10 @@
 	shortestWait shortestWait
 }
 
-// Delay returns how long an attempt that comes now is expected to wait for room: the time until the attempts waiting at
-// this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. combined is the
-// queueing delay over all services of the query.
-func (s *Service) Delay(now time.Time, combined time.Duration) time.Duration {
+// ExpectedWait returns how long an attempt that comes now is expected to wait for room: the time until the attempts
+// waiting at this host are sent, at the current concurrency, plus the recent queueing delay at the replicas. combined
+// is the queueing delay over all services of the query.
+func (s *Service) ExpectedWait(now time.Time, combined time.Duration) time.Duration {
 	here := s.load.expectedWait(s.Waiting())
 	if !s.mayQueue(now) {
 		return here
@@ -64,21 +64,23 @@
 	return here + max(time.Duration(combinedDelayRatio*float64(combined)), s.queueDelay.At(now))
 }
 
-// Begin counts an attempt for a request that this host received, whichever host sends it. The load of the replicas is
-// estimated from received requests, of which this host has a known share, and not from those that it sends for other
-// hosts.
-func (s *Service) Begin(now time.Time) { s.load.begin(now) }
+// BeginAttempt counts an attempt for a request that this host received, whichever host sends it. The load of the
+// replicas is estimated from received requests, of which this host has a known share, and not from those that it sends
+// for other hosts.
+func (s *Service) BeginAttempt(now time.Time) { s.load.begin(now) }
 
-// End counts the end of an attempt that Begin counted, and how long it took.
-func (s *Service) End(now time.Time, took time.Duration) { s.load.end(now, took) }
+// EndAttempt counts the end of an attempt that BeginAttempt counted, and how long it took.
+func (s *Service) EndAttempt(now time.Time, took time.Duration) { s.load.end(now, took) }
 
-// Replied records the time of a reply, where unloaded is the time without queueing, zero if unknown.
-func (s *Service) Replied(now time.Time, took, unloaded time.Duration) {
+// RecordReply records the time of a reply, where unloaded is the time without queueing, zero if unknown.
+func (s *Service) RecordReply(now time.Time, took, unloaded time.Duration) {
 	s.queueDelay.Observe(now, took, unloaded)
 }
 
-// Newest returns the queueing delay of the newest reply, and whether it is recent.
-func (s *Service) Newest(now time.Time) (time.Duration, bool) { return s.queueDelay.Newest(now) }
+// NewestQueueDelay returns the queueing delay of the newest reply, and whether it is recent.
+func (s *Service) NewestQueueDelay(now time.Time) (time.Duration, bool) {
+	return s.queueDelay.Newest(now)
+}
 
 // combinedDelayRatio is the part of the queueing delay over all services that counts for each of them. Of ten replies,
 // one or two often met a replica that paused, so it must not count whole. But it shows a burst ten times sooner than
@@ -104,9 +106,9 @@
 	return s.load.mean(now) / capacity
 }
 
-// Spare records how long a route lets its attempts wait for room, and returns the shortest time that any route to the
-// service recorded recently.
-func (s *Service) Spare(now time.Time, d time.Duration) time.Duration {
+// ShortestWait records how long a route lets its attempts wait for room, and returns the shortest time that any route
+// to the service recorded recently.
+func (s *Service) ShortestWait(now time.Time, d time.Duration) time.Duration {
 	return s.shortestWait.record(now, d)
 }
 
@@ -120,7 +122,7 @@
 	for _, r := range members {
 		list = append(list, r)
 		if serves(r) {
-			slots += int64(room.Slots(r.row.Slots))
+			slots += int64(inflight.Slots(r.row.Slots))
 			z.add(r)
 		}
 	}
@@ -223,7 +225,7 @@
 		}
 		estimate := pick.Estimate(v, need.Usual, draw())
 		switch {
-		case v.Running >= room.Most(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
+		case v.Running >= inflight.Limit(v.Slots, share, utilization) || !s.hasRoom(r, v, now):
 			if busyEstimate < 0 || estimate < busyEstimate {
 				busyEstimate = estimate
 			}
@@ -249,7 +251,7 @@
 // hasRoom reports whether a replica takes one more request of this host now: a connection is free, and the limit of a
 // cold replica allows it.
 func (s *Service) hasRoom(r *Replica, seen pick.Replica, now time.Time) bool {
-	return r.pool.Free(s.Connections()) && (!seen.Cold || r.coldHasRoom(now))
+	return r.pool.HasFreeConn(s.Connections()) && (!seen.Cold || r.coldHasRoom(now))
 }
 
 func (c *Choice) consider(r *Replica, estimate time.Duration, seen pick.Replica, need Need) {
--- a/entry/internal/exchange/pool.go
+++ b/entry/internal/exchange/pool.go
@@ -138,8 +138,8 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Free reports whether a connection is idle or can be opened without exceeding connLimit.
-func (p *Pool) Free(connLimit int) bool {
+// HasFreeConn reports whether a connection is idle or can be opened without exceeding connLimit.
+func (p *Pool) HasFreeConn(connLimit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0 || p.openCount < connLimit
@@ -163,9 +163,10 @@
 	}
 }
 
-// End closes all connections, including those in use, because the replica's process has exited. Calls in flight fail at
-// once, and not only when the kernel breaks the connections, up to tcpUserTimeout later if the host does not respond.
-func (p *Pool) End() {
+// Abort closes all connections, including those in use, because the replica's process has exited. Calls in flight fail
+// at once, and not only when the kernel breaks the connections, up to tcpUserTimeout later if the host does not
+// respond.
+func (p *Pool) Abort() {
 	p.mu.Lock()
 	conns := make([]*conn, 0, len(p.all))
 	for c := range p.all {
--- a/entry/internal/fanout/record.go
+++ b/entry/internal/fanout/record.go
@@ -20,10 +20,10 @@
 	switch res.Kind {
 	case upstream.KindOK:
 		run.policy.Observe(now, took)
-		r.Limit.Answered(now, running, slots, run.randomFraction())
+		r.Limit.RecordReply(now, running, slots, run.randomFraction())
 	case upstream.KindShed:
 		run.policy.Refused(now)
-		r.Limit.Refused(now, run.policy.Median(), run.randomFraction())
+		r.Limit.RecordShed(now, run.policy.Median(), run.randomFraction())
 	case upstream.KindCanceled:
 		if delay := run.policy.Delay(); delay > 0 && took >= delay {
 			run.policy.Observe(now, took)
@@ -47,13 +47,13 @@
 }
 
 func (run *Runner) strike(r *replica.Replica, now time.Time, why string) {
-	if r.Eject.Strike(now) {
+	if r.Eject.RecordFailure(now) {
 		run.opts.Judged(r, true, why)
 	}
 }
 
 func (run *Runner) recordSuccess(r *replica.Replica, why string) {
-	if r.Eject.Good() {
+	if r.Eject.RecordSuccess() {
 		run.opts.Judged(r, false, why)
 	}
 }
--- a/entry/internal/forward/forwarder.go
+++ b/entry/internal/forward/forwarder.go
@@ -22,10 +22,10 @@
 	"guavaspring.org/entry/internal/events"
 	"guavaspring.org/entry/internal/exchange"
 	"guavaspring.org/entry/internal/homes"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/records"
 	"guavaspring.org/entry/internal/requestlog"
+	"guavaspring.org/entry/internal/routestats"
 	"guavaspring.org/entry/internal/scatter"
 )
 
@@ -94,7 +94,7 @@
 // Forwarder is the HTTP handler for clients' requests.
 type Forwarder struct {
 	opts Options
-	// routes holds a *learned.Route per route, keyed by host name and prefix. The entries are kept when the
+	// routes holds a *routestats.Route per route, keyed by host name and prefix. The entries are kept when the
 	// configuration changes.
 	routes sync.Map
 }
@@ -208,7 +208,7 @@
 		}
 	}
 	q.Suspect = verdict.Suspect
-	isRetry := q.Learned.Arriving.Waited(q.Request.Patience) >= minRetryElapsed
+	isRetry := q.Learned.Arriving.Elapsed(q.Request.Patience) >= minRetryElapsed
 	d := f.opts.Allowance(ctx, allowance.Request{Customer: customer, Deadline: q.Deadline, Again: isRetry})
 	if d.Admitted {
 		return nil
@@ -263,13 +263,13 @@
 }
 
 // learnedRoute returns the measurements of a route and creates them on first use.
-func (f *Forwarder) learnedRoute(rt *route.Route) *learned.Route {
+func (f *Forwarder) learnedRoute(rt *route.Route) *routestats.Route {
 	key := rt.Host + rt.Prefix
 	if r, ok := f.routes.Load(key); ok {
-		return r.(*learned.Route)
+		return r.(*routestats.Route)
 	}
-	r, _ := f.routes.LoadOrStore(key, &learned.Route{})
-	return r.(*learned.Route)
+	r, _ := f.routes.LoadOrStore(key, &routestats.Route{})
+	return r.(*routestats.Route)
 }
 
 var errTooLarge = errors.New("the body is over the limit")
--- a/entry/internal/forward/forwarder_test.go
+++ b/entry/internal/forward/forwarder_test.go
@@ -93,7 +93,7 @@
 		desk := route.Route{Host: "desk.example", Prefix: "/", Attempts: 2, Timeout: time.Second, Split: []route.Share{{Service: "desk", Weight: 1}}}
 		notified := newQuarantine(nil)
 		other := newForwarder(farm, true, notified, desk)
-		first := newForwarder(farm, true, newQuarantine(notified.Heard), desk)
+		first := newForwarder(farm, true, newQuarantine(notified.ApplyRumor), desk)
 		ask := func(f *Forwarder, body string) *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://desk.example/drop", strings.NewReader(body)))
@@ -118,7 +118,7 @@
 		f := New(Options{Clock: clock.System{}, Log: logr.Discard(), Codec: &codec})
 		w := httptest.NewRecorder()
 		rt := &route.Route{Idempotent: true, Shards: []string{"s1"}}
-		status := f.writeResponse(w, rt, &scatter.Report{Ending: scatter.Gone, Ran: ran, Results: make([]exchange.Result, 1)})
+		status := f.writeResponse(w, rt, &scatter.Report{Ending: scatter.ClientGone, Ran: ran, Results: make([]exchange.Result, 1)})
 		qt.Check(t, w.Code, qt.Equals, status)
 		want := http.StatusServiceUnavailable
 		if ran {
--- a/entry/internal/front/allowances.go
+++ b/entry/internal/front/allowances.go
@@ -21,7 +21,7 @@
 )
 
 // newAllowances returns the limiter of the customers' request rates.
-func (f *Front) newAllowances() *allowance.Ledger {
+func (f *Front) newAllowances() *allowance.Limiter {
 	return allowance.New(allowance.Options{
 		Clock: f.opts.Clock, Slack: f.opts.QuotaSlack, Excess: f.opts.QuotaExcess, View: f.allowanceView, Customer: f.customer,
 		Ask: func(ctx context.Context, keeper member.Host, args allowance.Args) (allowance.Reply, error) {
@@ -52,7 +52,7 @@
 // to the other one.
 func (j *membership) askAllowance(ctx context.Context, h member.Host, args allowance.Args) (allowance.Reply, error) {
 	var rep allowance.Reply
-	if err := j.peers.Work(ctx, h.Peer, allowanceTimeout, allowanceService+".Lend", &args, &rep); err != nil {
+	if err := j.peers.CallConcurrent(ctx, h.Peer, allowanceTimeout, allowanceService+".Lend", &args, &rep); err != nil {
 		return allowance.Reply{}, err
 	}
 	return rep, nil
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -35,10 +35,10 @@
 	"guavaspring.org/entry/internal/member"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/requestlog"
+	"guavaspring.org/entry/internal/retrybudget"
 	"guavaspring.org/entry/internal/rumor"
 	"guavaspring.org/entry/internal/scatter"
 	"guavaspring.org/entry/internal/source"
-	"guavaspring.org/entry/internal/spend"
 	"guavaspring.org/entry/internal/startup"
 	"guavaspring.org/entry/internal/subquery"
 	"guavaspring.org/entry/internal/traffic"
@@ -124,7 +124,7 @@
 	// QuotaExcess is the share of its limit that a customer may run over it, in addition to QuotaSlack.
 	QuotaExcess float64
 	// Spend bounds the retries and hedges of all hosts together.
-	Spend spend.Options
+	Spend retrybudget.Options
 }
 
 // Front is an entry host that forwards opaque requests.
@@ -140,7 +140,7 @@
 	log        *requestlog.Log
 	metrics    *frontmetrics.Metrics
 	// storeState signals the followers of the store's objects that the store is reachable again.
-	storeState *source.Outage
+	storeState *source.StoreState
 	// startup holds requests until the configuration, the replicas and the evacuations are loaded.
 	startup *startup.Startup
 	// quarantine refuses requests that crash replicas.
@@ -148,7 +148,7 @@
 	// subqueryServer serves other hosts' subqueries.
 	subqueryServer *subquery.Server
 	// allowances limits the customers' request rates.
-	allowances *allowance.Ledger
+	allowances *allowance.Limiter
 }
 
 // New returns a host that does nothing until Run.
@@ -175,7 +175,7 @@
 		Clock: opts.Clock, Self: func() string { return j.list.Self().ID }, Settled: f.settled,
 		Hosts: func() (all, serving []member.Host) { return j.list.Hosts(), j.currentView().serving },
 	})
-	j.rumors.Subscribe(rumor.KindQuarantine, f.quarantine.Heard)
+	j.rumors.Subscribe(rumor.KindQuarantine, f.quarantine.ApplyRumor)
 	f.log = requestlog.New(requestlog.Options{Clock: opts.Clock, Log: opts.Log, Dropped: opts.LinesLost})
 	f.metrics = f.newMetrics()
 	return f, nil
@@ -260,7 +260,7 @@
 		if t := f.config.Load(); t != nil {
 			f.table.SetLimits(t.Config().Services)
 		}
-		f.allowances.Look()
+		f.allowances.ObserveHosts()
 		clock.Sleep(ctx, f.opts.Clock, shareInterval)
 	}
 }
@@ -314,7 +314,7 @@
 	if t == nil {
 		return homes.Nearest(serving, c.Region, nil, false)
 	}
-	regions, bound := homes.Of(t.Routes(c.Host))
+	regions, bound := homes.CommonToRoutes(t.Routes(c.Host))
 	return homes.Nearest(serving, c.Region, regions, bound)
 }
 
--- a/entry/internal/front/membership.go
+++ b/entry/internal/front/membership.go
@@ -101,7 +101,7 @@
 }
 
 // trafficCauses maps the uses of connections to other hosts to the causes that their bytes are counted under.
-var trafficCauses = map[peers.Use]traffic.Cause{peers.Probes: traffic.Members, peers.Waits: traffic.Relay, peers.Works: traffic.Subqueries}
+var trafficCauses = map[peers.Use]traffic.Cause{peers.UseProbe: traffic.Members, peers.UseLongPoll: traffic.Relay, peers.UseConcurrent: traffic.Subqueries}
 
 // crossesZone reports whether a host is in another availability zone, which it also reports for an unknown host.
 func (j *membership) crossesZone(peer netip.AddrPort) bool {
@@ -250,6 +250,6 @@
 	}
 	return memberView{
 		list: &hosts[0], self: self.ID, serving: serving, since: since, share: placement.Share(hosts, self.ID, minAssumedHosts),
-		zones: byZone(self, serving), watched: placement.Watched(hosts, self.ID),
+		zones: byZone(self, serving), watched: placement.Monitored(hosts, self.ID),
 	}
 }
--- a/entry/internal/host/membership.go
+++ b/entry/internal/host/membership.go
@@ -61,8 +61,8 @@
 	return follow.New(follow.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Platform: client, Store: h.store, Replicas: h.applyReplicaList,
 		Self: h.Self, Hosts: h.Hosts, Listing: h.listing,
-		ReplicasRead: func(rows []listing.Row) { h.membership.peers.ReplicasRead(rows) },
-		AskReplicas:  func(ctx context.Context) ([]platform.Replica, error) { return h.membership.peers.AskReplicas(ctx) },
+		ReplicasRead: func(rows []listing.Row) { h.membership.peers.AnnounceReplicas(rows) },
+		AskReplicas:  func(ctx context.Context) ([]platform.Replica, error) { return h.membership.peers.FetchReplicas(ctx) },
 	})
 }
 
@@ -78,7 +78,7 @@
 	tasks.Go(func() { h.follower.ReadAccepted(ctx) })
 	tasks.Go(func() { h.follower.WatchAccepted(ctx) })
 	tasks.Go(func() { h.follower.WatchDocuments(ctx) })
-	tasks.Go(func() { h.follower.Judge(ctx) })
+	tasks.Go(func() { h.follower.ProcessProposals(ctx) })
 	tasks.Go(func() { h.follower.PollReplicas(ctx) })
 	tasks.Wait()
 }
@@ -87,7 +87,7 @@
 func (h *Host) status(client *platform.Client) *status.Writer {
 	return status.New(status.Options{
 		Clock: h.opts.Clock, Log: h.opts.Log, Get: client.Get, Put: client.Put, Self: h.Self, Hosts: h.Hosts,
-		Era: client.Era, First: h.follower.First, Services: h.serviceNames, Report: h.report, Number: h.membership.peers.Number,
+		Era: client.Era, First: h.follower.IsFirstWatcher, Services: h.serviceNames, Report: h.report, Number: h.membership.peers.Number,
 	})
 }
 
--- a/entry/internal/limit/limit.go
+++ b/entry/internal/limit/limit.go
@@ -49,8 +49,8 @@
 	hasShed bool
 }
 
-// Free reports whether another attempt may be sent to a replica that has running attempts of this host.
-func (l *Limit) Free(now time.Time, running int) bool {
+// Allows reports whether another attempt may be sent to a replica that has running attempts of this host.
+func (l *Limit) Allows(now time.Time, running int) bool {
 	if running > 0 && int64(running)*unitsPerAttempt >= unitsPerAttempt+l.extraUnits.Load() {
 		return false
 	}
@@ -58,13 +58,13 @@
 	return until == 0 || now.UnixNano() >= until
 }
 
-// Most returns the maximum number of concurrent attempts.
-func (l *Limit) Most() int { return int(1 + l.extraUnits.Load()/unitsPerAttempt) }
+// MaxInFlight returns the maximum number of concurrent attempts.
+func (l *Limit) MaxInFlight() int { return int(1 + l.extraUnits.Load()/unitsPerAttempt) }
 
-// Answered records a reply: it narrows the gap or, without one, raises the limit if it was reached. running is the
+// RecordReply records a reply: it narrows the gap or, without one, raises the limit if it was reached. running is the
 // number of attempts in flight including the answered one, slots the maximum of the limit, and spread a random number
 // between 0 and 1 for jitter.
-func (l *Limit) Answered(now time.Time, running, slots int, spread float64) {
+func (l *Limit) RecordReply(now time.Time, running, slots int, spread float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.gap > 0 {
@@ -83,9 +83,9 @@
 	l.extraUnits.Store(min(extra+step, int64(max(0, slots-1))*unitsPerAttempt))
 }
 
-// Refused records an attempt that the replica shed: it lowers the limit or, where the limit is one, widens the gap.
+// RecordShed records an attempt that the replica shed: it lowers the limit or, where the limit is one, widens the gap.
 // typical is the usual reply time and spread a random number between 0 and 1 for jitter.
-func (l *Limit) Refused(now time.Time, typical time.Duration, spread float64) {
+func (l *Limit) RecordShed(now time.Time, typical time.Duration, spread float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hasShed = true
--- a/entry/internal/limit/limit_test.go
+++ b/entry/internal/limit/limit_test.go
@@ -38,18 +38,18 @@
 					left = append(left, ms-1)
 					continue
 				}
-				limits[h].Answered(now, n, slots, rnd.Float64())
+				limits[h].RecordReply(now, n, slots, rnd.Float64())
 				ran[h]++
 			}
 			running[h] = left
 			total += len(left)
 		}
 		for _, h := range rnd.Perm(hosts) {
-			if !limits[h].Free(now, len(running[h])) {
+			if !limits[h].Allows(now, len(running[h])) {
 				continue
 			}
 			if total == slots {
-				limits[h].Refused(now, service*time.Millisecond, rnd.Float64())
+				limits[h].RecordShed(now, service*time.Millisecond, rnd.Float64())
 				shed++
 				continue
 			}
@@ -74,14 +74,14 @@
 func TestStartsWithOneAttempt(t *testing.T) {
 	var l limit.Limit
 	now := time.Unix(0, 0)
-	qt.Assert(t, l.Free(now, 0), qt.IsTrue)
-	qt.Assert(t, l.Free(now, 1), qt.IsFalse)
-	l.Answered(now, 1, 5, 0)
-	qt.Assert(t, l.Most(), qt.Equals, 2)
+	qt.Assert(t, l.Allows(now, 0), qt.IsTrue)
+	qt.Assert(t, l.Allows(now, 1), qt.IsFalse)
+	l.RecordReply(now, 1, 5, 0)
+	qt.Assert(t, l.MaxInFlight(), qt.Equals, 2)
 	for range 10 {
-		l.Answered(now, l.Most(), 5, 0)
+		l.RecordReply(now, l.MaxInFlight(), 5, 0)
 	}
-	qt.Assert(t, l.Most(), qt.Equals, 5)
+	qt.Assert(t, l.MaxInFlight(), qt.Equals, 5)
 	l.Reset()
-	qt.Assert(t, l.Most(), qt.Equals, 1)
+	qt.Assert(t, l.MaxInFlight(), qt.Equals, 1)
 }
--- a/entry/internal/listing/table.go
+++ b/entry/internal/listing/table.go
@@ -69,18 +69,18 @@
 // New returns an empty table.
 func New(c clock.Clock) *Table { return &Table{clock: c, rows: map[key]storedRow{}} }
 
-// Changes returns the number of changes so far. Take it before a read of the platform's list and pass it to Read.
+// Changes returns the number of changes so far. Take it before a read of the platform's list and pass it to ApplyRead.
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
 }
 
-// Read applies a list that was read from the platform and returns the rows it changed. The read began at started, when
-// Changes returned changesBefore.
+// ApplyRead applies a list that was read from the platform and returns the rows it changed. The read began at started,
+// when Changes returned changesBefore.
 //
 // Rows that another host changed during the read stay as they are until the next read, since this list may be older.
-func (t *Table) Read(started time.Time, changesBefore uint64, list []platform.Replica) []Row {
+func (t *Table) ApplyRead(started time.Time, changesBefore uint64, list []platform.Replica) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	first := !t.hasRead
@@ -202,7 +202,7 @@
 	defer t.mu.Unlock()
 	var list []Row
 	for _, have := range t.rows {
-		if len(list) < limit && p.Holds(have.digestEntry.Key) {
+		if len(list) < limit && p.Contains(have.digestEntry.Key) {
 			list = append(list, have.Row)
 		}
 	}
--- a/entry/internal/member/network_test.go
+++ b/entry/internal/member/network_test.go
@@ -95,7 +95,7 @@
 	mine := nd.list
 	n.repeat(nd, mine, 500*time.Millisecond, func() { mine.Tick(n.now) })
 	n.repeat(nd, mine, ProbeEvery, func() {
-		if target, ok := mine.Next(); ok {
+		if target, ok := mine.NextProbe(); ok {
 			n.probe(nd, target)
 		}
 	})
@@ -114,7 +114,7 @@
 			n.call(nd, listed.addr, "", func(Message) {}, func() {})
 		}
 	}
-	if lost, ok := nd.list.Lost(); ok {
+	if lost, ok := nd.list.LostHost(); ok {
 		n.call(nd, lost.Peer, lost.ID, func(Message) {}, func() {})
 	}
 }
@@ -195,7 +195,7 @@
 	n.deliver(from, to, func() {
 		to.list.Receive(n.now, msg)
 		reply := to.list.Message(msg.From)
-		reply.Rows = append(reply.Rows, to.list.Accuse(msg)...)
+		reply.Rows = append(reply.Rows, to.list.SuspicionOf(msg)...)
 		n.rows += len(reply.Rows)
 		n.runCheck(to)
 		n.deliver(to, from, func() {
@@ -223,7 +223,7 @@
 	sent := n.now
 	ok := func(reply Message) {
 		if reply.From != target.ID {
-			from.list.Replaced(n.now, target)
+			from.list.MarkReplaced(n.now, target)
 		}
 	}
 	n.call(from, target.Peer, target.ID, ok, func() { n.probeIndirectly(from, target, sent) })
@@ -243,7 +243,7 @@
 	}
 	n.later(from, 1200*time.Millisecond, func() {
 		if !reached {
-			from.list.Unreachable(n.now, target, sent)
+			from.list.MarkUnreachable(n.now, target, sent)
 		}
 	})
 }
@@ -258,7 +258,7 @@
 	root := digest.Prefix{}
 	for _, i := range digest.Differing(a.list.Sums(root), b.list.Sums(root)) {
 		rows := a.list.Rows(root.Child(i), 64)
-		a.list.Learn(n.now, b.list.Rows(root.Child(i), 64))
-		b.list.Learn(n.now, rows)
+		a.list.MergeRepaired(n.now, b.list.Rows(root.Child(i), 64))
+		b.list.MergeRepaired(n.now, rows)
 	}
 }
--- a/entry/internal/member/probe.go
+++ b/entry/internal/member/probe.go
@@ -24,8 +24,8 @@
 	Percent uint8
 }
 
-// Next returns the neighbour to probe now, in round-robin order.
-func (l *List) Next() (Host, bool) {
+// NextProbe returns the neighbour to probe now, in round-robin order.
+func (l *List) NextProbe() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.neighbourIDs {
@@ -70,8 +70,9 @@
 	return list
 }
 
-// Lost returns a random host that died without announcing its stop, to be contacted again: it may have been cut off.
-func (l *List) Lost() (Host, bool) {
+// LostHost returns a random host that died without announcing its stop, to be contacted again: it may have been cut
+// off.
+func (l *List) LostHost() (Host, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Host
@@ -101,11 +102,11 @@
 	return msg
 }
 
-// Accuse returns the row of msg's sender if it is suspect or dead in this list, so that the sender can refute it.
+// SuspicionOf returns the row of msg's sender if it is suspect or dead in this list, so that the sender can refute it.
 //
 // A host that was paused until its death had spread through the fleet would otherwise never receive that row, since
 // dead hosts aren't probed.
-func (l *List) Accuse(msg Message) []Host {
+func (l *List) SuspicionOf(msg Message) []Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.rows[msg.From]
@@ -126,9 +127,9 @@
 	return fresh
 }
 
-// Unreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns the
-// row and true if target became suspect or dead by that.
-func (l *List) Unreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
+// MarkUnreachable records that target answered neither the direct probe sent at sent nor the indirect ones. It returns
+// the row and true if target became suspect or dead by that.
+func (l *List) MarkUnreachable(now time.Time, target Host, sent time.Time) (Host, bool) {
 	l.mu.Lock()
 	r := l.rows[target.ID]
 	if r == nil || r.Epoch != target.Epoch || sent.Before(l.resumed) || now.Sub(l.lastTick) > pauseThreshold {
@@ -155,8 +156,8 @@
 	return h, h.State != was
 }
 
-// Replaced records that another incarnation answered at target's address, which proves that target has ended.
-func (l *List) Replaced(now time.Time, target Host) {
+// MarkReplaced records that another incarnation answered at target's address, which proves that target has ended.
+func (l *List) MarkReplaced(now time.Time, target Host) {
 	l.mu.Lock()
 	if r := l.rows[target.ID]; r != nil {
 		if r.State != StateDead {
--- a/entry/internal/peers/news.go
+++ b/entry/internal/peers/news.go
@@ -51,8 +51,8 @@
 	host  member.Host
 }
 
-// InForce announces to the other hosts that gen is in force here.
-func (p *Peers) InForce(gen accepted.Generation) {
+// AnnounceGeneration announces to the other hosts that gen is in force here.
+func (p *Peers) AnnounceGeneration(gen accepted.Generation) {
 	p.newsQueue.Push(newsItem{mark: accepted.Mark{Service: gen.Service, Number: gen.Number}})
 }
 
@@ -124,7 +124,7 @@
 		p.newsQueue.Push(newsItem{rumor: r})
 	}
 	for _, m := range marks {
-		if p.opts.Store.Lacks(m) && p.beginFetch(m) {
+		if p.opts.Store.IsNewer(m) && p.beginFetch(m) {
 			p.fetches.Go(func() {
 				defer p.endFetch(m)
 				p.fetchGeneration(from, m.Service)
--- a/entry/internal/peers/peers.go
+++ b/entry/internal/peers/peers.go
@@ -33,12 +33,12 @@
 
 // The uses of connections.
 const (
-	// Probes is used for probes, news and repairs.
-	Probes Use = "probes"
-	// Waits is used by Call, whose calls may be long polls.
-	Waits Use = "waits"
-	// Works is used by Work.
-	Works Use = "works"
+	// UseProbe is used for probes, news and repairs.
+	UseProbe Use = "probes"
+	// UseLongPoll is used by Call, whose calls may be long polls.
+	UseLongPoll Use = "waits"
+	// UseConcurrent is used by CallConcurrent.
+	UseConcurrent Use = "works"
 )
 
 // Options configures Peers.
@@ -76,7 +76,7 @@
 	// longPollPool holds the connections of Call. They are separate because a call that times out closes its
 	// connection, which must not fail probes.
 	longPollPool *pool
-	// concurrentPool holds the connections of Work, which carry many calls at once that end with their callers.
+	// concurrentPool holds the connections of CallConcurrent, which carry many calls at once that end with their callers.
 	concurrentPool *pool
 	server         *server
 	newsQueue      *ring.Ring[newsItem]
@@ -100,9 +100,9 @@
 	if opts.Opened == nil {
 		opts.Opened = func(c net.Conn, _ netip.AddrPort, _ Use) net.Conn { return c }
 	}
-	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, Probes))
-	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, Waits))
-	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, Works))
+	p.pool = newPool(opts.Clock, &p.traffic, dialer(opts, UseProbe))
+	p.longPollPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseLongPoll))
+	p.concurrentPool = newPool(opts.Clock, &p.traffic, dialer(opts, UseConcurrent))
 	srv, err := newServer(&Methods{p: p}, &p.traffic)
 	if err != nil {
 		return nil, err
@@ -160,9 +160,9 @@
 	return p.longPollPool.invoke(ctx, addr, timeout, method, args, reply)
 }
 
-// Work calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the connection
-// open for the other calls; a timeout closes it.
-func (p *Peers) Work(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
+// CallConcurrent calls a method as Call does, with many calls at once on one connection. The end of ctx leaves the
+// connection open for the other calls; a timeout closes it.
+func (p *Peers) CallConcurrent(ctx context.Context, addr netip.AddrPort, timeout time.Duration, method string, args, reply any) error {
 	return p.concurrentPool.run(ctx, addr, callOptions{timeout: timeout, keepConn: true}, method, args, reply)
 }
 
@@ -178,7 +178,7 @@
 func (p *Peers) probeNeighbours(ctx context.Context) {
 	var running sync.WaitGroup
 	p.every(ctx, member.ProbeEvery, func() {
-		if target, ok := p.opts.List.Next(); ok {
+		if target, ok := p.opts.List.NextProbe(); ok {
 			running.Go(func() { p.detectFailure(ctx, target, probeTimeout, indirectProbeTimeout) })
 		}
 	})
@@ -196,7 +196,7 @@
 	if p.probeIndirectly(ctx, target, ask) || ctx.Err() != nil {
 		return member.Host{}, false
 	}
-	return p.opts.List.Unreachable(p.opts.Clock.Now(), target, sent)
+	return p.opts.List.MarkUnreachable(p.opts.Clock.Now(), target, sent)
 }
 
 var errNoNeighbour = errors.New("no neighbour in the member list")
@@ -222,7 +222,7 @@
 	}
 	p.receive(&reply)
 	if reply.Member.From != target.ID {
-		p.opts.List.Replaced(p.opts.Clock.Now(), target)
+		p.opts.List.MarkReplaced(p.opts.Clock.Now(), target)
 		return Sums{}, fmt.Errorf("peer %s: %w: got ID %s, want %s", target.Peer, errReplaced, reply.Member.From, target.ID)
 	}
 	return reply.Sums, nil
@@ -305,8 +305,8 @@
 	return reply.Number, err
 }
 
-// AskReplicas returns the replica list that a neighbour read last, from the first neighbour that sends one.
-func (p *Peers) AskReplicas(ctx context.Context) ([]platform.Replica, error) {
+// FetchReplicas returns the replica list that a neighbour read last, from the first neighbour that sends one.
+func (p *Peers) FetchReplicas(ctx context.Context) ([]platform.Replica, error) {
 	var reply ReplicasReply
 	err := errNoNeighbour
 	for _, h := range p.opts.List.Neighbours() {
--- a/entry/internal/peers/peers_test.go
+++ b/entry/internal/peers/peers_test.go
@@ -36,7 +36,7 @@
 		late := f.start(20)
 		time.Sleep(4 * time.Second)
 		c.Assert(numberAt(late), qt.Equals, int64(3))
-		list, err := late.peers.AskReplicas(f.t.Context())
+		list, err := late.peers.FetchReplicas(f.t.Context())
 		c.Assert(err, qt.IsNil)
 		c.Assert(list, qt.HasLen, 1)
 	})
@@ -177,7 +177,7 @@
 		c := qt.New(t)
 		ctx := f.t.Context()
 		ask := func(h *testHost) error {
-			return h.peers.Work(ctx, hosts[0].addr, time.Second, "Peers.Number", &GenerationArgs{}, &NumberReply{})
+			return h.peers.CallConcurrent(ctx, hosts[0].addr, time.Second, "Peers.Number", &GenerationArgs{}, &NumberReply{})
 		}
 		early, busy := f.start(30), f.start(31)
 		c.Assert(ask(early), qt.IsNil)
--- a/entry/internal/peers/repair.go
+++ b/entry/internal/peers/repair.go
@@ -69,7 +69,7 @@
 // split returns the children of a prefix that differ: those small enough to be exchanged whole and those to be divided
 // further.
 func (w walkLimits) split(prefix digest.Prefix, own, other []digest.Sum) (whole, divide []digest.Prefix) {
-	if len(other) != digest.Fan {
+	if len(other) != digest.Fanout {
 		return nil, nil
 	}
 	for _, i := range digest.Differing(own, other) {
@@ -139,7 +139,7 @@
 }
 
 func (p *Peers) mergeRows(from netip.AddrPort, rows Rows) {
-	if row, refuted := p.opts.List.Learn(p.opts.Clock.Now(), rows.Members); refuted {
+	if row, refuted := p.opts.List.MergeRepaired(p.opts.Clock.Now(), rows.Members); refuted {
 		p.newsQueue.Push(newsItem{host: row})
 	}
 	p.receiveNews(from, rows.Marks, rows.Rumors)
--- a/entry/internal/quarantine/quarantine.go
+++ b/entry/internal/quarantine/quarantine.go
@@ -132,8 +132,8 @@
 	Broke Outcome = "broke"
 	// Answered means that the shard replied.
 	Answered Outcome = "answered"
-	// Left means that the attempt ended with neither, which proves nothing about the request.
-	Left Outcome = "left"
+	// Inconclusive means that the attempt ended with neither, which proves nothing about the request.
+	Inconclusive Outcome = "left"
 )
 
 // Guard calls send for an attempt of shard n on a replica, and records the outcome. It returns an error without calling
@@ -149,12 +149,13 @@
 	case Answered:
 		attempt.Answered()
 	default:
-		attempt.Left()
+		attempt.Inconclusive()
 	}
 	return nil
 }
 
-// Attempt is an admitted attempt of a request; exactly one of Broke, Answered and Left must be called when it ends.
+// Attempt is an admitted attempt of a request; exactly one of Broke, Answered and Inconclusive must be called when it
+// ends.
 type Attempt struct {
 	q       *Quarantine
 	fp      string
@@ -291,15 +292,15 @@
 	}
 }
 
-// Left records that the attempt ended with neither a reply nor a broken connection.
-func (t *Attempt) Left() {
+// Inconclusive records that the attempt ended with neither a reply nor a broken connection.
+func (t *Attempt) Inconclusive() {
 	t.q.mu.Lock()
 	defer t.q.mu.Unlock()
 	t.q.endRetry(t)
 }
 
-// Heard applies a rumor about a quarantined or suspect request from another host.
-func (q *Quarantine) Heard(ru rumor.Rumor) {
+// ApplyRumor applies a rumor about a quarantined or suspect request from another host.
+func (q *Quarantine) ApplyRumor(ru rumor.Rumor) {
 	now := q.opts.Clock.Now()
 	if ru.Service != q.opts.Service || !now.Before(ru.Expires) {
 		return
--- a/entry/internal/replica/table.go
+++ b/entry/internal/replica/table.go
@@ -134,7 +134,7 @@
 			if !first {
 				// The replica has just started and its caches are cold. In the first list after the start of this
 				// host, replicas are of unknown age, and all are used.
-				r.Eject.Hold(now)
+				r.Eject.RequireProbe(now)
 			}
 			t.byAddr[addr] = r
 			added = append(added, r)
@@ -226,8 +226,8 @@
 	return false
 }
 
-// Heard applies the headers of a reply of r: the holdings, unparsed, and whether r is draining.
-func (t *Table) Heard(r *Replica, holdings string, draining bool) {
+// ApplyReply applies the headers of a reply of r: the holdings, unparsed, and whether r is draining.
+func (t *Table) ApplyReply(r *Replica, holdings string, draining bool) {
 	if holdings != "" {
 		now := t.opts.Clock.Now().UnixNano()
 		r.holdingsAt.Store(now)
@@ -249,11 +249,11 @@
 	}
 }
 
-// Claimed applies the data of r's health endpoint, unless there is a recent reply of r.
+// ApplyHealthCheck applies the data of r's health endpoint, unless there is a recent reply of r.
 //
 // The endpoint may be outdated or wrong: it may name index versions that the replica rejects, or report a serving
 // replica as draining. A replica therefore counts as draining by its endpoint only as long as the endpoint repeats it.
-func (t *Table) Claimed(r *Replica, holdings string, draining bool) {
+func (t *Table) ApplyHealthCheck(r *Replica, holdings string, draining bool) {
 	r.answeredAt.Store(t.opts.Clock.Now().UnixNano())
 	if t.repliedRecently(r) {
 		return
--- a/entry/internal/scatter/admit.go
+++ b/entry/internal/scatter/admit.go
@@ -33,7 +33,7 @@
 	own := p.slack()
 	d := overload.Decide(overload.Load{
 		Delays: p.expectedDelays(), Least: p.minAnswered, Spare: own, LeastSpare: p.leastSlack(own),
-		Waited: p.Learned.Patience.Waited(p.Request.Patience), Draw: p.runner.opts.Draw(),
+		Waited: p.Learned.Patience.Elapsed(p.Request.Patience), Draw: p.runner.opts.Draw(),
 	})
 	p.report.Overload = d
 	if d.Crowded {
@@ -47,7 +47,7 @@
 	list := make([]time.Duration, len(p.Shards))
 	shared := p.sharedDelay()
 	for i, s := range p.Shards {
-		list[i] = s.Delay(p.now, shared)
+		list[i] = s.ExpectedWait(p.now, shared)
 	}
 	return list
 }
@@ -61,7 +61,7 @@
 func (p *plan) sharedDelay() time.Duration {
 	waits := make([]time.Duration, 0, len(p.Shards))
 	for _, s := range p.Shards {
-		if wait, ok := s.Newest(p.now); ok {
+		if wait, ok := s.NewestQueueDelay(p.now); ok {
 			waits = append(waits, wait)
 		}
 	}
@@ -86,7 +86,7 @@
 func (p *plan) leastSlack(own time.Duration) time.Duration {
 	least := own
 	for _, s := range p.Shards {
-		least = min(least, s.Spare(p.now, own))
+		least = min(least, s.ShortestWait(p.now, own))
 	}
 	return least
 }
--- a/entry/internal/scatter/attempts.go
+++ b/entry/internal/scatter/attempts.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"guavaspring.org/core/upstream"
+	"guavaspring.org/entry/internal/attempt"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
-	"guavaspring.org/entry/internal/guarded"
 	"guavaspring.org/entry/internal/pick"
 )
 
@@ -27,8 +27,8 @@
 	Denied Action = "denied"
 	// Wait delays an attempt until a connection is free.
 	Wait Action = "wait"
-	// Miss gives up a shard.
-	Miss Action = "miss"
+	// GiveUp gives up a shard.
+	GiveUp Action = "miss"
 	// Skipped withholds a hedge whose reply is expected too late.
 	Skipped Action = "skipped"
 	// Failed reports how an attempt without a usable reply ended.
@@ -150,7 +150,7 @@
 	}
 	call := endpoints.Call{Request: p.Request, Deadline: p.Deadline, Connections: p.Shards[i].Connections(), Usual: p.timing.medianLatency, Unloaded: p.unloaded, Once: !p.Route.Idempotent}
 	go func() {
-		res := guarded.Send(p.ctx, p.runner.opts.Quarantine, guarded.Try{Fingerprint: p.Fingerprint, Shard: i, Replica: r, Call: call})
+		res := attempt.Send(p.ctx, p.runner.opts.Quarantine, attempt.Try{Fingerprint: p.Fingerprint, Shard: i, Replica: r, Call: call})
 		if res.Kind == upstream.KindOK {
 			p.Learned.Replied(p.runner.opts.Clock.Now(), res.Took)
 		}
@@ -204,7 +204,7 @@
 		// No byte was sent, so the attempt does not count.
 		s.sent--
 		if s.sent > 0 {
-			p.Shards[e.shard].Budget.Unsend(p.now)
+			p.Shards[e.shard].Budget.Refund(p.now)
 		}
 	case !e.res.Kind.NotRun():
 		p.report.Ran = true
@@ -268,7 +268,7 @@
 	if s.result.Kind == "" {
 		s.result = exchange.Result{Kind: upstream.KindNotSent, Detail: joinReasons(why, then)}
 	}
-	p.recordStep(Miss, i, endpoints.Choice{}, then)
+	p.recordStep(GiveUp, i, endpoints.Choice{}, then)
 	p.stopWaiting(i)
 	s.failed = true
 	p.failedShards++
--- a/entry/internal/scatter/scatter.go
+++ b/entry/internal/scatter/scatter.go
@@ -10,9 +10,9 @@
 	"guavaspring.org/core/route"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/overload"
 	"guavaspring.org/entry/internal/quarantine"
+	"guavaspring.org/entry/internal/routestats"
 )
 
 const (
@@ -44,12 +44,12 @@
 	Complete Ending = "complete"
 	// Partial means that enough shards, but not all, answered by the time the answer was due.
 	Partial Ending = "partial"
-	// Lost means that too few shards can still answer.
-	Lost Ending = "lost"
+	// TooFewShards means that too few shards can still answer.
+	TooFewShards Ending = "lost"
 	// Expired means that the deadline passed.
 	Expired Ending = "expired"
-	// Gone means that the client disconnected.
-	Gone Ending = "client_gone"
+	// ClientGone means that the client disconnected.
+	ClientGone Ending = "client_gone"
 	// Overload means that nothing was sent, because the queues of the shards are too long for an answer in time.
 	Overload Ending = "overload"
 )
@@ -90,7 +90,7 @@
 	// Shards are the services that receive the request, one replica each.
 	Shards []*endpoints.Service
 	// Learned holds the statistics of the route's earlier requests.
-	Learned *learned.Route
+	Learned *routestats.Route
 	// Homes are the regions to which the request is restricted; none means any.
 	Homes             []string
 	Arrived, Deadline time.Time
@@ -131,7 +131,7 @@
 func (run *Runner) Run(ctx context.Context, q Query) Report {
 	p := newPlan(run, q)
 	if p.unservable() {
-		return p.finish(Lost)
+		return p.finish(TooFewShards)
 	}
 	if p.overloaded() {
 		return p.refuse()
@@ -228,7 +228,7 @@
 	switch {
 	case p.running() == 0:
 		p.cancel()
-	case end == Gone && p.Route.Idempotent:
+	case end == ClientGone && p.Route.Idempotent:
 		p.cancel()
 	case !p.Route.Idempotent:
 		p.runner.opts.Clock.AfterFunc(max(0, p.Deadline.Sub(p.now)), p.cancel)
@@ -266,7 +266,7 @@
 			p.tick()
 		case <-ctx.Done():
 			p.now = p.runner.opts.Clock.Now()
-			return p.finish(Gone)
+			return p.finish(ClientGone)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	case answered == len(p.shards):
 		return Complete, true
 	case len(p.shards)-p.failedShards < p.minAnswered:
-		return Lost, true
+		return TooFewShards, true
 	case p.pendingShards == 0:
 		return Partial, true
 	case answered >= p.minAnswered && !p.now.Before(p.cutoff()):
--- a/entry/internal/scatter/scatter_test.go
+++ b/entry/internal/scatter/scatter_test.go
@@ -19,11 +19,11 @@
 	"guavaspring.org/core/route"
 	"guavaspring.org/core/upstream"
 	"guavaspring.org/entry/internal/endpoints"
-	"guavaspring.org/entry/internal/learned"
 	"guavaspring.org/entry/internal/quarantine"
 	"guavaspring.org/entry/internal/replicatest"
+	"guavaspring.org/entry/internal/retrybudget"
+	"guavaspring.org/entry/internal/routestats"
 	"guavaspring.org/entry/internal/scatter"
-	"guavaspring.org/entry/internal/spend"
 	"guavaspring.org/platform/platformtest"
 	"guavaspring.org/platform/wire"
 )
@@ -33,7 +33,7 @@
 	farm    *replicatest.Farm
 	table   *endpoints.Table
 	runner  *scatter.Runner
-	learned *learned.Route
+	learned *routestats.Route
 	n       atomic.Int64
 	// quarantine holds the requests that crash replicas.
 	quarantine *quarantine.Quarantine
@@ -54,14 +54,14 @@
 
 // newHostInZone returns a host in an availability zone that sends subqueries to other hosts.
 func newHostInZone(zone string, farm *replicatest.Farm, slack, part float64, sub scatter.Subqueries) *testHost {
-	b := &testHost{farm: farm, learned: &learned.Route{}}
+	b := &testHost{farm: farm, learned: &routestats.Route{}}
 	b.evacuated.Store("")
 	codec := wire.Codec()
 	share := func() float64 { return part }
 	b.table = endpoints.New(endpoints.Options{
 		Clock: clock.System{}, Log: logr.Discard(), Zone: zone, Codec: &codec, Dial: b.farm.Dial, Share: share,
 		Evacuated: func(zone string) bool { return b.evacuated.Load() == zone },
-		Spend:     spend.Options{Ratio: 0.2, Slack: slack, Window: 10 * time.Second},
+		Spend:     retrybudget.Options{Ratio: 0.2, Slack: slack, Window: 10 * time.Second},
 	})
 	b.quarantine = quarantine.New(quarantine.Options{Clock: clock.System{}, Service: "opaque"})
 	b.runner = scatter.New(scatter.Options{Clock: clock.System{}, Share: share, Draw: func() float64 { return 0 }, Quarantine: b.quarantine, Subqueries: sub})
@@ -89,7 +89,7 @@
 	}
 	verdict := b.quarantine.Check(target)
 	if verdict.Refused {
-		return scatter.Report{Ending: scatter.Lost}, 0
+		return scatter.Report{Ending: scatter.TooFewShards}, 0
 	}
 	q.Suspect = verdict.Suspect
 	for _, name := range rt.Services() {
@@ -189,7 +189,7 @@
 		qt.Assert(t, rep.Ending, qt.Equals, scatter.Partial)
 		qt.Assert(t, took, qt.Equals, 30*time.Millisecond)
 		rep, took = b.ask(t.Context(), &route.Route{Idempotent: false, Timeout: time.Second, Attempts: 2, Split: []route.Share{{Service: "none"}}})
-		qt.Assert(t, rep.Ending, qt.Equals, scatter.Lost)
+		qt.Assert(t, rep.Ending, qt.Equals, scatter.TooFewShards)
 		qt.Assert(t, rep.Ran, qt.IsFalse)
 		qt.Assert(t, took, qt.Equals, time.Duration(0))
 		time.Sleep(time.Second)
@@ -203,7 +203,7 @@
 	tests := []struct {
 		evacuated, arrivals int
 		want                scatter.Ending
-	}{{evacuated: 4, arrivals: 0, want: scatter.Lost}, {evacuated: 1, arrivals: 9, want: scatter.Partial}}
+	}{{evacuated: 4, arrivals: 0, want: scatter.TooFewShards}, {evacuated: 1, arrivals: 9, want: scatter.Partial}}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			farm := replicatest.New()
@@ -446,7 +446,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			rep, took := b.ask(ctx, singleServiceRoute(idempotent))
-			qt.Check(t, rep.Ending, qt.Equals, scatter.Gone)
+			qt.Check(t, rep.Ending, qt.Equals, scatter.ClientGone)
 			qt.Check(t, took, qt.Equals, 100*time.Millisecond)
 			time.Sleep(time.Millisecond)
 			s := b.table.Service("s0")
@@ -654,7 +654,7 @@
 				case rep.Ending == scatter.Complete:
 				case asked > 4*time.Second:
 					late.Add(1)
-				case rep.Ending == scatter.Lost:
+				case rep.Ending == scatter.TooFewShards:
 					failed.Add(1)
 				}
 			})
--- a/entry/internal/scatter/subqueries.go
+++ b/entry/internal/scatter/subqueries.go
@@ -11,7 +11,7 @@
 
 	"guavaspring.org/core/opaque"
 	"guavaspring.org/core/upstream"
-	"guavaspring.org/entry/internal/crossing"
+	"guavaspring.org/entry/internal/crosszone"
 	"guavaspring.org/entry/internal/endpoints"
 	"guavaspring.org/entry/internal/exchange"
 	"guavaspring.org/entry/internal/homes"
@@ -74,11 +74,11 @@
 		// Outside the request's home regions, only the host chosen by the client may receive it.
 		return
 	}
-	shards := make([]crossing.Shard, len(p.Shards))
+	shards := make([]crosszone.Shard, len(p.Shards))
 	for i, s := range p.Shards {
 		shards[i].Near, shards[i].Zones = s.Zones()
 	}
-	for _, g := range crossing.Groups(shards, opts.Zones(), p.runner.opts.Draw()) {
+	for _, g := range crosszone.Groups(shards, opts.Zones(), p.runner.opts.Draw()) {
 		if peer, ok := opts.Peer(g.Zone); ok {
 			p.sendSubquery(peer, g.Shards)
 		}
@@ -104,7 +104,7 @@
 		s.running++
 		s.viaPeer = sub
 		sub.pending[i] = true
-		p.Shards[i].Begin(p.now)
+		p.Shards[i].BeginAttempt(p.now)
 		names[n] = p.Shards[i].Name
 		if s.sent < p.Route.Attempts {
 			s.hedgeAt = p.now.Add(p.timing.hedgeDelay + subqueryDelayAllowance)
@@ -198,7 +198,7 @@
 		if !ok {
 			continue
 		}
-		p.Shards[i].Replied(p.now, part.Took, p.unloaded)
+		p.Shards[i].RecordReply(p.now, part.Took, p.unloaded)
 		if !r.first {
 			body = part.Body
 		}
@@ -241,7 +241,7 @@
 // endAttempt counts the shard's attempt at the other host as ended.
 func (p *plan) endAttempt(sub *peerSubquery, i int) {
 	delete(sub.pending, i)
-	p.Shards[i].End(p.now, p.now.Sub(sub.sentAt))
+	p.Shards[i].EndAttempt(p.now, p.now.Sub(sub.sentAt))
 }
 
 // handlePart processes one part of a reply. The records of a merged part are inseparable from those of the other parts
@@ -263,7 +263,7 @@
 	res := exchange.Result{Kind: upstream.KindNotSent, Detail: "the other host declined: " + r.reply.Declined}
 	if r.err != nil {
 		res.Detail = r.err.Error()
-		if !errors.Is(r.err, subquery.ErrUnreached) {
+		if !errors.Is(r.err, subquery.ErrNotSent) {
 			res.Kind = upstream.KindBroken
 		}
 	}
--- a/entry/internal/scatter/subqueries_test.go
+++ b/entry/internal/scatter/subqueries_test.go
@@ -270,7 +270,7 @@
 		failed int64
 	}{
 		{"gone", peerHooks{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
-			return subquery.Reply{}, fmt.Errorf("%w: refused", subquery.ErrUnreached)
+			return subquery.Reply{}, fmt.Errorf("%w: refused", subquery.ErrNotSent)
 		}}, 40 * time.Millisecond, 0, 1},
 		{"leaving", peerHooks{gather: func(context.Context, *subquery.Args, func() (subquery.Reply, error)) (subquery.Reply, error) {
 			return subquery.Reply{Declined: "the host is leaving"}, nil
@@ -359,7 +359,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
 		rep, _ := p.ask(ctx, manyShardRoute())
-		qt.Assert(t, rep.Ending, qt.Equals, scatter.Gone)
+		qt.Assert(t, rep.Ending, qt.Equals, scatter.ClientGone)
 		time.Sleep(100 * time.Millisecond)
 		qt.Check(t, p.dropped.Load(), qt.Equals, int64(1))
 		qt.Check(t, p.server.Running(), qt.Equals, 0)
--- a/entry/internal/service/admit.go
+++ b/entry/internal/service/admit.go
@@ -17,9 +17,9 @@
 func (s *Service) reportUpstreamLoad(res upstream.Result) {
 	switch res.Kind {
 	case upstream.KindCanceled:
-		s.gate.Replied(res.Took)
+		s.gate.RecordReply(res.Took)
 	case upstream.KindShed:
-		s.gate.Shed()
+		s.gate.RecordShed()
 	}
 }
 
@@ -28,7 +28,7 @@
 }
 
 // waitDecision returns the decision that records how long a query waited for admission, or nil if it didn't wait.
-func waitDecision(place admission.Place) []explain.Decision {
+func waitDecision(place admission.Permit) []explain.Decision {
 	if place.Waited == 0 {
 		return nil
 	}
--- a/entry/internal/service/log.go
+++ b/entry/internal/service/log.go
@@ -18,7 +18,7 @@
 	fanout.WhatHedge:  events.Hedged,
 	fanout.WhatMiss:   events.Missed,
 	fanout.WhatReplan: events.Replanned,
-	fanout.WhatTrial:  events.ReplicaTried,
+	fanout.WhatTrial:  events.ReplicaProbed,
 	fanout.WhatWait:   events.ShardWaited,
 }
 
@@ -58,7 +58,7 @@
 	if res.Kind == upstream.KindVersionGone {
 		s.table.Gone(r, version)
 	}
-	s.table.Heard(r, res.Holdings, res.Draining || res.Kind == upstream.KindDraining)
+	s.table.ApplyReply(r, res.Holdings, res.Draining || res.Kind == upstream.KindDraining)
 	s.reportUpstreamLoad(res)
 }
 
@@ -84,5 +84,5 @@
 }
 
 func (s *Service) onImplausibleList(omitted, live int) {
-	events.ListDoubted.Log(s.opts.Log, "service", s.name, "omitted", omitted, "live", live)
+	events.PartialListIgnored.Log(s.opts.Log, "service", s.name, "omitted", omitted, "live", live)
 }
--- a/entry/internal/service/service.go
+++ b/entry/internal/service/service.go
@@ -89,7 +89,7 @@
 	s.gen.Store(&gen)
 	s.table = replica.New(replica.Options{Clock: opts.Clock, Zone: opts.Zone, Draining: s.onDraining, Doubted: s.onImplausibleList})
 	s.picker = snapshot.New(snapshot.Options{Moved: s.onSnapshotChange})
-	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.sendQuery, Heard: s.onResult, Answered: s.gate.Replied, Judged: s.onEjectionChange, IntN: opts.IntN})
+	s.runner = fanout.New(fanout.Options{Clock: opts.Clock, Send: s.sendQuery, Heard: s.onResult, Answered: s.gate.RecordReply, Judged: s.onEjectionChange, IntN: opts.IntN})
 	return s, nil
 }
 
@@ -137,7 +137,7 @@
 			defer cancel()
 			health, res := s.opts.Health(ctx, r)
 			if res.Kind == upstream.KindOK {
-				s.table.Claimed(r, upstream.FormatHoldings(health.Holdings), health.Draining)
+				s.table.ApplyHealthCheck(r, upstream.FormatHoldings(health.Holdings), health.Draining)
 			}
 		})
 	}
@@ -168,13 +168,13 @@
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, reasonQuarantined, retryAfterMS(verdict.RetryAfter)
 		return ans
 	}
-	place, refusal := s.gate.Enter(ctx, admission.Request{Caller: req.Caller, Key: req.Query.Key, Deadline: req.Deadline})
+	place, refusal := s.gate.Acquire(ctx, admission.Request{Caller: req.Caller, Key: req.Query.Key, Deadline: req.Deadline})
 	if refusal != nil {
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, string(refusal.Reason), retryAfterMS(refusal.RetryAfter)
 		rec.Decisions = []explain.Decision{s.refusalDecision(req, refusal)}
 		return ans
 	}
-	defer func() { place.Leave(ans.Outcome == caller.OutcomeComplete) }()
+	defer func() { place.Release(ans.Outcome == caller.OutcomeComplete) }()
 	vm, ok := s.pickVersion()
 	if !ok {
 		ans.Outcome, ans.Reason, ans.RetryAfterMS = caller.OutcomeRefused, "no index version of the service is known yet", retryAfterMS(retryAfterNoVersion)
--- a/entry/internal/source/era.go
+++ b/entry/internal/source/era.go
@@ -49,7 +49,7 @@
 	}
 	f.opts.Outage.enterEra(after.Era)
 	f.rejects.forget()
-	kept, _ := f.opts.Copy.Kept()
+	kept, _ := f.opts.Copy.Retained()
 	events.StoreEra.Log(f.opts.Log, "kind", f.opts.Name, "from", from, "era", after.Era, "revision", after.Revision, "known_era", before.Era, "known", before.Revision, "kept", len(kept))
 	return before.Revision > 0
 }
@@ -59,7 +59,7 @@
 func (f *Follower[T]) checkEraMissing(era int64) {
 	if era == 0 && !f.eraMissing {
 		st, _ := f.opts.Copy.State()
-		events.EraUnsaid.Log(f.opts.Log, "kind", f.opts.Name, "known_era", st.Era)
+		events.StoreEraMissing.Log(f.opts.Log, "kind", f.opts.Name, "known_era", st.Era)
 	}
 	f.eraMissing = era == 0
 }
@@ -96,8 +96,8 @@
 	if len(rep.Kept) == 0 {
 		return
 	}
-	changes := f.opts.Copy.Merge(rep.Kept, f.opts.Clock.Now())
-	events.KeptTaken.Log(f.opts.Log, "kind", f.opts.Name, "from", from, "era", rep.Era, "kept", len(rep.Kept), "news", len(changes.Entries))
+	changes := f.opts.Copy.MergeRetained(rep.Kept, f.opts.Clock.Now())
+	events.RetainedApplied.Log(f.opts.Log, "kind", f.opts.Name, "from", from, "era", rep.Era, "kept", len(rep.Kept), "news", len(changes.Entries))
 	if len(changes.Entries) > 0 {
 		f.opts.Change(changes, true)
 	}
